--- a/bench/fault_soak/clients.py
+++ b/bench/fault_soak/clients.py
@@ -85,9 +85,11 @@
         return record
 
     def _encode(self, record: ClientRecord) -> bytes:
-        statement = f"SELECT a FROM lending_{self.random.randrange(8)}.loans WHERE tag = '{record.client_id}'"
+        statement = (
+            f"SELECT a FROM lending_{self.random.randrange(8)}.loans WHERE tag = '{record.client_request_id}'"
+        )
         headers = {
-            "Host": "gateway", "X-Txn": record.client_id, "X-Ttl-Ms": str(int(record.ttl * 1000)),
+            "Host": "gateway", "X-Txn": record.client_request_id, "X-Ttl-Ms": str(int(record.ttl * 1000)),
             "X-Cpu-Hint": f"{MEAN_WORK_S * 1000:.1f}", "X-Memory": "96",
             "Content-Length": str(len(statement)),
         }  # fmt: skip
@@ -191,7 +193,7 @@
         body = json.loads(await connection.reader.readexactly(int(headers["content-length"])))
         if status == 200:
             rows = body.get("rows", [])
-            if any(row[0] != record.client_id for row in rows) or not rows:
+            if any(row[0] != record.client_request_id for row in rows) or not rows:
                 raise ValueError(f"rows of another request: {rows[:1]}")
             record.ending = Ending.SERVED
         else:
--- a/bench/fault_soak/engine.py
+++ b/bench/fault_soak/engine.py
@@ -43,23 +43,23 @@
         writer.close()
 
     @staticmethod
-    def page(client_id: str, number: int) -> bytes:
+    def page(client_request_id: str, number: int) -> bytes:
         """A page that names the request it belongs to."""
-        return f"{client_id}\t{number}\tx\n".encode()
+        return f"{client_request_id}\t{number}\tx\n".encode()
 
     @staticmethod
     def say(writer: asyncio.StreamWriter, head: str, body: bytes = b"") -> None:
         """One answer line with its body."""
         writer.write(f"{head} {len(body)}\r\n".encode() + (body + b"\r\n" if body else b""))
 
-    async def run(self, client_id: str, writer: asyncio.StreamWriter) -> None:
+    async def run(self, client_request_id: str, writer: asyncio.StreamWriter) -> None:
         """One request to its end."""
         mood = self.mood.name
         if mood == "reset":
             writer.transport.abort()
             return
         if mood == "refuse":
-            self.say(writer, f"{client_id} refused -")
+            self.say(writer, f"{client_request_id} refused -")
             return
         left = min(2.0, self.random.expovariate(1 / MEAN_WORK_S))
         while left > 0:
@@ -68,18 +68,18 @@
             await self.mood.recovered.wait()
             left -= step
             if left > 0:
-                self.say(writer, f"{client_id} progress detail=share,val=0.5")
+                self.say(writer, f"{client_request_id} progress detail=share,val=0.5")
         if mood == "error":
-            self.say(writer, f"{client_id} error -")
+            self.say(writer, f"{client_request_id} error -")
         elif mood == "torn":
-            writer.write(f"{client_id} ok sheets=1 60\r\n{client_id}".encode())
+            writer.write(f"{client_request_id} ok sheets=1 60\r\n{client_request_id}".encode())
         elif mood == "drip":
-            for byte in f"{client_id} ok sheets=1 900\r\n":
+            for byte in f"{client_request_id} ok sheets=1 900\r\n":
                 writer.write(byte.encode())
                 await asyncio.sleep(0.1)
         else:
             pages = self.random.choice((1, 1, 1, 3))
-            self.say(writer, f"{client_id} ok sheets={pages}", self.page(client_id, 0))
+            self.say(writer, f"{client_request_id} ok sheets={pages}", self.page(client_request_id, 0))
 
 
 async def main(port: int, seed: int) -> None:
--- a/bench/fault_soak/flight_clients.py
+++ b/bench/fault_soak/flight_clients.py
@@ -73,7 +73,7 @@
             (":method", "POST"), (":scheme", "http"), (":path", messages.SERVICE_PATH + method.value),
             (":authority", "gateway"), ("te", "trailers"), ("content-type", "application/grpc"),
             ("grpc-timeout", f"{int(record.ttl * 1000)}m"), ("x-class", record.request_class),
-            ("x-txn", record.client_id), ("x-cpu-hint", f"{MEAN_WORK_S * 1000:.1f}"),
+            ("x-txn", record.client_request_id), ("x-cpu-hint", f"{MEAN_WORK_S * 1000:.1f}"),
         ]  # fmt: skip
         if record.key:
             headers += [("x-row", record.key), ("x-txn-key", record.idempotency_key)]
@@ -127,7 +127,7 @@
             record.ending = Ending.CLOSED
         elif status == "0":
             record.ending = Ending.SERVED
-            if any(not message.startswith(record.client_id.encode()) for message in call.messages):
+            if any(not message.startswith(record.client_request_id.encode()) for message in call.messages):
                 record.ending = Ending.UNREADABLE
         else:
             record.ending = Ending.REJECTED if status == "8" else Ending.FAILED
--- a/bench/fault_soak/flight_engine.py
+++ b/bench/fault_soak/flight_engine.py
@@ -29,9 +29,15 @@
         self.random, self.name, self.events = random.Random(seed), name, events
         self.mood = Mood()
 
-    def note(self, kind: str, client_id: str, **more: object) -> None:
+    def note(self, kind: str, client_request_id: str, **more: object) -> None:
         """Write an event down."""
-        record = {"at": time.monotonic(), "kind": kind, "engine": self.name, "client_id": client_id, **more}
+        record = {
+            "at": time.monotonic(),
+            "kind": kind,
+            "engine": self.name,
+            "client_request_id": client_request_id,
+            **more,
+        }
         self.events.write(json.dumps(record) + "\n")
 
     async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -45,26 +51,26 @@
                 call = peer.calls[stream_id]
                 if call.reset and stream_id in running:
                     running.pop(stream_id).cancel()
-                    if client_id := open_requests.pop(stream_id, ""):
-                        self.note("stop", client_id)
+                    if client_request_id := open_requests.pop(stream_id, ""):
+                        self.note("stop", client_request_id)
                 elif call.ended and stream_id not in running and not call.reset:
-                    client_id = call.headers.get("x-txn", "")
-                    open_requests[stream_id] = client_id
-                    planned.discard(client_id)
+                    client_request_id = call.headers.get("x-txn", "")
+                    open_requests[stream_id] = client_request_id
+                    planned.discard(client_request_id)
                     if not call.headers[":path"].endswith(messages.FlightMethod.DO_GET.value):
-                        self._note_request(client_id, call)
+                        self._note_request(client_request_id, call)
                     run = self._run(peer, stream_id, call, open_requests, planned)
                     running[stream_id] = asyncio.create_task(run)
         for task in running.values():
             task.cancel()
-        for client_id in (*open_requests.values(), *planned):
-            self.note("broken", client_id)
+        for client_request_id in (*open_requests.values(), *planned):
+            self.note("broken", client_request_id)
         writer.close()
 
-    def _note_request(self, client_id: str, call: PeerCall) -> None:
+    def _note_request(self, client_request_id: str, call: PeerCall) -> None:
         timeout = call.headers.get("grpc-timeout", "0S")
         self.note(
-            "request", client_id, budget=int(timeout[:-1]) * UNITS_S[timeout[-1]],
+            "request", client_request_id, budget=int(timeout[:-1]) * UNITS_S[timeout[-1]],
             idempotency_key=call.headers.get("x-txn-key", ""), began_at=time.monotonic(),
         )  # fmt: skip
 
@@ -77,7 +83,7 @@
         planned: set[str],
     ) -> None:
         method, mood = call.headers[":path"].rpartition("/")[2], self.mood.name
-        client_id = call.headers.get("x-txn", "")
+        client_request_id = call.headers.get("x-txn", "")
         if mood == "reset":
             peer.writer.transport.abort()
             return
@@ -91,12 +97,12 @@
             statement = messages.decode_query_descriptor(call.messages[0])
             answers = [messages.encode_flight_info(call.messages[0], statement)]
         elif status == OK:
-            answers = [f"{client_id} {number}".encode() for number in range(3)]
+            answers = [f"{client_request_id} {number}".encode() for number in range(3)]
         open_requests.pop(stream_id, None)
         if is_plan and status == OK:
-            planned.add(client_id)
+            planned.add(client_request_id)
         else:
-            self.note("end", client_id, word={OK: "ok", REFUSED: "refused"}.get(status, "error"))
+            self.note("end", client_request_id, word={OK: "ok", REFUSED: "refused"}.get(status, "error"))
         peer.answer(stream_id, answers, [("grpc-status", status)])
 
 
--- a/bench/fault_soak/oracle.py
+++ b/bench/fault_soak/oracle.py
@@ -66,7 +66,7 @@
     def __init__(self, observations: Observations) -> None:
         """Sort what was observed."""
         self.seen = observations
-        self.clients = {record.client_id: record for record in observations.clients}
+        self.clients = {record.client_request_id: record for record in observations.clients}
         self.attempts = self._attempts()
 
     def violations(self) -> list[Violation]:
@@ -95,9 +95,9 @@
             if event.kind is EngineEventKind.REQUEST and self._is_unread(event):
                 continue
             if event.kind is EngineEventKind.REQUEST:
-                attempts[event.client_id].append(Attempt(event, float("inf")))
+                attempts[event.client_request_id].append(Attempt(event, float("inf")))
                 continue
-            for attempt in attempts[event.client_id]:
+            for attempt in attempts[event.client_request_id]:
                 if attempt.request.engine == event.engine and attempt.ended_at == float("inf"):
                     attempt.ended_at, attempt.word = event.at, event.word
                     attempt.given_up = event.kind is not EngineEventKind.END
@@ -139,7 +139,7 @@
 
     def _after_client_left(self) -> Iterator[Violation]:
         for record in self.seen.clients:
-            for attempt in self.attempts.get(record.client_id, ()) if record.left_at else ():
+            for attempt in self.attempts.get(record.client_request_id, ()) if record.left_at else ():
                 late = attempt.request.began_at - record.left_at
                 if late > GONE_S + MEASUREMENT_S:
                     detail = f"sent to {attempt.request.engine} {late:.3f} s after its client left"
@@ -148,8 +148,8 @@
                     )
 
     def _budgets(self) -> Iterator[Violation]:
-        for client_id, attempts in self.attempts.items():
-            record = self.clients.get(client_id)
+        for client_request_id, attempts in self.attempts.items():
+            record = self.clients.get(client_request_id)
             for attempt in attempts if record and record.sent_at else ():
                 left = record.sent_at + record.ttl - attempt.request.at  # type: ignore[union-attr]
                 excess = attempt.request.budget - max(0.0, left)
@@ -162,7 +162,7 @@
     # ---- attempts
 
     def _concurrent(self) -> Iterator[Violation]:
-        for client_id, attempts in self.attempts.items():
+        for client_request_id, attempts in self.attempts.items():
             for earlier, later in zip(attempts, attempts[1:], strict=False):
                 overlap = earlier.ended_at - later.request.at
                 if self._is_unread(replace(earlier.request, at=earlier.ended_at)):
@@ -170,12 +170,12 @@
                 if overlap > MEASUREMENT_S and earlier.request.engine != later.request.engine:
                     detail = f"at {earlier.request.engine} and {later.request.engine} for {overlap:.3f} s"
                     yield Violation(
-                        "one attempt out", later.request.at, _of(self.clients.get(client_id), detail)
+                        "one attempt out", later.request.at, _of(self.clients.get(client_request_id), detail)
                     )
 
     def _duplicates(self) -> Iterator[Violation]:
-        for client_id, attempts in self.attempts.items():
-            record = self.clients.get(client_id)
+        for client_request_id, attempts in self.attempts.items():
+            record = self.clients.get(client_request_id)
             if record is None or len(attempts) < 2:
                 continue
             may_have_run = [attempt for attempt in attempts[:-1] if not attempt.never_ran]
@@ -194,24 +194,26 @@
     def _key_order(self) -> Iterator[Violation]:
         """Loads of one key and gateway run one at a time."""
         groups: dict[tuple[str, str], list[Attempt]] = defaultdict(list)
-        for client_id, attempts in self.attempts.items():
-            if (record := self.clients.get(client_id)) and record.request_class == LOAD:
+        for client_request_id, attempts in self.attempts.items():
+            if (record := self.clients.get(client_request_id)) and record.request_class == LOAD:
                 groups[record.gateway, record.key] += attempts
         for attempts in groups.values():
             attempts.sort(key=lambda attempt: attempt.request.at)
             for earlier, later in zip(attempts, attempts[1:], strict=False):
-                if earlier.request.client_id == later.request.client_id:
+                if earlier.request.client_request_id == later.request.client_request_id:
                     continue
-                first, second = self.clients[earlier.request.client_id], self.clients[later.request.client_id]
+                first, second = (
+                    self.clients[earlier.request.client_request_id],
+                    self.clients[later.request.client_request_id],
+                )
                 if self._crosses_outage(first.gateway, earlier.request.at, later.request.at):
                     continue  # a gateway that starts again knows nothing of what it had
                 if earlier.ended_at - later.request.at > MEASUREMENT_S:
-                    detail = f"runs beside {first.client_id} of its key"
+                    detail = f"runs beside {first.client_request_id} of its key"
                     yield Violation("loads of one key run in turn", later.request.at, _of(second, detail))
                 elif earlier.given_up and later.request.at - earlier.ended_at < SETTLE_S - MEASUREMENT_S:
-                    detail = (
-                        f"{later.request.at - earlier.ended_at:.3f} s after {first.client_id} was given up"
-                    )
+                    waited_s = later.request.at - earlier.ended_at
+                    detail = f"{waited_s:.3f} s after {first.client_request_id} was given up"
                     yield Violation("keys rest after a doubt", later.request.at, _of(second, detail))
 
     def _crosses_outage(self, gateway: str, began: float, ended: float) -> bool:
@@ -237,8 +239,8 @@
                 ),
                 default=float("inf"),
             )
-            for client_id, attempts in self.attempts.items():
-                record = self.clients.get(client_id)
+            for client_request_id, attempts in self.attempts.items():
+                record = self.clients.get(client_request_id)
                 for attempt in attempts if record else ():
                     request = attempt.request
                     if _host(request.engine) != change.engine or not change.at <= request.began_at < back_at:
@@ -254,12 +256,12 @@
                 continue
             times = sorted(
                 attempt.request.at
-                for client_id, attempts in self.attempts.items()
-                if client_id in self.clients
+                for client_request_id, attempts in self.attempts.items()
+                if client_request_id in self.clients
                 for attempt in attempts
                 if _host(attempt.request.engine) == change.engine
                 and attempt.request.at < change.at + COLD_S
-                and attempt.request.at >= self._told_at(change, self.clients[client_id].gateway)
+                and attempt.request.at >= self._told_at(change, self.clients[client_request_id].gateway)
             )
             first = 0
             for last, at in enumerate(times):
@@ -291,6 +293,6 @@
     if record is None:
         return detail
     return (
-        f"{record.gateway} {record.request_class} {record.client_id} ttl {record.ttl} "
+        f"{record.gateway} {record.request_class} {record.client_request_id} ttl {record.ttl} "
         f"{record.ending.value} after {record.ended_at - record.sent_at:.3f} s {record.detail}: {detail}"
     )
--- a/bench/fault_soak/proxy.py
+++ b/bench/fault_soak/proxy.py
@@ -92,8 +92,8 @@
         if self.closed:
             return
         self.closed = True
-        for client_id in self.open:
-            self.proxy.note("broken", client_id)
+        for client_request_id in self.open:
+            self.proxy.note("broken", client_request_id)
         self.proxy.links.discard(self)
         if reset:
             sock = self.gateway.get_extra_info("socket")
@@ -124,9 +124,15 @@
         self.listener.setblocking(False)
         self.obey("pass")
 
-    def note(self, kind: str, client_id: str, **more: object) -> None:
+    def note(self, kind: str, client_request_id: str, **more: object) -> None:
         """Write an event down."""
-        record = {"at": time.monotonic(), "kind": kind, "engine": self.engine, "client_id": client_id, **more}
+        record = {
+            "at": time.monotonic(),
+            "kind": kind,
+            "engine": self.engine,
+            "client_request_id": client_request_id,
+            **more,
+        }
         self.events.write(json.dumps(record) + "\n")
 
     def obey(self, order: str) -> None:
--- a/bench/fault_soak/records.py
+++ b/bench/fault_soak/records.py
@@ -21,7 +21,7 @@
 class ClientRecord:
     """One request of a client."""
 
-    client_id: str
+    client_request_id: str
     gateway: str
     request_class: str
     ttl: float
@@ -52,7 +52,7 @@
     at: float
     kind: EngineEventKind
     engine: str
-    client_id: str
+    client_request_id: str
     word: str = ""  # of an end
     budget: float = 0.0  # of a request, in seconds
     idempotency_key: str = ""
--- a/bench/fault_soak/run.py
+++ b/bench/fault_soak/run.py
@@ -140,13 +140,15 @@
                 seen.invariant_lines.append(f"{gateway.name}: {line[:300]}")
 
 
-def request_story(result: Result, client_id: str) -> list[str]:
+def request_story(result: Result, client_request_id: str) -> list[str]:
     """Everything that is known of one request, in the order of time."""
-    records = [record for record in result.observations.clients if record.client_id == client_id]
+    records = [
+        record for record in result.observations.clients if record.client_request_id == client_request_id
+    ]
     began = records[0].sent_at if records else 0.0
     lines = [_client_line(record) for record in records]
     for event in sorted(result.observations.engine_events, key=lambda event: event.at):
-        if event.client_id == client_id:
+        if event.client_request_id == client_request_id:
             lines.append(
                 f"{event.at - began:+.3f} {event.engine} {event.kind.value} {event.word} {event.budget}"
             )
--- a/query_gateway/configuration/settings_parser.py
+++ b/query_gateway/configuration/settings_parser.py
@@ -103,7 +103,7 @@
         latency_objective=reader.require(path + "aim", _integer),
         objective_per_run_time=reader.get(path + "aim-stretch", float, 0.0),
         timeout=reader.require(path + "give-up", _integer),
-        weight=reader.require(path + "worth", float),
+        priority_weight=reader.require(path + "worth", float),
         late_weight=reader.get(path + "late-value", float, 0.0),
         idempotency=reader.require(path + "repeat", IDEMPOTENCY_WORDS.__getitem__),
         deduplication_scope=reader.get(path + "dedup-scope", DeduplicationScope, DeduplicationScope.ALL),
--- a/query_gateway/engine_protocol/connection.py
+++ b/query_gateway/engine_protocol/connection.py
@@ -54,7 +54,7 @@
         self.stream = self._dial()
         self.task: Task = self.loop.spawn(self._run())
 
-    def can_take(self, client_id: str) -> bool:
+    def can_take(self, client_request_id: str) -> bool:
         """Whether one more attempt fits, and no response to an earlier one of its request can reach it."""
         now = self.loop.now()
         if self.established:
@@ -69,15 +69,17 @@
             return False  # its response would be appended to half a line that belongs to nothing
         return (
             len(self.open) < self.pool.streams_per_connection
-            and client_id not in self.open
-            and client_id not in self.cancelled_ids
+            and client_request_id not in self.open
+            and client_request_id not in self.cancelled_ids
         )
 
     def send(self, attempt: AttemptHandle) -> None:
         """Start an attempt, at once or when the connection is established."""
         self.last_used_at = self.loop.now()
-        client_id = attempt.request.client_id
-        self.open[client_id] = self.unwritten[client_id] = OpenAttempt(attempt, self.last_used_at)
+        client_request_id = attempt.request.client_request_id
+        self.open[client_request_id] = self.unwritten[client_request_id] = OpenAttempt(
+            attempt, self.last_used_at
+        )
         if self.established:
             self._write_waiting()
         self.task.wake()  # its response deadline runs from now
@@ -85,62 +87,63 @@
     def _write_waiting(self) -> None:
         """Write the requests that wait, as long as the machine takes them at once."""
         while self.unwritten and not self.stream.outbox and not self.stream.is_over:
-            client_id = next(iter(self.unwritten))
-            entry = self.unwritten.pop(client_id)
+            client_request_id = next(iter(self.unwritten))
+            entry = self.unwritten.pop(client_request_id)
             if not entry.attempt.may_be_written():
-                self._end_unsent(client_id, entry)
+                self._end_unsent(client_request_id, entry)
             elif self.stream.write_if_taken(encode_attempt(entry.attempt, self.pool.clock())):
                 self.stream.call_when_sent(entry.on_request_sent)
             else:
-                self.unwritten = {client_id: entry, **self.unwritten}
+                self.unwritten = {client_request_id: entry, **self.unwritten}
                 return
 
-    def _end_unsent(self, client_id: str, entry: OpenAttempt) -> None:
+    def _end_unsent(self, client_request_id: str, entry: OpenAttempt) -> None:
         """End an attempt that must not be written any more."""
-        if self.open.get(client_id) is entry:
-            del self.open[client_id]
-            self.pool.by_client_id.pop(client_id, None)
+        if self.open.get(client_request_id) is entry:
+            del self.open[client_request_id]
+            self.pool.by_client_request_id.pop(client_request_id, None)
         entry.attempt.on_ended(OutcomeCode.NOT_SENT)
 
-    def withdraw(self, client_id: str) -> bool:
+    def withdraw(self, client_request_id: str) -> bool:
         """Remove an attempt if not a byte of it has left; whether that was so."""
-        if self.unwritten.pop(client_id, None) is None:
+        if self.unwritten.pop(client_request_id, None) is None:
             return False
-        del self.open[client_id]
+        del self.open[client_request_id]
         self.task.wake()
         return True
 
-    def cancel(self, client_id: str) -> None:
+    def cancel(self, client_request_id: str) -> None:
         """Stop an attempt; its late responses change nothing."""
-        if self.open.pop(client_id, None) is None:
+        if self.open.pop(client_request_id, None) is None:
             return
-        if self.unwritten.pop(client_id, None) is None:
-            self._remember_cancelled(client_id)
-            self.stream.write(frames.encode_stop(client_id))
+        if self.unwritten.pop(client_request_id, None) is None:
+            # A second copy of this end must not reach the next attempt
+            self._remember_cancelled(client_request_id)
+            self.stream.write(frames.encode_stop(client_request_id))
         self.task.wake()
 
-    def _remember_cancelled(self, client_id: str) -> None:
-        self.cancelled_ids[client_id] = None
+    def _remember_cancelled(self, client_request_id: str) -> None:
+        self.cancelled_ids[client_request_id] = None
         self.retired |= len(self.cancelled_ids) > MAX_CANCELLED_IDS
 
-    def set_priority(self, client_id: str, priority: int) -> None:
+    def set_priority(self, client_request_id: str, priority: int) -> None:
         """Change an attempt's priority at the engine, if it is there already."""
-        if client_id in self.open and client_id not in self.unwritten:
-            self.stream.write(frames.encode_priority(client_id, priority))
+        if client_request_id in self.open and client_request_id not in self.unwritten:
+            self.stream.write(frames.encode_priority(client_request_id, priority))
 
-    def finish(self, client_id: str, outcome: OutcomeCode) -> None:
+    def finish(self, client_request_id: str, outcome: OutcomeCode) -> None:
         """End an attempt with its outcome."""
-        entry = self.open.pop(client_id)
+        entry = self.open.pop(client_request_id)
         if outcome is not OutcomeCode.OK:
-            self._remember_cancelled(client_id)  # a second copy of this end must not reach the next attempt
-        self.pool.by_client_id.pop(client_id, None)
+            self._remember_cancelled(client_request_id)
+        self.pool.by_client_request_id.pop(client_request_id, None)
         self.last_used_at = self.loop.now()
         entry.attempt.on_ended(outcome)
 
-    def fail_malformed(self, client_id: str) -> None:
+    def fail_malformed(self, client_request_id: str) -> None:
         """End an attempt whose response cannot be read, and retire: the next one may be as unreadable."""
         self.retired = True
-        self.finish(client_id, OutcomeCode.ERROR)
+        self.finish(client_request_id, OutcomeCode.ERROR)
 
     # ---- the coroutine
 
@@ -235,7 +238,7 @@
     def _end_overlong_responses(self) -> bool:
         """End attempts whose response began too long ago; False if an incomplete frame did."""
         latest_start = self.liveness.latest_response_start
-        for client_id, entry in list(self.open.items()):
+        for client_request_id, entry in list(self.open.items()):
             if entry.last_page_at is not None and entry.response_started_at <= latest_start:
-                self.fail_malformed(client_id)
+                self.fail_malformed(client_request_id)
         return not (self.decoder.partial and self.liveness.last_frame_end_at <= latest_start)
--- a/query_gateway/engine_protocol/frames.py
+++ b/query_gateway/engine_protocol/frames.py
@@ -51,46 +51,46 @@
 
 @dataclass(slots=True, frozen=True)
 class Frame:
-    """One response line with its body. `client_id` names the request that it belongs to."""
+    """One response line with its body. `client_request_id` names the request that it belongs to."""
 
-    client_id: str
+    client_request_id: str
     word: str
     fields: dict[str, str] = field(default_factory=dict)
     data: bytes = b""
 
 
 class _FrameHead(NamedTuple):
-    client_id: str
+    client_request_id: str
     word: str
     fields: dict[str, str]
     body_length: int
 
 
-def encode_request(client_id: str, fields: dict[str, str], statement: bytes) -> bytes:
+def encode_request(client_request_id: str, fields: dict[str, str], statement: bytes) -> bytes:
     """Start a request; the fields say how it is to run."""
     pairs = ",".join(f"{name}={value}" for name, value in fields.items()) or NO_FIELDS
-    head = f"{REQUEST} {client_id} {pairs} {len(statement)}".encode()
+    head = f"{REQUEST} {client_request_id} {pairs} {len(statement)}".encode()
     return b"%b\r\n%b\r\n" % (head, statement)
 
 
-def encode_stop(client_id: str) -> bytes:
+def encode_stop(client_request_id: str) -> bytes:
     """Stop a request that runs or waits."""
-    return f"{STOP} {client_id}\r\n".encode()
+    return f"{STOP} {client_request_id}\r\n".encode()
 
 
-def encode_priority(client_id: str, priority: int) -> bytes:
+def encode_priority(client_request_id: str, priority: int) -> bytes:
     """Change the priority of a request that runs or waits."""
-    return f"{SET_PRIORITY} {client_id} {priority}\r\n".encode()
+    return f"{SET_PRIORITY} {client_request_id} {priority}\r\n".encode()
 
 
-def encode_fetch(client_id: str, page_number: int) -> bytes:
+def encode_fetch(client_request_id: str, page_number: int) -> bytes:
     """Fetch one page of a result; page 0 comes with the first response."""
-    return f"{FETCH_PAGE} {client_id} {page_number}\r\n".encode()
+    return f"{FETCH_PAGE} {client_request_id} {page_number}\r\n".encode()
 
 
-def encode_end(client_id: str) -> bytes:
+def encode_end(client_request_id: str) -> bytes:
     """Release a result of several pages, all of which have come."""
-    return f"{END_RESULT} {client_id}\r\n".encode()
+    return f"{END_RESULT} {client_request_id}\r\n".encode()
 
 
 class FrameDecoder:
@@ -121,7 +121,7 @@
                 return None
             if line not in (b"", b"\r"):
                 self._head = _decode_head(line)
-        client_id, word, fields, length = self._head
+        client_request_id, word, fields, length = self._head
         if length and len(self.buffer) < length + len(LINE_END):
             return None
         body = bytes(self.buffer[:length])
@@ -130,7 +130,7 @@
                 raise FrameError("no CR LF behind the body")
             del self.buffer[: length + len(LINE_END)]
         self._head = None
-        return Frame(client_id, word, fields, body)
+        return Frame(client_request_id, word, fields, body)
 
     def _next_line(self) -> bytes | None:
         """The next line without its line feed, None if it is not complete."""
@@ -153,10 +153,10 @@
         raise FrameError("a line is not ASCII") from None
     if len(words) != 4 or words[1] not in RESPONSE_WORDS:
         raise FrameError(f"{line[:60]!r} is no response")
-    client_id, word, fields, length = words
+    client_request_id, word, fields, length = words
     if not length.isdigit() or len(length) > MAX_LENGTH_DIGITS or int(length) > MAX_BODY_BYTES:
         raise FrameError("the length is no number or too large")
-    return _FrameHead(client_id, word, _decode_fields(fields), int(length))
+    return _FrameHead(client_request_id, word, _decode_fields(fields), int(length))
 
 
 def _decode_fields(text: str) -> dict[str, str]:
--- a/query_gateway/engine_protocol/open_attempt.py
+++ b/query_gateway/engine_protocol/open_attempt.py
@@ -55,4 +55,4 @@
     if attempt.memory_mb > 0:
         fields[frames.MEMORY_MB_FIELD] = f"{attempt.memory_mb:g}"
     fields[frames.PRIORITY_FIELD] = str(attempt.priority)
-    return frames.encode_request(request.client_id, fields, request.statement)
+    return frames.encode_request(request.client_request_id, fields, request.statement)
--- a/query_gateway/engine_protocol/pool.py
+++ b/query_gateway/engine_protocol/pool.py
@@ -35,7 +35,7 @@
         self.update_limits(limits)
         self.endpoints: dict[str, Endpoint] = {}  # by engine
         self.connections: dict[str, list[EngineConnection]] = {}  # by engine
-        self.by_client_id: dict[str, EngineConnection] = {}  # connections of the attempts in flight
+        self.by_client_request_id: dict[str, EngineConnection] = {}  # connections of the attempts in flight
         # Attempts for which no socket could be made yet, by client id: until when that is tried (loop time)
         self.postponed: dict[str, float] = {}
 
@@ -52,14 +52,15 @@
         It ends as not sent if the engine is unknown, if its client id is already in flight, or if descriptors
         are out for the time of a dial; as a failed connect if the dial fails.
         """
-        engine, client_id = attempt.endpoint, attempt.request.client_id
+        engine, client_request_id = attempt.endpoint, attempt.request.client_request_id
         endpoint = self.endpoints.get(engine)
-        if endpoint is None or "web" not in endpoint.addresses or client_id in self.by_client_id:
-            self.postponed.pop(client_id, None)
+        if endpoint is None or "web" not in endpoint.addresses or self._is_in_flight(client_request_id):
+            self.postponed.pop(client_request_id, None)
             attempt.on_ended(OutcomeCode.NOT_SENT)
             return
         connections = self.connections.setdefault(engine, [])
-        connection = next((candidate for candidate in connections if candidate.can_take(client_id)), None)
+        free = (candidate for candidate in connections if candidate.can_take(client_request_id))
+        connection = next(free, None)
         if connection is None:
             try:
                 connection = EngineConnection(self, engine, endpoint)
@@ -67,47 +68,51 @@
                 self._postpone(attempt)
                 return
             connections.append(connection)
-        self.postponed.pop(client_id, None)
-        self.by_client_id[client_id] = connection
+        self.postponed.pop(client_request_id, None)
+        self.by_client_request_id[client_request_id] = connection
         connection.send(attempt)
 
     def _postpone(self, attempt: AttemptHandle) -> None:
         """Start an attempt again soon; it ends as not sent once that was tried for the time of a dial."""
-        client_id, now = attempt.request.client_id, self.loop.now()
-        give_up_at = self.postponed.setdefault(client_id, now + self.dial_timeout)
+        client_request_id, now = attempt.request.client_request_id, self.loop.now()
+        give_up_at = self.postponed.setdefault(client_request_id, now + self.dial_timeout)
         if now >= give_up_at:
-            del self.postponed[client_id]
+            del self.postponed[client_request_id]
             attempt.on_ended(OutcomeCode.NOT_SENT)
             return
 
         def start_again() -> None:
             """Unless it was withdrawn or cancelled meanwhile."""
-            if attempt.in_flight and client_id in self.postponed:
+            if attempt.in_flight and client_request_id in self.postponed:
                 self.start(attempt)
 
         self.loop.call_at(now + POSTPONE_SECONDS, start_again)
 
+    def _is_in_flight(self, client_request_id: str) -> bool:
+        """Whether an attempt under this id is on some connection: engines know one attempt an id."""
+        return client_request_id in self.by_client_request_id
+
     def withdraw(self, attempt: AttemptHandle) -> bool:
         """Take an attempt back if nothing of it has left; whether that was so."""
-        client_id = attempt.request.client_id
-        if self.postponed.pop(client_id, None) is not None:
+        client_request_id = attempt.request.client_request_id
+        if self.postponed.pop(client_request_id, None) is not None:
             return True
-        connection = self.by_client_id.get(client_id)
-        if connection is None or not connection.withdraw(client_id):
+        connection = self.by_client_request_id.get(client_request_id)
+        if connection is None or not connection.withdraw(client_request_id):
             return False
-        del self.by_client_id[client_id]
+        del self.by_client_request_id[client_request_id]
         return True
 
     def cancel(self, attempt: AttemptHandle) -> None:
         """Stop an attempt that is in flight; it will not be ended here."""
-        self.postponed.pop(attempt.request.client_id, None)
-        if connection := self.by_client_id.pop(attempt.request.client_id, None):
-            connection.cancel(attempt.request.client_id)
+        self.postponed.pop(attempt.request.client_request_id, None)
+        if connection := self.by_client_request_id.pop(attempt.request.client_request_id, None):
+            connection.cancel(attempt.request.client_request_id)
 
     def set_priority(self, attempt: AttemptHandle) -> None:
         """Pass on an attempt's changed priority."""
-        if connection := self.by_client_id.get(attempt.request.client_id):
-            connection.set_priority(attempt.request.client_id, attempt.priority)
+        if connection := self.by_client_request_id.get(attempt.request.client_request_id):
+            connection.set_priority(attempt.request.client_request_id, attempt.priority)
 
     def forget(self, connection: EngineConnection) -> None:
         """Drop a connection that has ended; engines without one leave the table."""
@@ -116,9 +121,13 @@
             connections.remove(connection)
         if not connections:
             self.connections.pop(connection.engine, None)
-        ended = [client_id for client_id, used in self.by_client_id.items() if used is connection]
-        for client_id in ended:
-            del self.by_client_id[client_id]
+        ended = [
+            client_request_id
+            for client_request_id, used in self.by_client_request_id.items()
+            if used is connection
+        ]
+        for client_request_id in ended:
+            del self.by_client_request_id[client_request_id]
 
     def update_endpoints(self, endpoints: list[Endpoint], is_snapshot: bool) -> None:
         """Apply a change of the endpoint list; engines that a snapshot lacks are retired."""
--- a/query_gateway/engine_protocol/response_handler.py
+++ b/query_gateway/engine_protocol/response_handler.py
@@ -39,7 +39,7 @@
 
     def handle(self, frame: frames.Frame) -> None:
         """Apply one frame."""
-        entry = self.connection.open.get(frame.client_id)
+        entry = self.connection.open.get(frame.client_request_id)
         if entry is None:
             return  # a late response to an attempt that was cancelled
         if frame.word == frames.PROGRESS:
@@ -52,7 +52,7 @@
                 self._on_further_page(entry, frame)
         elif frame.word in OUTCOMES:
             outcome = OUTCOMES[frame.word] if entry.last_page_at is None else OutcomeCode.ERROR
-            self.connection.finish(frame.client_id, outcome)
+            self.connection.finish(frame.client_request_id, outcome)
 
     @staticmethod
     def _on_progress(attempt: AttemptHandle, frame: frames.Frame) -> None:
@@ -68,36 +68,38 @@
         entry.attempt.on_executed()
         page_count = _integer(frame.fields.get(frames.PAGE_COUNT_FIELD, "1"), 1, MAX_PAGES)
         if page_count is None:
-            self.connection.fail_malformed(frame.client_id)
+            self.connection.fail_malformed(frame.client_request_id)
             return
         entry.page_count = page_count
         if page_count > 1:
-            fetches = (frames.encode_fetch(frame.client_id, number) for number in range(1, page_count))
+            fetches = (
+                frames.encode_fetch(frame.client_request_id, number) for number in range(1, page_count)
+            )
             self.connection.stream.write(b"".join(fetches))
         self._add_page(entry, 0, frame)
 
     def _on_further_page(self, entry: OpenAttempt, frame: frames.Frame) -> None:
         number = _integer(frame.fields.get(frames.PAGE_NUMBER_FIELD, ""), 1, entry.page_count - 1)
         if number is None:
-            self.connection.fail_malformed(frame.client_id)
+            self.connection.fail_malformed(frame.client_request_id)
             return
         self._add_page(entry, number, frame)
 
     def _add_page(self, entry: OpenAttempt, number: int, frame: frames.Frame) -> None:
         if not is_valid_page(frame.data):
-            self.connection.fail_malformed(frame.client_id)
+            self.connection.fail_malformed(frame.client_request_id)
             return
         entry.add_page(number, frame.data, self.connection.liveness.last_heard_at)
         if not entry.has_all_pages:
             return
         if entry.page_count > 1:
-            self.connection.stream.write(frames.encode_end(frame.client_id))
+            self.connection.stream.write(frames.encode_end(frame.client_request_id))
         if entry.is_too_large:
-            self.connection.fail_malformed(frame.client_id)
+            self.connection.fail_malformed(frame.client_request_id)
             return
         for page_number in range(entry.page_count):
             entry.attempt.on_page(entry.pages[page_number])
-        self.connection.finish(frame.client_id, OutcomeCode.OK)
+        self.connection.finish(frame.client_request_id, OutcomeCode.OK)
 
 
 def _integer(text: str, minimum: int, maximum: int) -> int | None:
--- a/query_gateway/flight/engines.py
+++ b/query_gateway/flight/engines.py
@@ -108,7 +108,7 @@
             ("content-type", "application/grpc"),
             ("grpc-timeout", f"{timeout_ms}m"),
             ("x-class", request.class_name),
-            ("x-txn", request.client_id),
+            ("x-txn", request.client_request_id),
             ("x-priority", str(attempt.priority)),
         ]
         if request.idempotency_key:
--- a/query_gateway/flight/requests.py
+++ b/query_gateway/flight/requests.py
@@ -18,7 +18,7 @@
 GRPC_TIMEOUT = re.compile(r"(\d{1,8})([HMSmun])")
 GRPC_TIMEOUT_UNITS_NS = {"H": 3600 * 10**9, "M": 60 * 10**9, "S": 10**9, "m": 10**6, "u": 10**3, "n": 1}
 MAX_TIMEOUT_NS = 3600 * 10**9
-CLIENT_ID_DIGITS, KEY_DIGITS, IDEMPOTENCY_KEY_DIGITS = 16, 16, 32  # hex digits of these headers
+REQUEST_ID_DIGITS, KEY_DIGITS, IDEMPOTENCY_KEY_DIGITS = 16, 16, 32  # hex digits of these headers
 MAX_WORK_HINT_MS = 1e8
 MAX_MEMORY_HINT_MB = 1e7
 MAX_NAME_IN_ERROR = 80  # characters
@@ -94,7 +94,7 @@
     key = _ordering_key(flight_class, headers, classification)
     idempotency_key = _idempotency_key(flight_class, headers, classification)
     return ClientRequest(
-        client_id=hex_header(headers, "x-txn", CLIENT_ID_DIGITS, False) or uuid4().hex[:CLIENT_ID_DIGITS],
+        client_request_id=_client_request_id(headers),
         class_index=flight_class.class_index,
         class_name=class_name,
         statement=statement.text.encode(),
@@ -103,10 +103,10 @@
         key=key if flight_class.ordered_by_key else None,
         idempotency_key=idempotency_key,
         estimated_work=_estimated_work_ns(work_hint_ms, classification),
-        memory_mb=_memory_mb(headers, classification),
+        estimated_memory_mb=_memory_mb(headers, classification),
         table_group=None if group is None else float(group),
         is_update=statement.is_update,
-        shape=classification.fingerprint if classification else b"",
+        fingerprint=classification.fingerprint if classification else b"",
     )
 
 
@@ -138,6 +138,11 @@
     return classification.estimated_work_ns if classification else None
 
 
+def _client_request_id(headers: dict[str, str]) -> str:
+    """The client's own id, or a random one where it names none."""
+    return hex_header(headers, "x-txn", REQUEST_ID_DIGITS, False) or uuid4().hex[:REQUEST_ID_DIGITS]
+
+
 def _memory_mb(headers: dict[str, str], classification: "Classification | None") -> float:
     learned_mb = classification.memory_mb if classification else 0.0
     return real_header(headers, "x-memory", MAX_MEMORY_HINT_MB) or learned_mb
--- a/query_gateway/forwarder/attempt.py
+++ b/query_gateway/forwarder/attempt.py
@@ -18,9 +18,6 @@
 if TYPE_CHECKING:
     from query_gateway.forwarder.exchange import Exchange
 
-# Outcomes of an attempt that the engine surely never ran
-NEVER_RAN_CODES = (OutcomeCode.FULL, OutcomeCode.CONNECT_FAILED, OutcomeCode.NOT_SENT)
-
 
 @dataclass(slots=True, frozen=True)
 class AttemptTerms:
@@ -113,7 +110,7 @@
             return
         exchange = self.exchange
         observer = exchange.forwarder.observer
-        if kind is ProgressKind.SPILLING and self.request.shape and observer:
+        if kind is ProgressKind.SPILLING and self.request.fingerprint and observer:
             observer.on_spilled(self.request, exchange.forwarder.clock())
         exchange.notify_planner(ProgressNote(exchange.request_id, self.number, self.endpoint, kind, level))
 
@@ -169,10 +166,10 @@
         )
 
     def notify_observer(self, code: OutcomeCode, duration: int) -> None:
-        """Report the end of the attempt to the observer, if the statement has a shape."""
+        """Report the end of the attempt to the observer, if the statement has a fingerprint."""
         exchange = self.exchange
         observer = exchange.forwarder.observer
-        if not self.request.shape or not observer:
+        if not self.request.fingerprint or not observer:
             return
         work = self.reported_work or duration * exchange.class_settings.threads
         now = exchange.forwarder.clock()
--- a/query_gateway/forwarder/exchange.py
+++ b/query_gateway/forwarder/exchange.py
@@ -8,12 +8,12 @@
 from enum import Enum
 from typing import TYPE_CHECKING
 
-from query_gateway.forwarder.attempt import NEVER_RAN_CODES, Attempt, AttemptTerms
-from query_gateway.forwarder.idempotency import client_may_retry, send_deadline
+from query_gateway.forwarder.attempt import Attempt, AttemptTerms
 from query_gateway.forwarder.invariants import Invariant
 from query_gateway.forwarder.messages import Answer, Client, ClientRequest, Timer, Verdict
 from query_gateway.forwarder.trace import TraceStep
 from query_gateway.model.events import Event, OutcomeCode, RequestAbandoned
+from query_gateway.policy.repetition import NEVER_RAN_CODES, client_may_retry, repeat_deadline
 
 if TYPE_CHECKING:
     from query_gateway.forwarder.forwarder import Forwarder, ForwardingEngineClient
@@ -105,7 +105,7 @@
     @property
     def send_deadline(self) -> int:
         """Until when an attempt may be sent, as a clock time."""
-        return send_deadline(self.class_settings, self.request.deadline, self.first_executed_at)
+        return min(self.request.deadline, repeat_deadline(self.class_settings, self.first_executed_at))
 
     @property
     def may_be_rejected(self) -> bool:
@@ -116,7 +116,9 @@
     def trace(self, step: TraceStep, details: str = "") -> None:
         """Note a step of this request, where requests are traced."""
         if sink := self.forwarder.request_trace:
-            sink.record(self.forwarder.clock(), self.request_id, self.request.client_id, step, details)
+            sink.record(
+                self.forwarder.clock(), self.request_id, self.request.client_request_id, step, details
+            )
 
     def notify_planner(self, event: Event) -> None:
         """Send an event to the planner, if it knows of this exchange."""
@@ -214,7 +216,7 @@
             return False
         is_true = self.may_be_rejected
         self.forwarder.invariants.check(
-            is_true, Invariant.REJECTED_TRULY, f"request {self.request.client_id} may have run"
+            is_true, Invariant.REJECTED_TRULY, f"request {self.request.client_request_id} may have run"
         )
         return is_true
 
@@ -225,7 +227,7 @@
         # One that was late already when it was accepted is answered at once
         in_time = now <= max(self.request.deadline, self.accepted_at) + ANSWER_SLACK_NS
         self.forwarder.invariants.check(
-            in_time, Invariant.ANSWERED_IN_TIME, f"request {self.request.client_id}"
+            in_time, Invariant.ANSWERED_IN_TIME, f"request {self.request.client_request_id}"
         )
 
     def abandon(self) -> None:
--- a/query_gateway/forwarder/forwarder.py
+++ b/query_gateway/forwarder/forwarder.py
@@ -63,7 +63,7 @@
         self.router = PlannerRouter(self.planners)
         self.key_quarantine = KeyQuarantine(clock, call_at, self._pass_to_planner)
         self.exchanges: dict[int, Exchange] = {}  # by request id
-        self.open_client_ids: set[str] = set()  # the clients' ids of the requests in `exchanges`
+        self.open_client_request_ids: set[str] = set()  # the clients' ids of the requests in `exchanges`
         self.endpoints: dict[str, Endpoint] = {}  # by name
         self.next_request_id = first_request_id
         self.counters = Counters()
@@ -95,8 +95,8 @@
             exchange.answer(answer)
             return exchange
         self.exchanges[exchange.request_id] = exchange
-        self.open_client_ids.add(request.client_id)
-        if request.shape and self.observer:
+        self.open_client_request_ids.add(request.client_request_id)
+        if request.fingerprint and self.observer:
             self.observer.on_accepted(request)
         exchange.timer = self.call_at(request.deadline, exchange.on_deadline)
         if self.key_quarantine.applies_to(exchange):
@@ -109,7 +109,7 @@
         """The answer to a request that is not even passed to a planner."""
         if len(self.exchanges) >= self.max_exchanges:
             return self._rejection()  # guards the memory: more than could be served in time
-        if exchange.request.client_id in self.open_client_ids:
+        if exchange.request.client_request_id in self.open_client_request_ids:
             # An id stands for one request at the engines, so a second one cannot be sent beside it
             return Answer(Verdict.FAILED)
         if not self.planners[exchange.planner_index].connected:
@@ -136,7 +136,7 @@
                 table_group=request.table_group,
                 key=request.key,
                 estimated_work=request.estimated_work,
-                memory_mb=request.memory_mb,
+                estimated_memory_mb=request.estimated_memory_mb,
                 is_retry=request.is_retry,
             )
         )
@@ -146,8 +146,8 @@
         if not exchange.answered or exchange.current_attempt or exchange.request_id not in self.exchanges:
             return
         del self.exchanges[exchange.request_id]
-        self.open_client_ids.discard(exchange.request.client_id)
-        if exchange.request.shape and self.observer:
+        self.open_client_request_ids.discard(exchange.request.client_request_id)
+        if exchange.request.fingerprint and self.observer:
             self.observer.on_settled(exchange.request)
         if exchange.timer:
             exchange.timer.cancel()
--- a/query_gateway/forwarder/messages.py
+++ b/query_gateway/forwarder/messages.py
@@ -48,7 +48,7 @@
 class ClientRequest:
     """One request of a client, as any server decodes it; a client's retry is a request of its own."""
 
-    client_id: str  # the client's id for this request, passed on unchanged
+    client_request_id: str  # the client's id for this request, passed on unchanged
     class_index: int
     class_name: str
     statement: bytes
@@ -57,10 +57,10 @@
     key: str | None  # requests of one key run one after the other
     idempotency_key: str | None
     estimated_work: int | None  # estimated work in nanoseconds on one core
-    memory_mb: float
+    estimated_memory_mb: float
     table_group: float | None
     is_update: bool = False  # a statement without a result, on a wire that tells these apart
-    shape: bytes = b""  # of the statement, where statements are parsed; empty: nothing is learned from it
+    fingerprint: bytes = b""  # of the parsed statement; empty: not parsed, so nothing is learned from it
 
 
 @dataclass(slots=True, frozen=True)
@@ -135,7 +135,7 @@
 
 
 class QueryObserver(Protocol):
-    """Notified of what happens to requests whose statement has a shape; it decides nothing here."""
+    """Notified of what happens to requests whose statement has a fingerprint; it decides nothing here."""
 
     def on_accepted(self, request: ClientRequest) -> None:
         """The request is open from here on."""
--- a/query_gateway/forwarder/send_guard.py
+++ b/query_gateway/forwarder/send_guard.py
@@ -9,7 +9,7 @@
 
 from query_gateway.forwarder.invariants import Invariant
 from query_gateway.model.endpoints import EndpointState
-from query_gateway.model.settings import Idempotency
+from query_gateway.policy.repetition import may_run_twice, repeat_deadline
 
 if TYPE_CHECKING:
     from query_gateway.forwarder.attempt import Attempt
@@ -63,10 +63,10 @@
         return None
 
     def _refusal_now(self, exchange: "Exchange", endpoint: str) -> HoldBack | None:
+        if exchange.may_have_run and not may_run_twice(exchange.class_settings):
+            return HoldBack.MAY_HAVE_RUN
         if self.forwarder.clock() >= exchange.send_deadline:
             return HoldBack.TOO_LATE
-        if exchange.may_have_run and exchange.class_settings.idempotency is Idempotency.NON_IDEMPOTENT:
-            return HoldBack.MAY_HAVE_RUN
         known = self.forwarder.endpoints.get(endpoint)
         if known is None or known.info.state is not EndpointState.UP or exchange.wire not in known.addresses:
             return HoldBack.ENDPOINT_NOT_UP
@@ -78,7 +78,7 @@
         self.forwarder.slow_start_budgets.record(attempt.endpoint, exchange.request.estimated_work, now)
         checks, subject = (
             self.forwarder.invariants,
-            f"request {exchange.request.client_id} at {attempt.endpoint}",
+            f"request {exchange.request.client_request_id} at {attempt.endpoint}",
         )
         ended_at = exchange.ended_at
         ended_before = ended_at is not None and now > ended_at + SENT_AFTER_END_NS
@@ -92,8 +92,5 @@
         checks.check(is_up, Invariant.SENT_TO_AN_UP_ENDPOINT, subject)
         in_flight = [other.endpoint for other in exchange.attempts if other.in_flight]
         checks.check(len(in_flight) <= 1, Invariant.ONE_ATTEMPT, f"{subject}: {in_flight}")
-        first, settings = exchange.first_executed_at, exchange.class_settings
-        if first is not None and settings.idempotency is not Idempotency.IDEMPOTENT:
-            keyed = settings.idempotency is Idempotency.KEYED
-            recognised = keyed and now <= first + settings.deduplication_window + SENT_AFTER_END_NS
-            checks.check(recognised, Invariant.REPEATED_SAFELY, subject)
+        repeat_until = repeat_deadline(exchange.class_settings, exchange.first_executed_at)
+        checks.check(now <= repeat_until + SENT_AFTER_END_NS, Invariant.REPEATED_SAFELY, subject)
--- a/query_gateway/forwarder/slow_start_budgets.py
+++ b/query_gateway/forwarder/slow_start_budgets.py
@@ -10,6 +10,7 @@
 
 from query_gateway.model.endpoints import EndpointInfo
 from query_gateway.model.settings import Settings
+from query_gateway.policy.recovery_ramp import is_in_slow_start, recovery_ramp
 
 DEFAULT_CORES = 1
 SMALL_BUDGET = 30.0  # requests, below which more is left to chance
@@ -62,9 +63,9 @@
     def _in_slow_start(self, engine: str, now: int) -> EndpointInfo | None:
         """What is known of the engine, if it is in slow start."""
         info = self._engines.get(engine)
-        if info is None or not info.started_at or self.settings.cold_overload_factor <= 0:
+        if info is None:
             return None
-        if now - info.started_at >= self.settings.slow_start_window:
+        if not is_in_slow_start(self.settings, info.started_at, now):
             self._sends.pop(engine, None)
             return None
         return info
@@ -80,8 +81,7 @@
         settings = self.settings
         kinds = settings.cores_by_kind
         cores = kinds[info.kind] if info.kind < len(kinds) else max(kinds, default=DEFAULT_CORES)
-        growth = (1 - settings.cold_capacity) * max(0, age) / settings.slow_start_window
-        capacity = cores * (settings.cold_capacity + growth)
+        capacity = cores * recovery_ramp(settings).capacity_at(max(0, age))
         whole = settings.cold_overload_factor * capacity * settings.cold_overload_window
         requests = whole / mean_work
         roots, more = (CHANCE, MORE) if requests >= SMALL_BUDGET else (SMALL_CHANCE, SMALL_MORE)
--- a/query_gateway/forwarder/trace.py
+++ b/query_gateway/forwarder/trace.py
@@ -22,5 +22,5 @@
 class RequestTrace(Protocol):
     """A sink for the steps of requests."""
 
-    def record(self, at: int, request_id: int, client_id: str, step: TraceStep, details: str) -> None:
+    def record(self, at: int, request_id: int, client_request_id: str, step: TraceStep, details: str) -> None:
         """Note one step at a clock time (nanoseconds)."""
--- a/query_gateway/http/request_decoding.py
+++ b/query_gateway/http/request_decoding.py
@@ -84,7 +84,7 @@
     if class_name not in classes:
         raise RequestError(404, f"class {class_name!r} is unknown")
     request_class = classes[class_name]
-    client_id = hex_header(headers, CLIENT_ID_HEADER, 16, True) or ""
+    client_request_id = hex_header(headers, CLIENT_ID_HEADER, 16, True) or ""
     ttl = _ttl_ns(headers)
     idempotency_key = hex_header(headers, IDEMPOTENCY_KEY_HEADER, 32, request_class.needs_idempotency_key)
     ordering_key = hex_header(headers, ORDERING_KEY_HEADER, 16, request_class.ordered_by_key)
@@ -94,7 +94,7 @@
         raise RequestError(400, f"header {RETRY_HEADER} is not 1")
     group = table_group(_statement_text(body))
     return ClientRequest(
-        client_id=client_id,
+        client_request_id=client_request_id,
         class_index=request_class.index,
         class_name=class_name,
         statement=body,
@@ -103,6 +103,6 @@
         key=ordering_key if request_class.ordered_by_key else None,
         idempotency_key=idempotency_key,
         estimated_work=int(cpu_hint_ms * NANOSECONDS_PER_MS) if cpu_hint_ms else None,
-        memory_mb=memory_mb or 0.0,
+        estimated_memory_mb=memory_mb or 0.0,
         table_group=None if group is None else float(group),
     )
--- a/query_gateway/http/request_handler.py
+++ b/query_gateway/http/request_handler.py
@@ -95,7 +95,7 @@
         return self.discarded_bytes > MAX_DISCARDED_BYTES
 
     def _check_id_is_free(self, request: ClientRequest) -> None:
-        if request.client_id in self.server.forwarder.open_client_ids:
+        if request.client_request_id in self.server.forwarder.open_client_request_ids:
             raise RequestError(409, "a request with this id is open")
 
     def _must_reject_all(self) -> bool:
@@ -146,7 +146,7 @@
             raise RequestError(400, reason)
         if statements.may_run(fingerprint, self.server.forwarder.clock()):
             self._reject(request, pending)
-        return replace(request, shape=fingerprint)
+        return replace(request, fingerprint=fingerprint)
 
     def _await_answer(self, pending: PendingAnswer) -> Generator[float | None, None, Response | Reason]:
         while pending.answer is None:
--- a/query_gateway/model/events.py
+++ b/query_gateway/model/events.py
@@ -49,7 +49,7 @@
     table_group: float | None
     key: str | None
     estimated_work: int | None  # nanoseconds, over all its threads
-    memory_mb: float  # estimated
+    estimated_memory_mb: float
     is_retry: bool  # marked by the client
 
 
--- a/query_gateway/model/key_queues.py
+++ b/query_gateway/model/key_queues.py
@@ -46,6 +46,6 @@
         ahead, lost = 0.0, 0.0
         for other in queue[1:] if queue and queue[0] is query else ():
             slack = other.due_at - now - other.run_time - ahead
-            lost += other.weight * (1 - other.settings.late_weight) * (0 < slack <= query.run_time)
+            lost += other.priority_weight * (1 - other.settings.late_weight) * (0 < slack <= query.run_time)
             ahead += other.run_time * (slack > 0)
         return lost
--- a/query_gateway/model/learning.py
+++ b/query_gateway/model/learning.py
@@ -69,7 +69,7 @@
     def learn_memory(self, query: QueryState, memory_mb: float) -> None:
         """Learn the true memory of a query whose estimate is known."""
         query.request_class.memory_error.add(
-            math.log(memory_mb / query.request.memory_mb), self.sample_weight
+            math.log(memory_mb / query.request.estimated_memory_mb), self.sample_weight
         )
 
     def record_slowdown(
--- a/query_gateway/model/records.py
+++ b/query_gateway/model/records.py
@@ -76,8 +76,8 @@
         if has_work or uncontended:
             self.work.add(work, weight)
             self.log_work.add(math.log(max(1.0, work)), weight)
-        if outcome.memory_mb and query.request.memory_mb:
-            self.memory_error.add(math.log(outcome.memory_mb / query.request.memory_mb), weight)
+        if outcome.memory_mb and query.request.estimated_memory_mb:
+            self.memory_error.add(math.log(outcome.memory_mb / query.request.estimated_memory_mb), weight)
         expected = (work if has_work else self.mean_work()) / threads
         self.run_time_error.add(math.log(run_time / query.run_time), weight)
         return run_time / max(1.0, expected)
@@ -105,7 +105,7 @@
     request: Request
     request_class: ClassState
     arrived_at: int
-    weight: float  # what an answer in time is worth
+    priority_weight: float  # what an answer in time counts for
     work: float  # expected, over all its threads
     run_time: float  # expected
     due_at: int  # clock time: the lesser of the class deadline and the client's
@@ -133,7 +133,7 @@
 
     def corrected_memory_mb(self) -> float:
         """The estimate of its memory in MB, corrected by what its class has shown."""
-        return self.request.memory_mb * math.exp(self.request_class.memory_error.value)
+        return self.request.estimated_memory_mb * math.exp(self.request_class.memory_error.value)
 
     @property
     def is_key_ordered(self) -> bool:
@@ -147,25 +147,6 @@
                 return attempt
         return None
 
-    def is_repeatable(self, now: int) -> bool:
-        """Whether it may run once more, by its idempotency and by what may have run of it."""
-        settings = self.request_class.settings
-        if not self.executed or settings.idempotency is Idempotency.IDEMPOTENT:
-            return True
-        keyed = settings.idempotency is Idempotency.KEYED
-        return keyed and now - self.executed[0][0] < settings.deduplication_window
-
-    def may_run_at(self, info: EndpointInfo, now: int) -> bool:
-        """Whether placement constraints and the deduplication of its key allow an engine."""
-        settings = self.request_class.settings
-        if not settings.allows_placement(info.zone, info.kind):
-            return False
-        if settings.idempotency is not Idempotency.KEYED or not self.executed:
-            return True
-        first_sent_at, first = self.executed[0]
-        recent = now - first_sent_at < settings.deduplication_window
-        return recent and settings.shares_deduplication(first.info, info)
-
 
 @dataclass(slots=True, eq=False)
 class DeadlineQueue:
@@ -214,7 +195,9 @@
         is_long = query.request_class.is_long
         behind = [other for _, other in self.entries[place:] if other.request_class.is_long == is_long]
         return math.fsum(
-            other.weight for other in behind if 0 < other.due_at - other.start_at - other.run_time <= delay
+            other.priority_weight
+            for other in behind
+            if 0 < other.due_at - other.start_at - other.run_time <= delay
         )
 
 
--- a/query_gateway/model/settings.py
+++ b/query_gateway/model/settings.py
@@ -5,8 +5,6 @@
 from dataclasses import dataclass
 from enum import Enum
 
-from query_gateway.model.endpoints import EndpointInfo
-
 
 class Idempotency(Enum):
     """Whether a query may run more than once. The values are the wire's words."""
@@ -39,8 +37,8 @@
     latency_objective: int  # nanoseconds
     objective_per_run_time: float  # added to the objective, in run times
     timeout: int  # nanoseconds until clients give up
-    weight: float  # worth of an answer in time
-    late_weight: float  # share of it that a late answer is worth
+    priority_weight: float  # what an answer in time counts for, beside those of other classes
+    late_weight: float  # share of it that a late answer counts for
     idempotency: Idempotency
     deduplication_scope: DeduplicationScope
     deduplication_window: int  # nanoseconds
@@ -56,20 +54,6 @@
         in_zone = self.allowed_zones is None or zone in self.allowed_zones
         return in_zone and (self.allowed_kinds is None or kind in self.allowed_kinds)
 
-    def shares_deduplication(self, first: EndpointInfo, other: EndpointInfo) -> bool:
-        """Whether an engine recognises a key that the first one has seen."""
-        if self.deduplication_scope is DeduplicationScope.ZONE:
-            return other.zone == first.zone
-        return self.deduplication_scope is DeduplicationScope.ALL or other.group == first.group
-
-    @property
-    def client_may_repeat(self) -> bool:
-        """Whether a request that may have run may still be rejected, as its client can repeat it."""
-        keyed_everywhere = self.deduplication_scope is DeduplicationScope.ALL
-        return self.idempotency is Idempotency.IDEMPOTENT or (
-            self.idempotency is Idempotency.KEYED and keyed_everywhere
-        )
-
 
 @dataclass(slots=True, frozen=True)
 class Settings:
--- a/query_gateway/parsing/service.py
+++ b/query_gateway/parsing/service.py
@@ -133,21 +133,21 @@
 
     def on_accepted(self, query: ClientRequest) -> None:
         """A query was accepted."""
-        self.classifier.limits.query_started(query.shape)
+        self.classifier.limits.query_started(query.fingerprint)
 
     def on_settled(self, query: ClientRequest) -> None:
         """A query that was accepted has its answer, and no attempt in flight."""
-        self.classifier.limits.query_ended(query.shape)
+        self.classifier.limits.query_ended(query.fingerprint)
 
     def on_spilled(self, query: ClientRequest, now: int) -> None:
         """An attempt needed more memory than its engine had."""
-        self.classifier.limits.attempt_spilled(query.shape, now)
+        self.classifier.limits.attempt_spilled(query.fingerprint, now)
 
     def on_attempt_ended(  # noqa: PLR0913, PLR0917 - the forwarder's observer, which passes these one by one
         self, query: ClientRequest, engine: str, code: OutcomeCode, work_ns: int, used_mb: float, now: int
     ) -> None:
         """`work_ns`: of all its threads, as the engine reports it, else its time on all of them."""
-        fingerprint, limits, costs = query.shape, self.classifier.limits, self.classifier.costs
+        fingerprint, limits, costs = query.fingerprint, self.classifier.limits, self.classifier.costs
         if code is OutcomeCode.OK:
             table_group = None if query.table_group is None else int(query.table_group)
             usual_ns = costs.cost_ns(fingerprint, query.class_name, table_group)
--- a/query_gateway/policy/admission.py
+++ b/query_gateway/policy/admission.py
@@ -28,7 +28,7 @@
     if request.key and query.settings.ordered_by_key:
         state.key_queues.add(request.key, query)
     if not request.is_retry:
-        record_cost(state, query.weight, 0.0, 0.0)
+        record_cost(state, query.priority_weight, 0.0, 0.0)
     admit(state, query)
 
 
@@ -70,10 +70,10 @@
     if delay > 0 and 0 < state.settings.max_client_connections * FULL_CLIENTS <= len(state.queries):
         return EndReason.TOO_MANY_QUEUED
     # Guards the others against a tenant's surplus: it weighs little, and at a saturated engine it delays all
-    surplus = query.weight < query.settings.weight
+    surplus = query.priority_weight < query.settings.priority_weight
     if engine is not None and surplus and engine.is_saturated():
         return EndReason.OVER_QUOTA
-    if engine and _endangered_weight(state, query, engine, delay) > query.weight:
+    if engine and _endangered_weight(state, query, engine, delay) > query.priority_weight:
         return EndReason.ENDANGERS_OTHERS
     return None
 
--- a/query_gateway/policy/answers.py
+++ b/query_gateway/policy/answers.py
@@ -6,6 +6,7 @@
 from query_gateway.model.state import SchedulerState
 from query_gateway.model.units import MS
 from query_gateway.policy.controller import record_cost
+from query_gateway.policy.repetition import client_may_retry
 
 MIN_RETRY_AFTER_NS = 100 * MS  # advice to a client; the period of the timer
 
@@ -15,14 +16,16 @@
     if query.ended:
         return
     request_id, never_ran = query.request.request_id, not query.executed and not query.in_flight
-    if never_ran or query.settings.client_may_repeat:
+    if never_ran or client_may_retry(query.settings):
         wait = min(state.settings.max_retry_after, max(MIN_RETRY_AFTER_NS, int(start_delay)))
         state.actions.append(Reject(request_id, wait if state.settings.allows_retry_after else 0, reason))
     else:
         state.actions.append(Fail(request_id, reason))
     late = state.now >= query.due_at or not never_ran
     if not query.request.is_retry:
-        record_cost(state, 0.0, 0.0 if late else query.weight, query.weight if late else 0.0)
+        record_cost(
+            state, 0.0, 0.0 if late else query.priority_weight, query.priority_weight if late else 0.0
+        )
     query.ended = True
     _cancel_attempts(state, query)
 
@@ -30,7 +33,7 @@
 def mark_answered(state: SchedulerState, query: QueryState) -> None:
     """The request ended by an outcome or by its client."""
     if not query.ended and state.now > query.due_at and not query.request.is_retry:
-        record_cost(state, 0.0, 0.0, query.weight)
+        record_cost(state, 0.0, 0.0, query.priority_weight)
     query.ended = True
 
 
--- a/query_gateway/policy/attempts.py
+++ b/query_gateway/policy/attempts.py
@@ -3,27 +3,30 @@
 from query_gateway.model.actions import EndReason, Forward, SetTerms
 from query_gateway.model.events import AttemptOutcome, OutcomeCode, ProgressKind, ProgressNote
 from query_gateway.model.records import EngineState, QueryState
-from query_gateway.model.settings import Idempotency, MemoryShortage
+from query_gateway.model.settings import MemoryShortage
 from query_gateway.model.state import SchedulerState
 from query_gateway.policy import admission, answers, outliers, slow_start
 from query_gateway.policy.fleet_survey import FLEET_ESTIMATOR
-from query_gateway.policy.routing import is_usable
+from query_gateway.policy.repetition import (
+    MAY_STILL_RUN_CODES,
+    NEVER_RAN_CODES,
+    may_run_twice,
+)
+from query_gateway.policy.routing import is_usable, may_run_again
 
 WARM_TABLE_GROUPS = 4  # table groups taken to be warm in an engine's cache
 MEMORY_MARGIN = 1.15  # memory over the corrected estimate, where surplus is lost to others
 LATE_PRIORITY, SHORT_PRIORITY, LONG_PRIORITY = 0, 3, 1  # of queries that are late, of short and long classes
-NEVER_RAN = (OutcomeCode.FULL, OutcomeCode.CONNECT_FAILED, OutcomeCode.NOT_SENT)
-MAY_STILL_RUN = (OutcomeCode.TIMEOUT, OutcomeCode.RESET, OutcomeCode.CANCELLED)
 
 
 def may_forward(state: SchedulerState, query: QueryState, engine: EngineState) -> bool:
     """The guard that each attempt passes: deadline, number, idempotency, key order, credits, retry budget."""
-    settings, repeatable = state.settings, query.settings.idempotency is not Idempotency.NON_IDEMPOTENT
+    settings = state.settings
     if query.ended or state.now >= query.request.deadline or query.attempt_count >= query.max_attempts:
         return False
-    if not is_usable(state, engine, query) or (query.executed and not repeatable):
+    if not is_usable(state, engine, query) or not may_run_again(query, state.now):
         return False
-    if query.in_flight and not (settings.allows_hedging and repeatable):
+    if query.in_flight and not (settings.allows_hedging and may_run_twice(query.settings)):
         return False
     in_turn = state.key_queues.is_next(query, state.now)
     if not in_turn or not slow_start.has_credit(state, engine, query.request_class):
@@ -68,9 +71,9 @@
         return
     state.remove_attempt(query, attempt, engine)
     FLEET_ESTIMATOR.record_load_report(state, engine, outcome.load_report)
-    if outcome.code not in NEVER_RAN:
+    if outcome.code not in NEVER_RAN_CODES:
         query.executed.append((attempt.sent_at, engine))
-    if outcome.code in MAY_STILL_RUN:
+    if outcome.code in MAY_STILL_RUN_CODES:
         state.key_queues.quarantine(query, state.now + state.settings.key_quarantine)
     outliers.record_health(state, engine, query, attempt, outcome.code)
     if outcome.code is OutcomeCode.OK:
@@ -86,7 +89,7 @@
 def _retry(state: SchedulerState, query: QueryState) -> None:
     """No attempt is in flight and no answer given: another one where allowed and in time, else the end."""
     in_time = query.attempt_count < query.max_attempts and state.now + query.run_time < query.due_at
-    if in_time and query.is_repeatable(state.now):
+    if in_time and may_run_again(query, state.now):
         admission.admit(state, query)
     else:
         answers.give_up(state, query, EndReason.NO_FURTHER_ATTEMPT)
@@ -103,5 +106,5 @@
     if note.kind is ProgressKind.PROGRESS:
         FLEET_ESTIMATOR.learn_from_progress(state, query, attempt, note.level)
         attempt.progress, attempt.progress_at = note.level, state.now
-    elif note.kind is ProgressKind.SPILLING and query.request.memory_mb:  # the estimate was too low
+    elif note.kind is ProgressKind.SPILLING and query.request.estimated_memory_mb:  # the estimate was too low
         FLEET_ESTIMATOR.learn_memory(query, query.corrected_memory_mb() * MEMORY_MARGIN + note.level)
--- a/query_gateway/policy/release.py
+++ b/query_gateway/policy/release.py
@@ -62,7 +62,7 @@
     if any(engine.is_saturated() for engine in state.up if not engine.in_slow_start):
         return False  # its room is worth more to others
     lost = state.key_queues.weight_lost_behind(query, state.now)
-    return lost < query.weight * query.settings.late_weight
+    return lost < query.priority_weight * query.settings.late_weight
 
 
 def _engine_with_room(state: SchedulerState, query: QueryState) -> EngineState | None:
--- /dev/null
+++ b/query_gateway/policy/repetition.py
@@ -0,0 +1,70 @@
+"""Repetition: may a request run once more, until when, where; and may its client be told to retry.
+
+    no attempt may have run yet              another attempt may start until the client's deadline
+    an attempt may have run, and the class is
+        IDEMPOTENT       it may run again
+        KEYED            it may run again while the engines still drop a duplicate of the first attempt:
+                         within `deduplication_window` of its send, at an engine in the same scope
+        NON_IDEMPOTENT   it may not run again
+
+The scheduler plans by these rules and the forwarder's send guard enforces them as the first byte leaves; in
+between, time passes and attempts end. All functions are pure. Times are clock times in nanoseconds.
+"""
+
+from typing import Final
+
+from query_gateway.model.endpoints import EndpointInfo
+from query_gateway.model.events import OutcomeCode
+from query_gateway.model.settings import ClassSettings, DeduplicationScope, Idempotency
+
+# Outcomes of an attempt that the engine surely never ran
+NEVER_RAN_CODES: Final = (OutcomeCode.FULL, OutcomeCode.CONNECT_FAILED, OutcomeCode.NOT_SENT)
+# Outcomes of an attempt that may still be running at its engine
+MAY_STILL_RUN_CODES: Final = (OutcomeCode.TIMEOUT, OutcomeCode.RESET, OutcomeCode.CANCELLED)
+
+NO_DEADLINE: Final = 2**62 - 1  # later than any clock time
+NEVER: Final = 0  # earlier than any clock time
+
+
+def may_run_twice(settings: ClassSettings) -> bool:
+    """Whether a second attempt can be allowed at all once one may have run."""
+    return settings.idempotency is not Idempotency.NON_IDEMPOTENT
+
+
+def repeat_deadline(settings: ClassSettings, first_executed_at: int | None) -> int:
+    """Until when one more attempt may start, the client's deadline aside.
+
+    `first_executed_at` is when the first attempt that may have run was sent; None: no attempt may have run.
+    """
+    if first_executed_at is None or settings.idempotency is Idempotency.IDEMPOTENT:
+        return NO_DEADLINE
+    if settings.idempotency is Idempotency.KEYED:
+        return first_executed_at + settings.deduplication_window
+    return NEVER
+
+
+def may_run_again(settings: ClassSettings, first_executed_at: int | None, now: int) -> bool:
+    """Whether one more attempt may start now, the client's deadline aside."""
+    return now < repeat_deadline(settings, first_executed_at)
+
+
+def recognises_duplicate(settings: ClassSettings, first: EndpointInfo, other: EndpointInfo) -> bool:
+    """Whether an engine drops a duplicate by its idempotency key, when another one ran it first."""
+    match settings.deduplication_scope:
+        case DeduplicationScope.ALL:
+            return True
+        case DeduplicationScope.ZONE:
+            return other.zone == first.zone
+        case DeduplicationScope.CELL:
+            return other.group == first.group
+
+
+def client_may_retry(settings: ClassSettings) -> bool:
+    """Whether a client's own retry has no second effect, although the request may have run.
+
+    Only then may a request that may have run be rejected; otherwise it has failed. The retry may reach any
+    engine, so one with an idempotency key needs all engines in one deduplication scope.
+    """
+    if settings.idempotency is Idempotency.KEYED:
+        return settings.deduplication_scope is DeduplicationScope.ALL
+    return settings.idempotency is Idempotency.IDEMPOTENT
--- a/query_gateway/policy/routing.py
+++ b/query_gateway/policy/routing.py
@@ -4,9 +4,10 @@
 
 from query_gateway.model.estimates import RemainingTimeEstimator
 from query_gateway.model.records import EngineState, QueryState
+from query_gateway.model.settings import Idempotency
 from query_gateway.model.state import SchedulerState
 from query_gateway.model.units import MS
-from query_gateway.policy import capacity
+from query_gateway.policy import capacity, repetition
 from query_gateway.policy.slow_start import has_credit
 
 SAMPLE_SIZE: Final = 12  # engines drawn for a closer look; bounds the cost and parts gateways alike
@@ -28,10 +29,27 @@
 REMAINING_TIME: Final = RemainingTimeEstimator(trusted_progress=0.02, mostly_done=0.7, overrun=0.5)
 
 
+def may_run_again(query: QueryState, now: int) -> bool:
+    """Whether a query may run once more, by its idempotency and by what may have run of it."""
+    first_executed_at = query.executed[0][0] if query.executed else None
+    return repetition.may_run_again(query.settings, first_executed_at, now)
+
+
+def may_run_at(query: QueryState, engine: EngineState, now: int) -> bool:
+    """Whether an engine is within a query's placement constraints and drops a duplicate of what ran."""
+    settings = query.settings
+    if not settings.allows_placement(engine.info.zone, engine.info.kind):
+        return False
+    if settings.idempotency is not Idempotency.KEYED or not query.executed:
+        return True
+    _, first = query.executed[0]
+    return may_run_again(query, now) and repetition.recognises_duplicate(settings, first.info, engine.info)
+
+
 def is_usable(state: SchedulerState, engine: EngineState, query: QueryState) -> bool:
     """Whether an engine may serve a query: listed, placed right, not ejected, within its repeats."""
     ejected = state.now < engine.ejected_until and not state.all_ejected
-    return not ejected and engine.is_up and query.may_run_at(engine.info, state.now)
+    return not ejected and engine.is_up and may_run_at(query, engine, state.now)
 
 
 def candidates(state: SchedulerState, query: QueryState) -> list[EngineState]:
--- a/query_gateway/policy/tenants.py
+++ b/query_gateway/policy/tenants.py
@@ -16,7 +16,7 @@
 
 def request_weight(state: SchedulerState, request_class: ClassState, tenant: int) -> float:
     """The weight of a class; what a tenant requests beyond its quota has the weight that the site says."""
-    settings, weight = state.settings, request_class.settings.weight
+    settings, weight = state.settings, request_class.settings.priority_weight
     if tenant >= len(state.buckets) or settings.tenant_quotas[tenant] <= 0:
         return weight
     state.traffic.counts[tenant].add(1.0, state.now, GOSSIP_LIFETIME_NS)
--- a/query_gateway/simulator_adapter.py
+++ b/query_gateway/simulator_adapter.py
@@ -115,7 +115,7 @@
         table_group=real_number(fields, 4),
         key=word(fields, 3),
         estimated_work=whole_number(fields, 2) if has_estimate else None,
-        memory_mb=real_number(fields, 9) or 0.0,
+        estimated_memory_mb=real_number(fields, 9) or 0.0,
         is_retry=bool(options & IS_RETRY),
     )
 
--- a/tests/test_decisions.py
+++ b/tests/test_decisions.py
@@ -81,7 +81,7 @@
     held = w.ask()
     q = scheduler.state.queries[held.request_id]
     assert q.queued_at is not None
-    q.weight, q.start_at = 50.0, q.due_at - q.run_time - 1.0  # it would just make it
+    q.priority_weight, q.start_at = 50.0, q.due_at - q.run_time - 1.0  # it would just make it
     small = w.ask(left=SEC)
     assert Reject in {type(a) for a in w.last if getattr(a, "request_id", 0) == small.request_id}
 
@@ -309,11 +309,11 @@
 def test_memory_where_surplus_is_lost_follows_the_estimate_and_spills_raise_it() -> None:
     for short in (MemoryShortage.WAIT, MemoryShortage.SHRINK):
         w = World(replace(SITE, memory_shortage=short), ONE)
-        r = replace(w.request(1), memory_mb=1000.0)
+        r = replace(w.request(1), estimated_memory_mb=1000.0)
         first = next(a for a in w.notify(r) if isinstance(a, SetTerms))
         assert 1000 <= first.memory_mb < 1500
         w.notify(ProgressNote(r.request_id, 0, "a", ProgressKind.SPILLING, 2000.0))
-        again = replace(w.request(1), memory_mb=1000.0)
+        again = replace(w.request(1), estimated_memory_mb=1000.0)
         assert next(a for a in w.notify(again) if isinstance(a, SetTerms)).memory_mb > first.memory_mb
 
 
@@ -331,7 +331,7 @@
 
 def test_traffic_beyond_a_tenants_quota_is_of_little_weight() -> None:
     w = World(replace(SITE, tenant_quotas=(5.0,)), MANY)
-    worths = [w.scheduler.state.queries[w.ask().request_id].weight for _ in range(40)]
+    worths = [w.scheduler.state.queries[w.ask().request_id].priority_weight for _ in range(40)]
     assert worths[0] == 1.0 and worths[-1] == pytest.approx(0.1)
 
 
@@ -466,7 +466,7 @@
 def test_a_tenants_surplus_is_rejected_where_the_engine_is_saturated_and_admitted_where_not() -> None:
     w = World(replace(SITE, tenant_quotas=(1.0,)), MANY)
     calm = [w.ask(tables=float(i)) for i in range(8)]
-    assert w.scheduler.state.queries[calm[-1].request_id].weight == pytest.approx(0.1)
+    assert w.scheduler.state.queries[calm[-1].request_id].priority_weight == pytest.approx(0.1)
     assert len(w.sent) == len(calm)
     for e in w.scheduler.state.engines.values():
         e.reported_load, e.reported_at = 1.0, w.now
--- a/tests/test_fault_soak.py
+++ b/tests/test_fault_soak.py
@@ -32,8 +32,10 @@
     return client
 
 
-def request(at: float, engine: str = "e", budget: float = 0.5, client_id: str = "a" * 16) -> EngineEvent:
-    return EngineEvent(at, EngineEventKind.REQUEST, engine, client_id, budget=budget, began_at=at)
+def request(
+    at: float, engine: str = "e", budget: float = 0.5, client_request_id: str = "a" * 16
+) -> EngineEvent:
+    return EngineEvent(at, EngineEventKind.REQUEST, engine, client_request_id, budget=budget, began_at=at)
 
 
 def end(
@@ -104,8 +106,11 @@
         [record()], [request(10.0), end(10.1)], changes=[EngineChange("e", "draining", 9.0, {"g": 9.8})]
     )
     ids = [f"{number:016x}" for number in range(100)]
-    clients = [record(client_id=client_id) for client_id in ids]
-    burst = [request(10.0 + number / 200, client_id=client_id) for number, client_id in enumerate(ids)]
+    clients = [record(client_request_id=client_request_id) for client_request_id in ids]
+    burst = [
+        request(10.0 + number / 200, client_request_id=client_request_id)
+        for number, client_request_id in enumerate(ids)
+    ]
     restarted = EngineChange("e", "restarted", 9.5, {"g": 9.6})
     assert broken(clients, burst, changes=[restarted]) == {"a cold engine gets what it can bear"}
 
--- a/tests/test_layers.py
+++ b/tests/test_layers.py
@@ -17,6 +17,8 @@
     "admin", "bgp", "configuration", "discovery", "engine_protocol", "flight", "http", "net", "parsing",
     "rpc", "statements",
 )  # fmt: skip
+# Rules that the scheduler plans by and the forwarder enforces: pure functions of settings and times
+SHARED_RULES = ("policy.recovery_ramp", "policy.repetition")
 # Planner modules that connect processes; all others of the planner know no socket
 PLANNER_IPC_MODULES = ("planner.ipc", "planner.process", "planner.supervisor")
 
@@ -91,31 +93,39 @@
 
 
 def imported_rooms(module: str) -> set[str]:
-    """The other rooms that a module imports from."""
+    """The other rooms that a module imports from, and the shared rules by their full names."""
     prefix = "query_gateway."
     names = [name.removeprefix(prefix) for name in imported_names(module) if name.startswith(prefix)]
-    return {room_of(name) for name in names} - {room_of(module)}
+    return {shared_rule_of(name) or room_of(name) for name in names} - {room_of(module)}
+
+
+def shared_rule_of(name: str) -> str | None:
+    """The shared rule that an imported name stands for or stands in, if any."""
+    return next((rule for rule in SHARED_RULES if among({name}, (rule,))), None)
 
 
 def allowed_rooms(module: str) -> set[str] | None:
-    """The rooms that a module may import from, besides its own; None: any."""
-    match room_of(module):
-        case "model" | "net":
-            return set()
-        case "policy" | "forwarder":
-            return {"model"}
-        case "planner" if module in PLANNER_IPC_MODULES:
-            return {"model", "policy", "net"}
-        case "planner":
-            return {"model", "policy"}
-        case room if room in WIRE_ROOMS:
-            return {"model", "forwarder", *WIRE_ROOMS}
-        case _:
-            return None  # what starts, joins and ends the parts
+    """The rooms and shared rules that a module may import from, besides its own room; None: any."""
+    room = room_of(module)
+    if room in ("model", "net"):
+        return set()
+    if room in WIRE_ROOMS:
+        return {"model", "forwarder", *WIRE_ROOMS}
+    core = {
+        "policy": {"model"} if module in SHARED_RULES else {"model", *SHARED_RULES},
+        "forwarder": {"model", *SHARED_RULES},
+        "planner": {"model", "policy", *SHARED_RULES},
+    }
+    if module in PLANNER_IPC_MODULES:
+        return {*core["planner"], "net"}
+    return core.get(room)  # absent: what starts, joins and ends the parts
 
 
 def test_imports_between_rooms_point_down() -> None:
-    """Wires to the forwarder, forwarder and planner to the model, the policy to the model alone."""
+    """Wires to the forwarder, forwarder and planner to the model, the policy to the model alone.
+
+    The forwarder enforces some rules that the scheduler plans by; of the policy it imports just those.
+    """
     found = {module: imported_rooms(module) for module in modules()}
     assert {"http", "forwarder", "policy", "model"} <= {room_of(module) for module in found}
     upward = {
@@ -126,6 +136,14 @@
     assert not upward
 
 
+def test_shared_rules_know_settings_and_times_but_no_state() -> None:
+    """They import no decision and no record of the scheduler, so that either caller may ask them."""
+    allowed = ("query_gateway.model.endpoints", "query_gateway.model.events", "query_gateway.model.settings")
+    for rule in SHARED_RULES:
+        named = {name for name in imported_names(rule) if name.startswith("query_gateway.")}
+        assert named == among(named, allowed), rule
+
+
 def test_no_two_rooms_of_wires_import_each_other() -> None:
     """Not around a circle of several, either."""
     rooms = {
@@ -149,7 +167,7 @@
     assert "query_gateway.forwarder.exchange" in found and not among(found, FORBIDDEN)
 
 
-def test_the_forwarder_loads_neither_policy_nor_planner_and_the_policy_no_forwarder() -> None:
+def test_the_forwarder_loads_no_planner_and_of_the_policy_the_shared_rules_alone() -> None:
     def loaded_with(room: str) -> set[str]:
         return loaded(*(f"query_gateway.{module}" for module in core_modules() if room_of(module) == room))
 
@@ -157,7 +175,8 @@
     forwarder, planner = loaded_with("forwarder"), loaded_with("planner")
     assert not among(model, ("query_gateway.policy", "query_gateway.forwarder", "query_gateway.planner"))
     assert not among(policy, ("query_gateway.forwarder", "query_gateway.planner"))
-    assert not among(forwarder, ("query_gateway.policy", "query_gateway.planner"))
+    shared = {"query_gateway.policy", *(f"query_gateway.{rule}" for rule in SHARED_RULES)}
+    assert among(forwarder, ("query_gateway.policy", "query_gateway.planner")) <= shared
     assert not among(planner, ("query_gateway.forwarder",))
 
 
--- a/tests/test_race_abandoned_requests.py
+++ b/tests/test_race_abandoned_requests.py
@@ -102,9 +102,9 @@
         stream.sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4_096)
         while not stream.outbox:
             open_clients.append(send_request(gateway, large))
-            until(lambda: len(gateway.engine_pool.by_client_id) == len(open_clients))
+            until(lambda: len(gateway.engine_pool.by_client_request_id) == len(open_clients))
         abandoned_client = send_request(gateway, ABANDONED_SQL)
-        until(lambda: len(gateway.engine_pool.by_client_id) == len(open_clients) + 1)
+        until(lambda: len(gateway.engine_pool.by_client_request_id) == len(open_clients) + 1)
         abandon_request(gateway, abandoned_client)
         engine.may_read.set()
         assert open_clients[-1].recv(65_536).startswith(b"HTTP/1.1 200")
--- a/tests/test_race_engine_connections.py
+++ b/tests/test_race_engine_connections.py
@@ -187,9 +187,9 @@
         stream.sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4_096)
         while not stream.outbox:
             open_clients.append(send_request(gateway, large))
-            until(lambda: len(gateway.engine_pool.by_client_id) == len(open_clients))
+            until(lambda: len(gateway.engine_pool.by_client_request_id) == len(open_clients))
         report = executor.submit(post, gateway, "report", SQL, ttl=600_000)
-        until(lambda: len(gateway.engine_pool.by_client_id) == len(open_clients) + 1)
+        until(lambda: len(gateway.engine_pool.by_client_request_id) == len(open_clients) + 1)
         engine.hang_up()
         engine.may_read.set()
         assert report.result()[1] == {"rows": ROWS}
@@ -230,9 +230,9 @@
         stream.sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4_096)
         while not stream.outbox:
             open_clients.append(send_request(gateway, large))
-            until(lambda: len(gateway.engine_pool.by_client_id) == len(open_clients))
+            until(lambda: len(gateway.engine_pool.by_client_request_id) == len(open_clients))
         waiting = executor.submit(post, gateway, "lookup", SQL, ttl=600_000)
-        until(lambda: len(gateway.engine_pool.by_client_id) == len(open_clients) + 1)
+        until(lambda: len(gateway.engine_pool.by_client_request_id) == len(open_clients) + 1)
         changed_hosts = [host(engine, "e0", "draining"), host(other_engine, "e1")]
         answer = {
             "pos": 2,
--- a/tests/test_send_guard.py
+++ b/tests/test_send_guard.py
@@ -73,7 +73,7 @@
     def __init__(self) -> None:
         self.seen: list[tuple[TraceStep, str]] = []
 
-    def record(self, at: int, request_id: int, client_id: str, step: TraceStep, details: str) -> None:
+    def record(self, at: int, request_id: int, client_request_id: str, step: TraceStep, details: str) -> None:
         self.seen.append((step, details))
 
 
@@ -109,11 +109,21 @@
         entries = [EndpointInfo(name, state, 0, 0, 0, started_at, 1.0) for name in "ab"]
         self.forwarder.update_endpoints([Endpoint(entry, {"web": "127.0.0.1:1"}) for entry in entries], True)
 
-    def accept(self, client_id: str, class_index: int = 0, work: int | None = None) -> int:
+    def accept(self, client_request_id: str, class_index: int = 0, work: int | None = None) -> int:
         name = self.forwarder.settings.classes[class_index]
         assert name
         request = ClientRequest(
-            client_id, class_index, "any", b"x", self.now + DEADLINE, False, None, "u", work, 0.0, None
+            client_request_id,
+            class_index,
+            "any",
+            b"x",
+            self.now + DEADLINE,
+            False,
+            None,
+            "u",
+            work,
+            0.0,
+            None,
         )
         return self.forwarder.accept(request, self.client, "web").request_id
 
--- a/tests/world.py
+++ b/tests/world.py
@@ -20,7 +20,7 @@
     latency_objective=SEC,
     objective_per_run_time=2.0,
     timeout=5 * SEC,
-    weight=1.0,
+    priority_weight=1.0,
     late_weight=0.0,
     idempotency=Idempotency.IDEMPOTENT,
     deduplication_scope=DeduplicationScope.ALL,
@@ -32,8 +32,10 @@
     allowed_zones=None,
     allowed_kinds=None,
 )
-REPORT = replace(QUICK, latency_objective=3 * SEC, timeout=25 * SEC, weight=6.0, late_weight=0.3, threads=2)
-LOAD = replace(REPORT, idempotency=Idempotency.NON_IDEMPOTENT, weight=3.0, locks_tables=True)
+REPORT = replace(
+    QUICK, latency_objective=3 * SEC, timeout=25 * SEC, priority_weight=6.0, late_weight=0.3, threads=2
+)
+LOAD = replace(REPORT, idempotency=Idempotency.NON_IDEMPOTENT, priority_weight=3.0, locks_tables=True)
 
 SITE = Settings(
     instance_index=0,
