--- /dev/null
+++ b/bench/lookups_per_second.py
@@ -0,0 +1,367 @@
+"""How many small lookups one gateway process on one core serves a second.
+
+    python -m bench.lookups_per_second --root DIR --seconds 8 --connections 40 --cpu 4
+
+The gateway runs from the tree at DIR by its public command, with that tree's virtual environment, on a core of
+its own. Engines and clients are processes of this bench on the other cores. Each connection is kept alive and
+sends its next lookup as soon as the last one is answered. An answer other than 200 ends the measurement with an
+error.
+
+Nothing of the tree under measurement is imported, so that trees of different age can be compared.
+"""
+
+import contextlib
+import itertools
+import json
+import multiprocessing
+import os
+import selectors
+import socket
+import subprocess
+import tempfile
+import time
+from collections.abc import Iterator
+from contextlib import ExitStack, contextmanager
+from dataclasses import dataclass
+from multiprocessing.connection import Connection
+from pathlib import Path
+from typing import Any
+
+import click
+
+from bench.fault_soak.ports import free_port
+
+ROOT = Path(__file__).parent.parent
+CONTEXT = multiprocessing.get_context("spawn")
+ENGINES = 4
+CLIENT_PROCESSES = 2
+WARM_UP_S = 1.0
+START_TIMEOUT_S = 15.0
+STOP_TIMEOUT_S = 10.0
+POLL_ANSWER_S = 1.0  # that the discovery service waits before it answers that nothing has changed
+SOCKET_TIMEOUT_S = 10.0
+READ_BYTES = 65_536
+PAGE = b"9\tThe Stone Raft\t2\n"
+
+
+@dataclass(frozen=True)
+class LoadPlan:
+    """What one client process does: lookups over its connections, counted within the window."""
+
+    process_number: int
+    gateway_port: int
+    connections: int
+    counted_from: float  # seconds of the monotonic clock, as all times here
+    counted_until: float
+
+
+@dataclass(frozen=True)
+class LoadResult:
+    """What one client process has seen."""
+
+    served: int  # within the window
+    served_before: int  # during the warm-up
+    error: str = ""
+
+
+class FailedLookupError(Exception):
+    """A lookup was not answered with 200; says what came instead."""
+
+
+# ---- engines and discovery service
+
+
+def serve_engines(ports: list[int]) -> None:
+    """Answer each request of the engine protocol at once with one page, until the process is ended."""
+    selector = selectors.DefaultSelector()
+    for port in ports:
+        listener = socket.create_server(("127.0.0.1", port))
+        selector.register(listener, selectors.EVENT_READ, None)
+    while True:
+        for key, _ in selector.select():
+            sock: socket.socket = key.fileobj  # type: ignore[assignment]
+            if key.data is None:
+                connection, _ = sock.accept()
+                connection.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
+                selector.register(connection, selectors.EVENT_READ, bytearray())
+            elif not _serve_engine_connection(sock, key.data):
+                selector.unregister(sock)
+                sock.close()
+
+
+def _serve_engine_connection(sock: socket.socket, buffer: bytearray) -> bool:
+    """Read what has come and answer it; whether the connection is still open."""
+    with contextlib.suppress(OSError):
+        data = sock.recv(READ_BYTES)
+        if not data:
+            return False
+        buffer += data
+        answers = _take_answers(buffer)
+        if answers:
+            sock.sendall(answers)
+        return True
+    return False
+
+
+def _take_answers(buffer: bytearray) -> bytes:
+    """Take the complete requests from the buffer and return the answers to them."""
+    answers = []
+    while (line_end := buffer.find(b"\r\n")) >= 0:
+        words = buffer[:line_end].split()
+        request_end = line_end + 2
+        if words[0] == b"REQ":
+            request_end += int(words[3]) + 2
+            if len(buffer) < request_end:
+                break
+            answers.append(b"%b ok sheets=1 %d\r\n%b\r\n" % (bytes(words[1]), len(PAGE), PAGE))
+        del buffer[:request_end]
+    return b"".join(answers)
+
+
+def serve_discovery(port: int) -> None:
+    """Answer each poll after a while that the endpoint list has not changed, until the process is ended."""
+    body = b'{"pos":1,"entries":[]}'
+    with socket.create_server(("127.0.0.1", port)) as listener:
+        while True:
+            connection, _ = listener.accept()
+            with connection, contextlib.suppress(OSError):
+                while connection.recv(READ_BYTES):
+                    time.sleep(POLL_ANSWER_S)
+                    connection.sendall(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%b" % (len(body), body))
+
+
+# ---- clients
+
+
+class LookupConnection:
+    """One kept-alive connection with one lookup under way at a time."""
+
+    def __init__(self, port: int, request_ids: Iterator[bytes]) -> None:
+        """Dial the gateway."""
+        self.sock = socket.create_connection(("127.0.0.1", port), SOCKET_TIMEOUT_S)
+        self.sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
+        self.request_ids = request_ids
+        self.received = b""
+
+    def send(self) -> None:
+        """Send the next lookup."""
+        request_id = next(self.request_ids)
+        statement = b"SELECT title FROM lending_17.books WHERE tag = '%b'" % request_id
+        self.sock.sendall(
+            b"POST /svc/lookup HTTP/1.1\r\nHost: gateway\r\nX-Txn: %b\r\nX-Ttl-Ms: 5000\r\nX-Cpu-Hint: 0.1\r\nX-Memory: 4\r\n"
+            b"Content-Length: %d\r\n\r\n%b" % (request_id, len(statement), statement)
+        )
+
+    def receive(self) -> bool:
+        """Read what has come; whether the answer is complete.
+
+        Raises FailedLookupError for an answer other than 200 and for a connection that ends.
+        """
+        data = self.sock.recv(READ_BYTES)
+        if not data:
+            raise FailedLookupError(f"connection closed behind {self.received[:200]!r}")
+        self.received += data
+        head_end = self.received.find(b"\r\n\r\n")
+        if head_end < 0:
+            return False
+        head = self.received[:head_end].lower()
+        if not head.startswith(b"http/1.1 200"):
+            raise FailedLookupError(f"answer {self.received[:300]!r}")
+        length_at = head.index(b"content-length:") + len(b"content-length:")
+        if len(self.received) < head_end + 4 + int(head[length_at:].split(b"\r\n", 1)[0]):
+            return False
+        self.received = b""
+        return True
+
+
+def send_lookups(plan: LoadPlan, results: Connection) -> None:
+    """Send lookups over all connections until the window's end, then report what was served."""
+    served = served_before = 0
+    error = ""
+    try:
+        with selectors.DefaultSelector() as selector:
+            for connection in _dial_all(plan):
+                selector.register(connection.sock, selectors.EVENT_READ, connection)
+                connection.send()
+            while (now := time.monotonic()) < plan.counted_until:
+                answered = 0
+                for key, _ in selector.select(plan.counted_until - now):
+                    if key.data.receive():
+                        answered += 1
+                        key.data.send()
+                if now < plan.counted_from:
+                    served_before += answered
+                else:
+                    served += answered
+    except (OSError, FailedLookupError) as caught:
+        error = f"{type(caught).__name__}: {caught}"
+    results.send(LoadResult(served, served_before, error))
+
+
+def _dial_all(plan: LoadPlan) -> list[LookupConnection]:
+    request_ids = (b"%08x%08x" % (plan.process_number, number) for number in itertools.count(1))
+    return [LookupConnection(plan.gateway_port, request_ids) for _ in range(plan.connections)]
+
+
+# ---- the gateway process
+
+
+@dataclass(frozen=True)
+class GatewayProcess:
+    """The gateway that is measured."""
+
+    pid: int
+    port: int
+
+    def cpu_seconds(self) -> float:
+        """Seconds of processor time that it has used so far."""
+        fields = Path(f"/proc/{self.pid}/stat").read_text().rpartition(")")[2].split()
+        return (int(fields[11]) + int(fields[12])) / os.sysconf("SC_CLK_TCK")
+
+
+@contextmanager
+def running_gateway(
+    tree: Path, cpu: int, engine_ports: list[int], discovery_port: int
+) -> Iterator[GatewayProcess]:
+    """A gateway from the tree on that core, once it accepts connections; ended when the block is left."""
+    port = free_port()
+    with ExitStack() as stack:
+        folder = Path(stack.enter_context(tempfile.TemporaryDirectory()))
+        config_file, log_file = folder / "config.json", folder / "log.txt"
+        config_file.write_text(json.dumps(_configuration(port, engine_ports, discovery_port)))
+        environment = {name: value for name, value in os.environ.items() if name != "PYTHONPATH"}
+        process = subprocess.Popen(
+            ["taskset", "-c", str(cpu), str(tree / ".venv/bin/python"), "-m", "query_gateway"],
+            cwd=tree,
+            env=environment | {"ROUTER_CONFIG": str(config_file)},
+            stdout=subprocess.DEVNULL,
+            stderr=stack.enter_context(log_file.open("wb")),
+        )
+        try:
+            _await_listening(process, port, log_file)
+            yield GatewayProcess(process.pid, port)
+        finally:
+            _stop(process)
+
+
+def _await_listening(process: subprocess.Popen[bytes], port: int, log_file: Path) -> None:
+    """Return when the gateway accepts connections; raises ClickException if it ends or takes too long."""
+    give_up_at = time.monotonic() + START_TIMEOUT_S
+    while process.poll() is None and time.monotonic() < give_up_at:
+        with contextlib.suppress(OSError), socket.create_connection(("127.0.0.1", port), 1.0):
+            return
+        time.sleep(0.05)
+    raise click.ClickException(f"the gateway does not listen: {log_file.read_text()[-1000:]}")
+
+
+def _stop(process: subprocess.Popen[bytes]) -> None:
+    process.terminate()
+    try:
+        process.wait(STOP_TIMEOUT_S)
+    except subprocess.TimeoutExpired:
+        process.kill()
+        process.wait()
+
+
+def _configuration(port: int, engine_ports: list[int], discovery_port: int) -> dict[str, Any]:
+    """The example's configuration with the ports and engines of this run, in the platform's words."""
+    configuration: dict[str, Any] = json.loads((ROOT / "example/config.json").read_text())
+    hosts = [
+        {
+            "host": f"e{number}", "dial": f"127.0.0.1:{engine_port}", "site": "hall-a", "class": "std-16",
+            "block": 0, "health": "up", "share": 1, "born_ms": 0,
+        }
+        for number, engine_port in enumerate(engine_ports)
+    ]  # fmt: skip
+    del configuration["ops"]
+    return configuration | {
+        "listen": f"127.0.0.1:{port}",
+        "journal": f"127.0.0.1:{discovery_port}",
+        "known": {"pos": 1, "entries": [{"pos": 1, "hosts": {"seq": 1, "whole": True, "hosts": hosts}}]},
+    }
+
+
+# ---- the measurement
+
+
+@contextmanager
+def child_process(target: Any, *arguments: object) -> Iterator[None]:
+    """Run a function of this module in a process of its own, ended when the block is left."""
+    process = CONTEXT.Process(target=target, args=arguments, daemon=True)
+    process.start()
+    try:
+        yield
+    finally:
+        process.terminate()
+        process.join()
+
+
+def measure(tree: Path, seconds: float, connections: int, cpu: int) -> dict[str, Any]:
+    """Drive one gateway for the warm-up and so many seconds; raises ClickException for a failed lookup."""
+    engine_ports, discovery_port = [free_port() for _ in range(ENGINES)], free_port()
+    with ExitStack() as stack:
+        stack.enter_context(child_process(serve_engines, engine_ports))
+        stack.enter_context(child_process(serve_discovery, discovery_port))
+        for port in [*engine_ports, discovery_port]:
+            _await_port(port)
+        gateway = stack.enter_context(running_gateway(tree, cpu, engine_ports, discovery_port))
+        # The window opens after the client processes have started, which takes part of a second each
+        counted_from = time.monotonic() + 1.0 + WARM_UP_S
+        pipes = []
+        for number in range(CLIENT_PROCESSES):
+            share = connections // CLIENT_PROCESSES + (number < connections % CLIENT_PROCESSES)
+            plan = LoadPlan(number, gateway.port, share, counted_from, counted_from + seconds)
+            receiver, sender = CONTEXT.Pipe(duplex=False)
+            stack.enter_context(child_process(send_lookups, plan, sender))
+            pipes.append(receiver)
+        time.sleep(max(0.0, counted_from - time.monotonic()))
+        cpu_before = gateway.cpu_seconds()
+        time.sleep(max(0.0, counted_from + seconds - time.monotonic()))
+        cpu_seconds = gateway.cpu_seconds() - cpu_before
+        results = [_receive_result(pipe) for pipe in pipes]
+    served = sum(result.served for result in results)
+    return {
+        "lookups_per_second": round(served / seconds),
+        "served": served,
+        "served_in_warm_up": sum(result.served_before for result in results),
+        "gateway_cpu_share": round(cpu_seconds / seconds, 3),
+        "gateway_cpu_us_per_lookup": round(cpu_seconds / served * 1e6, 1),
+        "compiled": any((tree / "query_gateway/policy").glob("*.so")),
+    }
+
+
+def _await_port(port: int) -> None:
+    give_up_at = time.monotonic() + START_TIMEOUT_S
+    while time.monotonic() < give_up_at:
+        with contextlib.suppress(OSError), socket.create_connection(("127.0.0.1", port), 1.0):
+            return
+        time.sleep(0.02)
+    raise click.ClickException(f"nothing listens on port {port}")
+
+
+def _receive_result(pipe: Connection) -> LoadResult:
+    """The report of a client process; raises ClickException for an error and for a missing report."""
+    if not pipe.poll(SOCKET_TIMEOUT_S):
+        raise click.ClickException("a client process has not reported")
+    result: LoadResult = pipe.recv()
+    if result.error:
+        raise click.ClickException(f"a lookup failed: {result.error}")
+    return result
+
+
+@click.command()
+@click.option("--root", default=ROOT, type=click.Path(exists=True, path_type=Path), help="Tree to measure.")
+@click.option("--seconds", default=8.0, help="Length of the window, behind a warm-up of 1 s.")
+@click.option("--connections", default=40, help="Client connections, each with one lookup at a time.")
+@click.option("--cpu", default=4, help="Core of the gateway process.")
+def main(root: Path, seconds: float, connections: int, cpu: int) -> None:
+    """Print one line of JSON with the lookups a second."""
+    # Engines and clients keep away from the gateway's core
+    os.sched_setaffinity(0, os.sched_getaffinity(0) - {cpu} or os.sched_getaffinity(0))
+    tree = root.resolve()
+    result = measure(tree, seconds, connections, cpu)
+    print(json.dumps({"bench": "lookups_per_second", "root": str(tree), "cpu": cpu} | result), flush=True)
+
+
+if __name__ == "__main__":
+    main()
