--- a/bench/lookups_per_second.py
+++ b/bench/lookups_per_second.py
@@ -2,10 +2,10 @@
 
     python -m bench.lookups_per_second --root DIR --seconds 8 --connections 40 --cpu 4
 
-The gateway runs from the tree at DIR by its public command, with that tree's virtual environment, on a core of
-its own. Engines and clients are processes of this bench on the other cores. Each connection is kept alive and
-sends its next lookup as soon as the last one is answered. An answer other than 200 ends the measurement with an
-error.
+The gateway runs from the tree at DIR by its public command, with that tree's virtual environment, on a core
+of its own. Engines and clients are processes of this bench on the other cores. Each connection is kept alive
+and sends its next lookup as soon as the last one is answered. An answer other than 200 ends the measurement
+with an error.
 
 Nothing of the tree under measurement is imported, so that trees of different age can be compared.
 """
@@ -148,8 +148,9 @@
         request_id = next(self.request_ids)
         statement = b"SELECT title FROM lending_17.books WHERE tag = '%b'" % request_id
         self.sock.sendall(
-            b"POST /svc/lookup HTTP/1.1\r\nHost: gateway\r\nX-Txn: %b\r\nX-Ttl-Ms: 5000\r\nX-Cpu-Hint: 0.1\r\nX-Memory: 4\r\n"
-            b"Content-Length: %d\r\n\r\n%b" % (request_id, len(statement), statement)
+            b"POST /svc/lookup HTTP/1.1\r\nHost: gateway\r\nX-Txn: %b\r\nX-Ttl-Ms: 5000\r\n"
+            b"X-Cpu-Hint: 0.1\r\nX-Memory: 4\r\nContent-Length: %d\r\n\r\n%b"
+            % (request_id, len(statement), statement)
         )
 
     def receive(self) -> bool:
@@ -213,10 +214,11 @@
     pid: int
     port: int
 
-    def cpu_seconds(self) -> float:
-        """Seconds of processor time that it has used so far."""
-        fields = Path(f"/proc/{self.pid}/stat").read_text().rpartition(")")[2].split()
-        return (int(fields[11]) + int(fields[12])) / os.sysconf("SC_CLK_TCK")
+
+def cpu_seconds(pid: int) -> float:
+    """Seconds of processor time that a process has used so far."""
+    fields = Path(f"/proc/{pid}/stat").read_text().rpartition(")")[2].split()
+    return (int(fields[11]) + int(fields[12])) / os.sysconf("SC_CLK_TCK")
 
 
 @contextmanager
@@ -285,12 +287,13 @@
 
 
 @contextmanager
-def child_process(target: Any, *arguments: object) -> Iterator[None]:
-    """Run a function of this module in a process of its own, ended when the block is left."""
+def child_process(target: Any, *arguments: object) -> Iterator[int]:
+    """Run a function of this module in a process of its own, ended when the block is left; yields its id."""
     process = CONTEXT.Process(target=target, args=arguments, daemon=True)
     process.start()
+    assert process.pid
     try:
-        yield
+        yield process.pid
     finally:
         process.terminate()
         process.join()
@@ -300,7 +303,7 @@
     """Drive one gateway for the warm-up and so many seconds; raises ClickException for a failed lookup."""
     engine_ports, discovery_port = [free_port() for _ in range(ENGINES)], free_port()
     with ExitStack() as stack:
-        stack.enter_context(child_process(serve_engines, engine_ports))
+        load_pids = [stack.enter_context(child_process(serve_engines, engine_ports))]
         stack.enter_context(child_process(serve_discovery, discovery_port))
         for port in [*engine_ports, discovery_port]:
             _await_port(port)
@@ -312,20 +315,22 @@
             share = connections // CLIENT_PROCESSES + (number < connections % CLIENT_PROCESSES)
             plan = LoadPlan(number, gateway.port, share, counted_from, counted_from + seconds)
             receiver, sender = CONTEXT.Pipe(duplex=False)
-            stack.enter_context(child_process(send_lookups, plan, sender))
+            load_pids.append(stack.enter_context(child_process(send_lookups, plan, sender)))
             pipes.append(receiver)
         time.sleep(max(0.0, counted_from - time.monotonic()))
-        cpu_before = gateway.cpu_seconds()
+        pids = [gateway.pid, *load_pids]
+        used_before = [cpu_seconds(pid) for pid in pids]
         time.sleep(max(0.0, counted_from + seconds - time.monotonic()))
-        cpu_seconds = gateway.cpu_seconds() - cpu_before
+        used = [cpu_seconds(pid) - before for pid, before in zip(pids, used_before, strict=True)]
         results = [_receive_result(pipe) for pipe in pipes]
     served = sum(result.served for result in results)
     return {
         "lookups_per_second": round(served / seconds),
         "served": served,
         "served_in_warm_up": sum(result.served_before for result in results),
-        "gateway_cpu_share": round(cpu_seconds / seconds, 3),
-        "gateway_cpu_us_per_lookup": round(cpu_seconds / served * 1e6, 1),
+        "gateway_cpu_share": round(used[0] / seconds, 3),
+        "gateway_cpu_us_per_lookup": round(used[0] / served * 1e6, 1),
+        "busiest_load_process_cpu_share": round(max(used[1:]) / seconds, 3),
         "compiled": any((tree / "query_gateway/policy").glob("*.so")),
     }
 
