--- a/bench/fault_soak/__main__.py
+++ b/bench/fault_soak/__main__.py
@@ -8,16 +8,18 @@
 from pathlib import Path
 
 from bench.fault_soak.control import build_shim
-from bench.fault_soak.deployment import Layout
-from bench.fault_soak.run import Plan, Result, request_story, run
-from bench.fault_soak.troubles import TROUBLES
+from bench.fault_soak.fault_schedule import ScheduledFault
+from bench.fault_soak.faults import FAULTS
+from bench.fault_soak.gateway_process import Layout
+from bench.fault_soak.run import Plan, Result, request_timeline, run
 
 MAX_SHOWN = 12  # violations of a run that are printed
+CLIENT_REQUEST_ID_LENGTH = 16
 
 
 def _seeds(text: str) -> list[int]:
-    first, _, last = text.partition("-")
-    return list(range(int(first), int(last or first) + 1))
+    first_seed, _, last_seed = text.partition("-")
+    return list(range(int(first_seed), int(last_seed or first_seed) + 1))
 
 
 def _arguments() -> argparse.Namespace:
@@ -25,9 +27,9 @@
     parser.add_argument("--seeds", type=_seeds, default=[1], help="one seed or a range: 3 or 1-20")
     parser.add_argument("--root", type=Path, default=Path.cwd(), help="the tree whose built program is run")
     parser.add_argument("--seconds", type=float, default=14.0, help="of load in each run")
-    parser.add_argument("--troubles", type=int, default=10, help="how many in each run")
+    parser.add_argument("--faults", type=int, default=10, help="how many in each run")
     parser.add_argument("--clients", type=int, default=40)
-    parser.add_argument("--only", default="", help=f"draw from these alone: {','.join(TROUBLES)}")
+    parser.add_argument("--only", default="", help=f"draw from these alone: {','.join(FAULTS)}")
     parser.add_argument("--layouts", default="plain,plain,flight,processes", help="of the gateways")
     parser.add_argument(
         "--keep", type=Path, help="where logs and events are kept; else only those of broken runs"
@@ -35,20 +37,24 @@
     return parser.parse_args()
 
 
+def _describe(fault: ScheduledFault) -> str:
+    return f"{fault.name}@{fault.begins_after_s:.1f}+{fault.lasts_s:.1f}"
+
+
 def _print(result: Result, folder: Path) -> None:
     print(result.summary(), flush=True)
     if not result.violations:
         return
     print(f"  logs {folder}")
-    print("  troubles " + " ".join(f"{name}@{at:.1f}+{seconds:.1f}" for at, name, seconds in result.schedule))
-    for note in result.observations.notes:
-        print(f"  path {note}")
+    print("  faults " + " ".join(map(_describe, result.schedule)))
+    for path_fault in result.observations.path_faults:
+        print(f"  path {path_fault}")
     for violation in result.violations[:MAX_SHOWN]:
         print(f"  {violation.promise}: {violation.detail}")
     for violation in result.violations[:2]:
-        for word in violation.detail.split():
-            if len(word) == 16 and word.isalnum():
-                print("    " + "\n    ".join(request_story(result, word)))
+        for part in violation.detail.split():
+            if len(part) == CLIENT_REQUEST_ID_LENGTH and part.isalnum():
+                print("    " + "\n    ".join(request_timeline(result, part)))
                 break
     sys.stdout.flush()
 
@@ -68,7 +74,7 @@
         folder.mkdir()
         plan = Plan(
             seed, arguments.seconds, layouts, client_count=arguments.clients,
-            trouble_count=arguments.troubles, only=only,
+            fault_count=arguments.faults, only=only,
         )  # fmt: skip
         result = asyncio.run(run(plan, arguments.root.resolve(), folder, library))
         _print(result, folder)
--- a/bench/fault_soak/clients.py
+++ b/bench/fault_soak/clients.py
@@ -1,4 +1,4 @@
-"""Clients of the platform's protocol: well-behaved ones, slow ones, ones that leave, and bad ones."""
+"""Clients of the platform's protocol: correct, slow, leaving early, or sending garbage."""
 
 import asyncio
 import contextlib
@@ -12,14 +12,14 @@
 from bench.fault_soak.records import ClientRecord, Ending
 from bench.fault_soak.settings import ANSWER_SLACK_S, CLASS_WEIGHTS, CLASSES, LOAD, MEAN_WORK_S
 
-CROSSING_S = 0.05  # a request that crosses the close of an idle connection so closely is sent once more
+IDLE_CLOSE_CROSSING_S = 0.05  # a request may cross the close of an idle connection; clients then repeat it
 KEYS = 12
 READ_LIMIT = 1 << 20
 
 
 @dataclass(slots=True)
 class Gate:
-    """A gateway as clients reach it; `admitted` says whether the front sends clients there."""
+    """A gateway as clients reach it; `admitted`: the front sends clients there."""
 
     name: str
     port: int
@@ -122,14 +122,14 @@
         for position, record in enumerate(records):
             record.turn_at = records[position - 1].ended_at if position else 0.0
             if not await self._await_answer(connection, record, None):
-                self._forgive_rest(record, records[position + 1 :])
+                self._mark_not_accepted(record, records[position + 1 :])
                 return None
         return connection
 
     @staticmethod
-    def _forgive_rest(ended: ClientRecord, rest: list[ClientRecord]) -> None:
-        """Requests behind an announced end of the connection are the client's to send again."""
-        for record in rest:
+    def _mark_not_accepted(ended: ClientRecord, following: list[ClientRecord]) -> None:
+        """Requests pipelined after the last one that was answered: the client is to send them again."""
+        for record in following:
             record.ending, record.detail = Ending.NOT_ACCEPTED, f"pipelined behind {ended.ending.value}"
             record.left_at = record.ended_at = ended.ended_at
 
--- a/bench/fault_soak/control.py
+++ b/bench/fault_soak/control.py
@@ -1,4 +1,4 @@
-"""The shim's control file: which system calls of a process fail, how often, and how its clock is off."""
+"""The shim's control file: which system calls of a process fail, how often, and its clock's offset."""
 
 import mmap
 import os
@@ -55,7 +55,7 @@
             self._mapped = mmap.mmap(file.fileno(), LAYOUT.size)
 
     def apply(self) -> None:
-        """Put `state` in force."""
+        """Write `state` to the control file."""
         self._mapped[:] = self.state.pack()
 
     def environment(self, library: Path) -> dict[str, str]:
--- a/bench/fault_soak/discovery.py
+++ b/bench/fault_soak/discovery.py
@@ -4,21 +4,30 @@
 import contextlib
 import json
 import time
+from dataclasses import dataclass
 from typing import Any
 
 from bench.fault_soak.ports import free_port
 
-MAX_HOLD_S = 5.0
+MAX_POLL_WAIT_S = 5.0
+
+
+@dataclass(frozen=True, slots=True)
+class SentEvent:
+    """An event as it was sent to one gateway."""
+
+    gateway: str
+    position: int
 
 
 class Discovery:
-    """The list of engines as events. `told` notes when each gateway was sent each event."""
+    """The endpoint list as events. `notified_at` holds when each gateway was first sent each event."""
 
     def __init__(self) -> None:
         """Begin without an event."""
         self.events: list[dict[str, Any]] = []  # the event at index N has position N + 1
         self.hosts: dict[str, dict[str, Any]] = {}
-        self.told: dict[tuple[str, int], float] = {}  # by gateway and position, the first time
+        self.notified_at: dict[SentEvent, float] = {}  # seconds of the monotonic clock
         self.servers: dict[str, asyncio.Server] = {}
         self.ports: dict[str, int] = {}
         self.changed = asyncio.Event()
@@ -42,14 +51,12 @@
         return self.position
 
     @staticmethod
-    def _event(position: int, whole: bool, hosts: list[dict[str, Any]]) -> dict[str, Any]:
-        return {"pos": position, "hosts": {"seq": position, "whole": whole, "hosts": hosts}}
+    def _event(position: int, snapshot: bool, hosts: list[dict[str, Any]]) -> dict[str, Any]:
+        return {"pos": position, "hosts": {"seq": position, "whole": snapshot, "hosts": hosts}}
 
-    def known(self, gateway: str) -> dict[str, Any]:
+    def initial_list(self, gateway: str) -> dict[str, Any]:
         """The list as a gateway's configuration holds it at its start."""
-        self.told[gateway, self.position] = min(
-            self.told.get((gateway, self.position), time.monotonic()), time.monotonic()
-        )
+        self.notified_at.setdefault(SentEvent(gateway, self.position), time.monotonic())
         return {
             "pos": self.position,
             "entries": [self._event(self.position, True, list(self.hosts.values()))],
@@ -74,7 +81,7 @@
             writer.transport.abort()
 
     async def come_back(self) -> None:
-        """End one outage; behind the last one all gateways are served again."""
+        """End one outage; after the last one all gateways are served again."""
         self.outages -= 1
         for gateway in list(self.servers) if not self.outages else ():
             await self.listen(gateway)
@@ -90,8 +97,8 @@
         self.writers.discard(writer)
         writer.close()
 
-    async def _answer(self, gateway: str, writer: asyncio.StreamWriter, tail: int, hold: float) -> None:
-        until = time.monotonic() + min(hold, MAX_HOLD_S)
+    async def _answer(self, gateway: str, writer: asyncio.StreamWriter, tail: int, max_wait_s: float) -> None:
+        until = time.monotonic() + min(max_wait_s, MAX_POLL_WAIT_S)
         while self.silent or (tail >= self.position and time.monotonic() < until):
             changed = self.changed
             with contextlib.suppress(asyncio.TimeoutError):
@@ -103,4 +110,4 @@
         writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%b" % (len(body), body))
         await writer.drain()
         for position in range(tail + 1, self.position + 1):
-            self.told.setdefault((gateway, position), time.monotonic())
+            self.notified_at.setdefault(SentEvent(gateway, position), time.monotonic())
--- a/bench/fault_soak/flight_clients.py
+++ b/bench/fault_soak/flight_clients.py
@@ -15,7 +15,7 @@
 from bench.fault_soak.settings import ANSWER_SLACK_S, LOAD, LOOKUP, MEAN_WORK_S, REPORT
 from query_gateway.flight import messages
 
-LEAVE_SHARE = 0.1  # of the calls that are cancelled
+CANCELLED_SHARE = 0.1  # of the calls
 
 
 @dataclass(slots=True)
@@ -92,18 +92,18 @@
             info = messages.encode_flight_info(descriptor, f"SELECT a FROM {table} WHERE b = 1")
             [message] = messages.decode_flight_info_tickets(info)
         try:
-            stream_id, call = peer.open_call(self._headers(record, method), message)
+            call = peer.open_call(self._headers(record, method), message)
         except (h2.exceptions.ProtocolError, OSError):
             return False
         record.sent_at, record.ending = time.monotonic(), Ending.SILENT
-        leaves = self.random.random() < LEAVE_SHARE
+        leaves = self.random.random() < CANCELLED_SHARE
         waits_s = self.random.uniform(0, 0.5) if leaves else record.ttl + ANSWER_SLACK_S
         with contextlib.suppress(TimeoutError):
             await asyncio.wait_for(self._wait(call), waits_s)
         record.ended_at = time.monotonic()
-        self._note_ending(record, call, leaves)
+        self._record_ending(record, call, leaves)
         if not call.ended:
-            peer.reset(stream_id)
+            peer.reset(call.stream_id)
         return not peer.closed and not peer.draining
 
     @staticmethod
@@ -113,7 +113,7 @@
             await call.changed.wait()
 
     @staticmethod
-    def _note_ending(record: ClientRecord, call: PeerCall, leaves: bool) -> None:
+    def _record_ending(record: ClientRecord, call: PeerCall, leaves: bool) -> None:
         status = call.headers.get("grpc-status")
         if not call.ended:
             if leaves:
--- a/bench/fault_soak/flight_engine.py
+++ b/bench/fault_soak/flight_engine.py
@@ -2,7 +2,8 @@
 
     python -m bench.fault_soak.flight_engine PORT SEED NAME EVENT_FILE
 
-Moods come as lines on standard input: `ok`, `hang`, `error`, `refuse`, `reset`.
+Its mode is set by lines on standard input: the values of `EngineMode`. `torn` and `drip` have
+no effect on this wire.
 """
 
 import asyncio
@@ -12,8 +13,8 @@
 import time
 from typing import TextIO
 
+from bench.fault_soak.engine_mode import EngineMode, ModeSwitch
 from bench.fault_soak.grpc_peer import GrpcPeer, PeerCall
-from bench.fault_soak.moods import Mood
 from bench.fault_soak.settings import MEAN_WORK_S
 from query_gateway.flight import messages
 
@@ -22,21 +23,21 @@
 
 
 class FlightEngine:
-    """Plans and runs statements after a random time, in the mood of the moment."""
+    """Plans and runs statements after a random time, in its present mode."""
 
     def __init__(self, seed: int, name: str, events: TextIO) -> None:
-        """Begin in the mood `ok`."""
+        """Begin without a fault."""
         self.random, self.name, self.events = random.Random(seed), name, events
-        self.mood = Mood()
+        self.switch = ModeSwitch()
 
-    def note(self, kind: str, client_request_id: str, **more: object) -> None:
-        """Write an event down."""
+    def write_event(self, kind: str, client_request_id: str, **details: object) -> None:
+        """Append an event to the event file."""
         record = {
-            "at": time.monotonic(),
+            "observed_at": time.monotonic(),
             "kind": kind,
             "engine": self.name,
             "client_request_id": client_request_id,
-            **more,
+            **details,
         }
         self.events.write(json.dumps(record) + "\n")
 
@@ -45,31 +46,31 @@
         peer = GrpcPeer(reader, writer, is_client=False)
         running: dict[int, asyncio.Task[None]] = {}
         open_requests: dict[int, str] = {}
-        planned: set[str] = set()  # planned, and their result not requested yet
+        planned: set[str] = set()  # planned, with a result that is not requested yet
         while changed := await peer.receive():
             for stream_id in changed:
                 call = peer.calls[stream_id]
                 if call.reset and stream_id in running:
                     running.pop(stream_id).cancel()
                     if client_request_id := open_requests.pop(stream_id, ""):
-                        self.note("stop", client_request_id)
+                        self.write_event("stop", client_request_id)
                 elif call.ended and stream_id not in running and not call.reset:
                     client_request_id = call.headers.get("x-txn", "")
                     open_requests[stream_id] = client_request_id
                     planned.discard(client_request_id)
                     if not call.headers[":path"].endswith(messages.FlightMethod.DO_GET.value):
-                        self._note_request(client_request_id, call)
+                        self._write_request_event(client_request_id, call)
                     run = self._run(peer, stream_id, call, open_requests, planned)
                     running[stream_id] = asyncio.create_task(run)
         for task in running.values():
             task.cancel()
         for client_request_id in (*open_requests.values(), *planned):
-            self.note("broken", client_request_id)
+            self.write_event("broken", client_request_id)
         writer.close()
 
-    def _note_request(self, client_request_id: str, call: PeerCall) -> None:
+    def _write_request_event(self, client_request_id: str, call: PeerCall) -> None:
         timeout = call.headers.get("grpc-timeout", "0S")
-        self.note(
+        self.write_event(
             "request", client_request_id, budget=int(timeout[:-1]) * UNITS_S[timeout[-1]],
             idempotency_key=call.headers.get("x-txn-key", ""), began_at=time.monotonic(),
         )  # fmt: skip
@@ -82,16 +83,16 @@
         open_requests: dict[int, str],
         planned: set[str],
     ) -> None:
-        method, mood = call.headers[":path"].rpartition("/")[2], self.mood.name
+        method, mode = call.headers[":path"].rpartition("/")[2], self.switch.mode
         client_request_id = call.headers.get("x-txn", "")
-        if mood == "reset":
+        if mode is EngineMode.RESET:
             peer.writer.transport.abort()
             return
         if method != messages.FlightMethod.GET_FLIGHT_INFO.value:
             await asyncio.sleep(min(2.0, self.random.expovariate(1 / MEAN_WORK_S)))
-        await self.mood.recovered.wait()
+        await self.switch.recovered.wait()
         is_plan = method == messages.FlightMethod.GET_FLIGHT_INFO.value
-        status = {"refuse": REFUSED if is_plan else OK, "error": INTERNAL}.get(mood, OK)
+        status = {EngineMode.REFUSE: REFUSED if is_plan else OK, EngineMode.ERROR: INTERNAL}.get(mode, OK)
         answers: list[bytes] = []
         if status == OK and is_plan:
             statement = messages.decode_query_descriptor(call.messages[0])
@@ -102,7 +103,9 @@
         if is_plan and status == OK:
             planned.add(client_request_id)
         else:
-            self.note("end", client_request_id, word={OK: "ok", REFUSED: "refused"}.get(status, "error"))
+            self.write_event(
+                "end", client_request_id, outcome={OK: "ok", REFUSED: "refused"}.get(status, "error")
+            )
         peer.answer(stream_id, answers, [("grpc-status", status)])
 
 
@@ -112,13 +115,13 @@
     with open(path, "a", buffering=1) as events:
         engine = FlightEngine(seed, name, events)
         server = await asyncio.start_server(engine.serve, "127.0.0.1", port)
-        moods = asyncio.StreamReader()
+        modes = asyncio.StreamReader()
         await asyncio.get_running_loop().connect_read_pipe(
-            lambda: asyncio.StreamReaderProtocol(moods), sys.stdin
+            lambda: asyncio.StreamReaderProtocol(modes), sys.stdin
         )
         async with server:
-            while line := await moods.readline():
-                engine.mood.change(line.decode().strip())
+            while line := await modes.readline():
+                engine.switch.change(EngineMode(line.decode().strip()))
 
 
 if __name__ == "__main__":
--- /dev/null
+++ b/bench/fault_soak/gateway_process.py
@@ -0,0 +1,157 @@
+"""One gateway of a run: its files, its shim and its process."""
+
+import contextlib
+import json
+import os
+import shutil
+import signal
+import subprocess
+import time
+from dataclasses import dataclass, field
+from enum import Enum
+from pathlib import Path
+from typing import Any
+
+from bench.fault_soak.clients import Gate
+from bench.fault_soak.control import ShimControl
+from bench.fault_soak.ports import free_port
+from bench.fault_soak.settings import settings
+
+DESCRIPTORS = 256
+
+
+class Layout(Enum):
+    """How a gateway is laid out in processes, and which fronts it has."""
+
+    PLAIN = "plain"  # one process, as the platform starts it
+    FLIGHT = "flight"  # one process with the Flight SQL front and the classification of statements
+    PROCESSES = "processes"  # a supervisor, two forwarders and two planners
+
+
+@dataclass(frozen=True, slots=True)
+class DiscoveryView:
+    """What a configuration says of the discovery service: its port, and the endpoint list to start with."""
+
+    port: int
+    endpoint_list: dict[str, Any]
+
+
+@dataclass(slots=True)
+class GatewayProcess:
+    """One gateway: its configuration, its shim, and its process while it runs."""
+
+    name: str
+    layout: Layout
+    folder: Path
+    gate: Gate
+    shim: ShimControl
+    number: int
+    process: subprocess.Popen[bytes] | None = None
+    expected_to_end: bool = False
+    busy: bool = False  # it is being stopped, killed or upgraded
+    planner_ports: list[int] = field(default_factory=list)
+    flight_port: int = 0
+
+    @property
+    def log_path(self) -> Path:
+        """Everything that its processes have logged."""
+        return self.folder / "log.txt"
+
+    @property
+    def running(self) -> bool:
+        """Whether its first process runs."""
+        return self.process is not None and self.process.poll() is None
+
+    def write_configuration(
+        self, discovery: DiscoveryView, gateway_count: int, latency_objective_share: float
+    ) -> None:
+        """Write the file that a start or a reload reads, in the platform's words."""
+        configuration = {
+            "name": self.name, "listen": f"127.0.0.1:{self.gate.port}",
+            "seed": f"{time.monotonic_ns():x}"[:16],
+            "limits": {"cores": 1.0, "memory_mb": 192, "sockets": DESCRIPTORS},
+            "journal": f"127.0.0.1:{discovery.port}", "known": discovery.endpoint_list,
+            "settings": settings(self.number, gateway_count, latency_objective_share),
+        }  # fmt: skip
+        path = self.folder / "config.json"
+        path.with_suffix(".new").write_text(json.dumps(configuration))
+        os.replace(path.with_suffix(".new"), path)
+
+    def write_operator_file(self) -> None:
+        """Write the operator's file of the layout; empty for a plain gateway."""
+        text = ""
+        if self.layout is Layout.FLIGHT:
+            text = (
+                f'[flight]\nlisten = "127.0.0.1:{self.flight_port}"\nquery_class = "lookup"\n'
+                'update_class = "load"\n[statements]\ndialect = "postgres"\nload = "load"\n'
+                'report = "lookup"\n'
+                f'snapshot = "{self.folder / "kept" / "costs"}"\nmismatch = "refuse"\n'
+            )
+        elif self.layout is Layout.PROCESSES:
+            planners = ", ".join(f'"127.0.0.1:{port}"' for port in self.planner_ports)
+            text = f"[processes]\nplanners = [{planners}]\nforwarders = 2\n"
+        (self.folder / "operator.toml").write_text(text)
+
+    def spawn(self, root: Path, shim_library: Path) -> None:
+        """Start the gateway's process from nothing; its log goes on in the same file."""
+        shutil.rmtree(self.folder / "tmp", ignore_errors=True)
+        (self.folder / "tmp").mkdir(exist_ok=True)
+        self.process = self.start_process(root, shim_library)
+
+    def start_process(self, root: Path, shim_library: Path) -> subprocess.Popen[bytes]:
+        """Start a process of the gateway with the shim loaded, beside the one that may run."""
+        environment = os.environ | self.shim.environment(shim_library)
+        environment |= {
+            "ROUTER_CONFIG": str(self.folder / "config.json"),
+            "TMPDIR": str(self.folder / "tmp"),
+        }
+        if self.layout is not Layout.PLAIN:
+            environment["QUERY_GATEWAY_OPERATOR_FILE"] = str(self.folder / "operator.toml")
+        self.expected_to_end = False
+        python = root / ".venv" / "bin" / "python"
+        with self.log_path.open("ab") as log:
+            return subprocess.Popen(
+                [str(python), "-m", "query_gateway"], cwd=root, env=environment,
+                stdin=subprocess.DEVNULL, stdout=log, stderr=log, start_new_session=True,
+            )  # fmt: skip
+
+    def signal_group(self, number: int) -> None:
+        """Send a signal to all processes of the gateway that started with the present one."""
+        assert self.process
+        with contextlib.suppress(ProcessLookupError):
+            os.killpg(self.process.pid, number)
+
+    def planner_pids(self) -> list[int]:
+        """The planner processes that the gateway's first process has started."""
+        assert self.process
+        children = Path(f"/proc/{self.process.pid}/task/{self.process.pid}/children")
+        pids = []
+        with contextlib.suppress(OSError):
+            for pid in children.read_text().split():
+                if b"QUERY_GATEWAY_PART=planner" in Path(f"/proc/{pid}/environ").read_bytes():
+                    pids.append(int(pid))
+        return pids
+
+    def close(self) -> None:
+        """End every process of the gateway."""
+        if self.process:
+            self.signal_group(signal.SIGKILL)
+            self.process.wait()
+
+
+def create_gateway_process(folder: Path, layout: Layout, number: int) -> GatewayProcess:
+    """Make a gateway's folders and choose its ports; nothing is started."""
+    name = f"g{number}-{layout.value}"
+    gateway_folder = folder / name
+    (gateway_folder / "tmp").mkdir(parents=True)
+    (gateway_folder / "kept").mkdir()
+    return GatewayProcess(
+        name,
+        layout,
+        gateway_folder,
+        Gate(name, free_port(), admitted=False),
+        ShimControl(gateway_folder / "shim"),
+        number,
+        planner_ports=[free_port(), free_port()],
+        flight_port=free_port(),
+    )
--- a/bench/fault_soak/grpc_peer.py
+++ b/bench/fault_soak/grpc_peer.py
@@ -21,6 +21,7 @@
 class PeerCall:
     """One call as it is seen here."""
 
+    stream_id: int
     headers: dict[str, str] = field(default_factory=dict)
     messages: list[bytes] = field(default_factory=list)
     decoder: MessageDecoder = field(default_factory=MessageDecoder)
@@ -31,7 +32,7 @@
 
 
 class GrpcPeer:
-    """One connection; `on_call` is told of calls whose message is whole, `on_reset` of those given up."""
+    """One connection with its calls."""
 
     def __init__(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter, is_client: bool) -> None:
         """Send the preface."""
@@ -41,7 +42,7 @@
         self.calls: dict[int, PeerCall] = {}
         self.draining = False  # the other side takes no further call
         self.closed = False
-        self._preface_left = 0 if is_client else len(PREFACE)
+        self._preface_bytes_left = 0 if is_client else len(PREFACE)
         self._buffer = bytearray()
         self.h2.initiate_connection()
         self.flush()
@@ -51,17 +52,17 @@
         if data := self.h2.data_to_send():
             self.writer.write(data)
 
-    def open_call(self, headers: Headers, message: bytes) -> tuple[int, PeerCall]:
+    def open_call(self, headers: Headers, message: bytes) -> PeerCall:
         """Begin a call with its one message; raises h2's ProtocolError if the connection takes none."""
         stream_id = self.h2.get_next_available_stream_id()
-        call = self.calls[stream_id] = PeerCall()
+        call = self.calls[stream_id] = PeerCall(stream_id)
         self.h2.send_headers(stream_id, headers)
         self.h2.send_data(stream_id, encode_message(message), end_stream=True)
         self.flush()
-        return stream_id, call
+        return call
 
     def answer(self, stream_id: int, messages: list[bytes], trailers: Headers) -> None:
-        """Answer a call whole: headers, messages and trailers."""
+        """Answer a call completely: headers, messages and trailers."""
         with contextlib.suppress(h2.exceptions.ProtocolError):
             self.h2.send_headers(stream_id, [(":status", "200"), ("content-type", "application/grpc")])
             for message in messages:
@@ -70,7 +71,7 @@
             self.flush()
 
     def reset(self, stream_id: int) -> None:
-        """Give a call up."""
+        """Cancel a call."""
         with contextlib.suppress(h2.exceptions.ProtocolError):
             self.h2.reset_stream(stream_id, 8)
             self.flush()
@@ -85,7 +86,7 @@
                 data, events = b"", []
             if not data:
                 break
-            changed = [stream_id for event in events if (stream_id := self._take(event))]
+            changed = [stream_id for event in events if (stream_id := self._apply(event))]
             self.flush()
             if changed:
                 return changed
@@ -97,11 +98,11 @@
         return []
 
     def _without_goaway(self, data: bytes) -> bytes:
-        """The whole frames that have come, but for a GOAWAY, behind which h2 takes nothing of open calls."""
+        """The complete frames that have come, without GOAWAY: h2 drops data of open calls after one."""
         self._buffer += data
-        passed = bytes(self._buffer[: self._preface_left])
+        passed = bytes(self._buffer[: self._preface_bytes_left])
         del self._buffer[: len(passed)]
-        self._preface_left -= len(passed)
+        self._preface_bytes_left -= len(passed)
         while len(self._buffer) >= FRAME_HEAD_BYTES:
             end = FRAME_HEAD_BYTES + int.from_bytes(self._buffer[:3], "big")
             if len(self._buffer) < end:
@@ -121,12 +122,12 @@
                 call.refused = call.ended = True
                 call.changed.set()
 
-    def _take(self, event: h2.events.Event) -> int:
+    def _apply(self, event: h2.events.Event) -> int:
         """Note an event; the call that it concerns, 0 if none does."""
         stream_id = int(getattr(event, "stream_id", 0) or 0)
         if not stream_id:
             return 0
-        call = self.calls.setdefault(stream_id, PeerCall())
+        call = self.calls.setdefault(stream_id, PeerCall(stream_id))
         if isinstance(
             event, h2.events.RequestReceived | h2.events.ResponseReceived | h2.events.TrailersReceived
         ):
--- a/bench/fault_soak/ports.py
+++ b/bench/fault_soak/ports.py
@@ -8,7 +8,7 @@
 
 
 def free_port() -> int:
-    """A port of loopback that nobody uses now, and that no dial takes as its own later."""
+    """A port of loopback that is not in use, and that no dial takes as its local port later."""
     while True:
         port = random.randrange(*PORTS)
         with socket.socket() as sock, contextlib.suppress(OSError):
--- a/bench/fault_soak/proxy.py
+++ b/bench/fault_soak/proxy.py
@@ -24,14 +24,14 @@
 BACKLOG_FILLERS = 12
 REFILL_AFTER_S = 0.02
 READ_SIZE = 65_536
-FINAL_WORDS = ("ok", "refused", "error", "stale")
+FINAL_OUTCOMES = ("ok", "refused", "error", "stale")
 
 
 class FrameObserver:
     """Follows the lines of one direction of a connection and calls `on_frame` for each with its begin."""
 
     def __init__(self, on_frame: Callable[[list[str], float], None]) -> None:
-        """`on_frame(words, began_at)` is called when a line and its body are whole."""
+        """`on_frame(words, began_at)` is called when a line and its body are complete."""
         self.on_frame = on_frame
         self.buffer = bytearray()
         self.began_at = 0.0
@@ -59,7 +59,7 @@
         return True
 
 
-class Link:
+class RelayedConnection:
     """One relayed connection and the requests that are open on it."""
 
     def __init__(self, proxy: "Proxy", gateway: asyncio.StreamWriter, engine: asyncio.StreamWriter) -> None:
@@ -73,28 +73,28 @@
         if words[0] == "REQ":
             self.open.add(words[1])
             fields = dict(pair.split("=") for pair in words[2].split(",") if "=" in pair)
-            self.proxy.note(
+            self.proxy.write_event(
                 "request", words[1], budget=float(fields.get("budget", 0)) / 1000,
                 idempotency_key=fields.get("uniq", ""), began_at=began_at,
             )  # fmt: skip
         elif words[0] == "STOP" and words[1] in self.open:
             self.open.discard(words[1])
-            self.proxy.note("stop", words[1])
+            self.proxy.write_event("stop", words[1])
 
     def on_answer_frame(self, words: list[str], _: float) -> None:
         """A line of the engine, which is relayed right after this."""
-        if len(words) > 1 and words[1] in FINAL_WORDS and words[0] in self.open:
+        if len(words) > 1 and words[1] in FINAL_OUTCOMES and words[0] in self.open:
             self.open.discard(words[0])
-            self.proxy.note("end", words[0], word=words[1])
+            self.proxy.write_event("end", words[0], outcome=words[1])
 
     def close(self, reset: bool = False) -> None:
-        """End the connection on both sides; what was open on it is over."""
+        """End the connection on both sides; the requests open on it end as broken."""
         if self.closed:
             return
         self.closed = True
         for client_request_id in self.open:
-            self.proxy.note("broken", client_request_id)
-        self.proxy.links.discard(self)
+            self.proxy.write_event("broken", client_request_id)
+        self.proxy.connections.discard(self)
         if reset:
             sock = self.gateway.get_extra_info("socket")
             with contextlib.suppress(OSError):
@@ -112,7 +112,7 @@
         """Listen at once."""
         self.observes = observes
         self.engine_port, self.engine, self.events = engine_port, engine, events
-        self.links: set[Link] = set()
+        self.connections: set[RelayedConnection] = set()
         self.order = "pass"
         self.passing, self.reading, self.accepting = asyncio.Event(), asyncio.Event(), asyncio.Event()
         self.fillers: list[socket.socket] = []
@@ -124,23 +124,23 @@
         self.listener.setblocking(False)
         self.obey("pass")
 
-    def note(self, kind: str, client_request_id: str, **more: object) -> None:
-        """Write an event down."""
+    def write_event(self, kind: str, client_request_id: str, **details: object) -> None:
+        """Append an event to the event file."""
         record = {
-            "at": time.monotonic(),
+            "observed_at": time.monotonic(),
             "kind": kind,
             "engine": self.engine,
             "client_request_id": client_request_id,
-            **more,
+            **details,
         }
         self.events.write(json.dumps(record) + "\n")
 
     def obey(self, order: str) -> None:
         """Change how connections are relayed."""
         if order in ("reset", "idle-close"):
-            for link in list(self.links):
-                if order == "reset" or not link.open:
-                    link.close(reset=order == "reset")
+            for connection in list(self.connections):
+                if order == "reset" or not connection.open:
+                    connection.close(reset=order == "reset")
             return
         self.order = order
         (self.passing.clear if order == "stall" else self.passing.set)()
@@ -148,7 +148,7 @@
         if order == "late":
             self.accepting.clear()
             self._fill_backlog()
-            # Once more: the accept that was waiting has taken one of them
+            # The accept that was under way takes one of them, so the backlog is filled again
             asyncio.get_running_loop().call_later(REFILL_AFTER_S, self._fill_backlog)
         else:
             self.accepting.set()
@@ -166,7 +166,7 @@
             self.fillers.append(filler)
 
     async def accept(self) -> None:
-        """Accept for ever, except while connections are to come up late."""
+        """Accept until cancelled, except while connections are to come up late."""
         loop = asyncio.get_running_loop()
         while True:
             await self.accepting.wait()
@@ -181,23 +181,24 @@
         except OSError:
             writer.transport.abort()
             return
-        link = Link(self, writer, engine_writer)
-        self.links.add(link)
+        connection = RelayedConnection(self, writer, engine_writer)
+        self.connections.add(connection)
         await asyncio.gather(
-            self.relay(link, reader, engine_writer, FrameObserver(link.on_request_frame), True),
-            self.relay(link, engine_reader, writer, FrameObserver(link.on_answer_frame), False),
+            self.relay(connection, reader, engine_writer, FrameObserver(connection.on_request_frame), True),
+            self.relay(connection, engine_reader, writer, FrameObserver(connection.on_answer_frame), False),
         )
 
     async def relay(
-        self, link: Link, reader: asyncio.StreamReader, writer: asyncio.StreamWriter,
+        self, connection: RelayedConnection, reader: asyncio.StreamReader, writer: asyncio.StreamWriter,
         observer: FrameObserver, from_gateway: bool,
     ) -> None:  # fmt: skip
         """Relay one direction until its end; what a gateway sends is observed when it comes."""
-        held: asyncio.Queue[bytes] = asyncio.Queue()
+        unsent: asyncio.Queue[bytes] = asyncio.Queue()
 
         async def forward() -> None:
+            """Write what was read as soon as connections do not stall."""
             while True:
-                data = await held.get()
+                data = await unsent.get()
                 await self.passing.wait()
                 if not from_gateway and self.observes:
                     observer.feed(data)
@@ -207,19 +208,19 @@
 
         forwarding = asyncio.create_task(forward())
         with contextlib.suppress(OSError):
-            while not link.closed:
+            while not connection.closed:
                 if from_gateway:
                     await self.reading.wait()
                 data = await reader.read(READ_SIZE)
-                if not data or link.closed:
+                if not data or connection.closed:
                     break
                 if from_gateway and self.observes:
                     observer.feed(data)
-                held.put_nowait(data)
-        while not from_gateway and not held.empty() and not link.closed:
+                unsent.put_nowait(data)
+        while not from_gateway and not unsent.empty() and not connection.closed:
             await asyncio.sleep(0.01)  # what the engine wrote before its end still arrives
         forwarding.cancel()
-        link.close()
+        connection.close()
 
 
 async def main() -> None:
--- a/bench/fault_soak/records.py
+++ b/bench/fault_soak/records.py
@@ -28,7 +28,7 @@
     key: str = ""
     idempotency_key: str = ""
     reused_connection: bool = False
-    sent_at: float = 0.0  # when its last byte was written; 0: it was not written whole
+    sent_at: float = 0.0  # when its last byte was written; 0: it was not written completely
     turn_at: float = 0.0  # when the answer before it on its connection had come; 0: none was due
     ended_at: float = 0.0
     left_at: float = 0.0  # when its client closed the connection; 0: it did not
@@ -39,34 +39,49 @@
 class EngineEventKind(Enum):
     """What was seen between the gateways and an engine."""
 
-    REQUEST = "request"  # a request came whole
+    REQUEST = "request"  # a complete request came
     END = "end"  # its end was written
-    STOP = "stop"  # the gateway gave it up
+    STOP = "stop"  # the gateway cancelled it
     BROKEN = "broken"  # its connection ended
 
 
 @dataclass(slots=True, frozen=True)
 class EngineEvent:
-    """One event at an engine's door."""
+    """One event between the gateways and an engine."""
 
-    at: float
+    observed_at: float
     kind: EngineEventKind
     engine: str
     client_request_id: str
-    word: str = ""  # of an end
+    outcome: str = ""  # of an end, as the engine wrote it
     budget: float = 0.0  # of a request, in seconds
     idempotency_key: str = ""
     began_at: float = 0.0  # of a request: when its first byte came
 
 
+class EngineChangeKind(Enum):
+    """How an engine changed in the endpoint list."""
+
+    UP = "up"
+    DRAINING = "draining"
+    RESTARTED = "restarted"
+
+
 @dataclass(slots=True, frozen=True)
 class EngineChange:
     """A change of an engine, and when each gateway had been notified of it."""
 
     engine: str
-    kind: str  # up, draining or restarted
-    at: float
-    told_at: dict[str, float] = field(default_factory=dict)  # by gateway
+    kind: EngineChangeKind
+    changed_at: float
+    notified_at: dict[str, float] = field(default_factory=dict)  # by gateway
+
+
+class OutageKind(Enum):
+    """How a gateway ended."""
+
+    KILLED = "killed"
+    STOPPED = "stopped"
 
 
 @dataclass(slots=True, frozen=True)
@@ -74,12 +89,29 @@
     """A span in which a gateway was not there: from its signal until it was ready again."""
 
     gateway: str
-    kind: str  # killed, stopped or crashed
+    kind: OutageKind
     began_at: float
     killed_at: float
     ready_at: float
 
 
+@dataclass(slots=True, frozen=True)
+class UnreadSpan:
+    """A span in which requests to an engine may have waited in the machine's buffers."""
+
+    engine: str
+    began_at: float
+    ended_at: float
+
+
+@dataclass(slots=True, frozen=True)
+class DriverStall:
+    """A span in which the soak's own process did not run."""
+
+    began_at: float
+    ended_at: float
+
+
 @dataclass(slots=True)
 class Observations:
     """Everything that one run has shown."""
@@ -89,12 +121,10 @@
     changes: list[EngineChange] = field(default_factory=list)
     outages: list[Outage] = field(default_factory=list)
     crashes: list[str] = field(default_factory=list)
-    unread_spans: list[tuple[str, float, float]] = field(default_factory=list)  # engine, begin, end
-    notes: list[str] = field(default_factory=list)  # what was drawn beyond the schedule
-    log_faults: list[str] = field(default_factory=list)  # lines of the gateways' logs that tell of a fault
+    unread_spans: list[UnreadSpan] = field(default_factory=list)
+    path_faults: list[str] = field(default_factory=list)  # faults of paths, which the schedule does not show
+    log_faults: list[str] = field(default_factory=list)  # lines of the gateways' logs that report a fault
     invariant_lines: list[str] = field(
         default_factory=list
     )  # violations that the gateways counted themselves
-    driver_stalls: list[tuple[float, float]] = field(
-        default_factory=list
-    )  # spans in which the soak itself hung
+    driver_stalls: list[DriverStall] = field(default_factory=list)
--- a/bench/fault_soak/run.py
+++ b/bench/fault_soak/run.py
@@ -1,4 +1,4 @@
-"""One run of the soak: start everything, let clients and troubles loose, then ask the oracle."""
+"""One run of the soak: start everything, run clients and faults against it, then ask the oracle."""
 
 import asyncio
 import json
@@ -9,15 +9,17 @@
 from pathlib import Path
 
 from bench.fault_soak.clients import Population
-from bench.fault_soak.deployment import Deployment, Layout
+from bench.fault_soak.deployment import Deployment
+from bench.fault_soak.fault_schedule import ScheduledFault, draw_schedule, play_schedule
+from bench.fault_soak.faults import FAULTS, FaultContext
 from bench.fault_soak.flight_clients import FlightPopulation
+from bench.fault_soak.gateway_process import Layout
 from bench.fault_soak.oracle import Oracle, Violation
-from bench.fault_soak.records import ClientRecord, EngineEvent, EngineEventKind, Observations
+from bench.fault_soak.records import DriverStall, EngineEvent, EngineEventKind, Observations
 from bench.fault_soak.settings import ANSWER_SLACK_S, GIVE_UP_S
-from bench.fault_soak.troubles import TROUBLES, Stage, draw, play
 
 WATCH_INTERVAL_S = 0.02
-STALL_S = 0.15  # a wait that took so much longer: the soak itself hung
+STALL_S = 0.15  # by how much longer a wait takes that counts as a stall of the soak itself
 FAULT_LINES = re.compile(r"^(fault |planner a planner broke|Traceback|.*Error: )")
 INVARIANT_LINES = re.compile(r"^invariant ")
 WARM_UP_S = 1.0
@@ -33,8 +35,8 @@
     engine_count: int = 4
     client_count: int = 40
     flight_client_count: int = 8  # of each gateway with that front
-    trouble_count: int = 10
-    only: tuple[str, ...] = ()  # troubles to draw from; empty: all
+    fault_count: int = 10
+    only: tuple[str, ...] = ()  # names of faults to draw from; empty: all
 
 
 @dataclass(slots=True)
@@ -42,7 +44,7 @@
     """What a run has shown."""
 
     plan: Plan
-    schedule: list[tuple[float, str, float]]
+    schedule: list[ScheduledFault]
     observations: Observations
     violations: list[Violation] = field(default_factory=list)
 
@@ -55,7 +57,7 @@
         for violation in self.violations:
             promises[violation.promise] = promises.get(violation.promise, 0) + 1
         verdict = "broken " + json.dumps(promises) if promises else "kept"
-        stalls = sum(ended - began for began, ended in self.observations.driver_stalls)
+        stalls = sum(stall.ended_at - stall.began_at for stall in self.observations.driver_stalls)
         blind = f" blind {stalls:.1f} s" if stalls else ""
         return f"seed {self.plan.seed} {json.dumps(endings)}{blind}: {verdict}"
 
@@ -73,7 +75,7 @@
         for gateway in deployment.gateways:
             if not await deployment.wait_until_ready(gateway):
                 seen.crashes.append(f"{gateway.name}: not ready at the start")
-        schedule = draw(list(plan.only or TROUBLES), source, plan.trouble_count, plan.seconds)
+        schedule = draw_schedule(list(plan.only or FAULTS), source, plan.fault_count, plan.seconds)
         await _play(plan, deployment, source, schedule)
     finally:
         deployment.close()
@@ -82,7 +84,7 @@
 
 
 async def _play(
-    plan: Plan, deployment: Deployment, source: random.Random, schedule: list[tuple[float, str, float]]
+    plan: Plan, deployment: Deployment, source: random.Random, schedule: list[ScheduledFault]
 ) -> None:
     seen = deployment.observations
     population = Population([gateway.gate for gateway in deployment.gateways], random.Random(source.random()))
@@ -98,10 +100,10 @@
         for _ in range(plan.flight_client_count):
             clients.append(asyncio.create_task(flight_population.run_client()))
     watching = asyncio.create_task(_watch(deployment))
-    stage = Stage(deployment, population, random.Random(source.random()))
+    context = FaultContext(deployment, population, random.Random(source.random()))
     await asyncio.sleep(WARM_UP_S)
     ends_at = time.monotonic() + plan.seconds
-    await play(stage, schedule)
+    await play_schedule(context, schedule)
     await asyncio.sleep(max(0.0, ends_at - time.monotonic()))
     population.stopped = True
     for flight_population in flight_populations:
@@ -114,14 +116,14 @@
 
 
 async def _watch(deployment: Deployment) -> None:
-    """Note crashes, and spans in which this process itself hung."""
-    before = time.monotonic()
+    """Note crashes, and spans in which this process did not run."""
+    last_run_at = time.monotonic()
     while True:
         await asyncio.sleep(WATCH_INTERVAL_S)
         now = time.monotonic()
-        if now - before > WATCH_INTERVAL_S + STALL_S:
-            deployment.observations.driver_stalls.append((before, now))
-        before = now
+        if now - last_run_at > WATCH_INTERVAL_S + STALL_S:
+            deployment.observations.driver_stalls.append(DriverStall(last_run_at, now))
+        last_run_at = now
         deployment.check_crashes()
 
 
@@ -140,20 +142,20 @@
                 seen.invariant_lines.append(f"{gateway.name}: {line[:300]}")
 
 
-def request_story(result: Result, client_request_id: str) -> list[str]:
-    """Everything that is known of one request, in the order of time."""
+def request_timeline(result: Result, client_request_id: str) -> list[str]:
+    """All that was observed of one request, in the order of time."""
     records = [
         record for record in result.observations.clients if record.client_request_id == client_request_id
     ]
-    began = records[0].sent_at if records else 0.0
-    lines = [_client_line(record) for record in records]
-    for event in sorted(result.observations.engine_events, key=lambda event: event.at):
-        if event.client_request_id == client_request_id:
-            lines.append(
-                f"{event.at - began:+.3f} {event.engine} {event.kind.value} {event.word} {event.budget}"
-            )
-    return lines
-
-
-def _client_line(record: ClientRecord) -> str:
-    return f"{record}"
+    began_at = records[0].sent_at if records else 0.0
+    events = [
+        event
+        for event in sorted(result.observations.engine_events, key=lambda event: event.observed_at)
+        if event.client_request_id == client_request_id
+    ]
+    return [f"{record}" for record in records] + [_event_line(event, began_at) for event in events]
+
+
+def _event_line(event: EngineEvent, began_at: float) -> str:
+    after_s = event.observed_at - began_at
+    return f"{after_s:+.3f} {event.engine} {event.kind.value} {event.outcome} {event.budget}"
--- a/bench/fault_soak/settings.py
+++ b/bench/fault_soak/settings.py
@@ -1,4 +1,4 @@
-"""The deployment that the soak runs: three classes, one for each effect, and short deadlines."""
+"""The settings of the gateways in a run: one class for each kind of idempotency, and short deadlines."""
 
 import math
 from typing import Any
@@ -10,27 +10,27 @@
 GIVE_UP_S = 3.0
 DEDUPLICATION_WINDOW_S = 2.0
 DRAIN_GRACE_S = 0.5
-TOLD_AT_THE_LATEST_S = 7.0
+NOTIFICATION_DEADLINE_S = 7.0  # a gateway counts as notified so long after an endpoint has changed
 ANSWER_SLACK_S = 0.5
 CORES, MEAN_WORK_S = 4, 0.08  # as long as the engines really take
-COLD_S, START_CAPACITY, OVERLOAD_FACTOR, OVERLOAD_WINDOW_S = 6.0, 0.31, 2.5, 1.0
+SLOW_START_S, START_CAPACITY, OVERLOAD_FACTOR, OVERLOAD_WINDOW_S = 6.0, 0.31, 2.5, 1.0
 
 
-def _service(name: str, repeat: str, **more: Any) -> dict[str, Any]:
+def _service(name: str, repeat: str, **extra: Any) -> dict[str, Any]:
     base = {
         "name": name,
         "aim": int(GIVE_UP_S * SECOND / 2),
         "give-up": int(GIVE_UP_S * SECOND),
         "worth": 1.0,
     }
-    return {**base, "repeat": repeat, **more}
+    return {**base, "repeat": repeat, **extra}
 
 
-def settings(gateway_number: int, gateway_count: int, aim_share: float = 0.5) -> dict[str, Any]:
-    """The settings object of one gateway's configuration; `aim_share`: of the time clients wait, by class."""
+def settings(gateway_number: int, gateway_count: int, latency_objective_share: float = 0.5) -> dict[str, Any]:
+    """The settings object of one gateway's configuration; with this share of the deadline as objective."""
     found = _settings(gateway_number, gateway_count)
     for service in found["services"]:
-        service["aim"] = int(service["give-up"] * aim_share)
+        service["aim"] = int(service["give-up"] * latency_objective_share)
     return found
 
 
@@ -52,7 +52,7 @@
             "most-held": 1000, "second-copies": False,
         },
         "rules": {
-            "cold": int(COLD_S * SECOND), "start-capacity": START_CAPACITY,
+            "cold": int(SLOW_START_S * SECOND), "start-capacity": START_CAPACITY,
             "settle-after-doubt": 3 * SECOND // 10,
             "overload-factor": OVERLOAD_FACTOR, "tip-after": int(OVERLOAD_WINDOW_S * SECOND),
             "drain-grace": int(DRAIN_GRACE_S * SECOND), "answer-slack": SECOND // 50,
@@ -67,9 +67,9 @@
     }  # fmt: skip
 
 
-def rate_allowed_when_cold(age: float) -> float:
-    """Requests of mean work that an engine of this age (seconds) may get in one window, with the slack."""
-    capacity = START_CAPACITY + (1 - START_CAPACITY) * min(1.0, max(0.0, age) / COLD_S)
+def request_allowance_in_slow_start(age_s: float) -> float:
+    """Requests of mean work an engine of this age may get in one window, with an allowance for chance."""
+    capacity = START_CAPACITY + (1 - START_CAPACITY) * min(1.0, max(0.0, age_s) / SLOW_START_S)
     allowed = OVERLOAD_FACTOR * CORES * capacity * OVERLOAD_WINDOW_S / MEAN_WORK_S
     root = math.sqrt(allowed)
     return allowed + (2 * root + 2 if allowed >= 30 else 3 * root + 3)
--- a/tests/test_fault_soak.py
+++ b/tests/test_fault_soak.py
@@ -7,20 +7,23 @@
 import pytest
 
 from bench.fault_soak.control import LAYOUT, CallFault, ShimState, build_shim
-from bench.fault_soak.deployment import Layout
+from bench.fault_soak.fault_schedule import draw_schedule
+from bench.fault_soak.faults import FAULTS
+from bench.fault_soak.gateway_process import Layout
 from bench.fault_soak.oracle import Oracle
 from bench.fault_soak.records import (
     ClientRecord,
     Ending,
     EngineChange,
+    EngineChangeKind,
     EngineEvent,
     EngineEventKind,
     Observations,
     Outage,
+    OutageKind,
 )
 from bench.fault_soak.run import Plan, run
 from bench.fault_soak.settings import LOAD, LOOKUP, REPORT
-from bench.fault_soak.troubles import TROUBLES, draw
 
 ROOT = Path(__file__).parent.parent
 
@@ -39,9 +42,9 @@
 
 
 def end(
-    at: float, word: str = "ok", engine: str = "e", kind: EngineEventKind = EngineEventKind.END
+    at: float, outcome: str = "ok", engine: str = "e", kind: EngineEventKind = EngineEventKind.END
 ) -> EngineEvent:
-    return EngineEvent(at, kind, engine, "a" * 16, word=word)
+    return EngineEvent(at, kind, engine, "a" * 16, outcome=outcome)
 
 
 def broken(clients: list[ClientRecord], events: list[EngineEvent] | None = None, **more: object) -> set[str]:
@@ -70,7 +73,7 @@
 
 def test_a_request_that_crossed_an_idle_close_or_a_kill_is_not_lost() -> None:
     assert not broken([record(Ending.CLOSED, 0.02, reused_connection=True)])
-    killed = Outage("g", "killed", 10.05, 10.05, 12.0)
+    killed = Outage("g", OutageKind.KILLED, 10.05, 10.05, 12.0)
     assert not broken([record(Ending.CLOSED)], outages=[killed])
 
 
@@ -97,13 +100,15 @@
     assert not broken([client], [request(10.0), end(10.01, "refused"), request(10.05), end(10.09)])
 
 
-def test_drains_and_cold_starts_are_checked_from_when_a_gateway_was_told() -> None:
-    drained = EngineChange("e", "draining", 9.0, {"g": 9.2})
+def test_drains_and_cold_starts_are_checked_from_when_a_gateway_was_notified() -> None:
+    drained = EngineChange("e", EngineChangeKind.DRAINING, 9.0, {"g": 9.2})
     assert broken([record()], [request(10.0), end(10.1)], changes=[drained]) == {
         "nothing to a draining engine"
     }
     assert not broken(
-        [record()], [request(10.0), end(10.1)], changes=[EngineChange("e", "draining", 9.0, {"g": 9.8})]
+        [record()],
+        [request(10.0), end(10.1)],
+        changes=[EngineChange("e", EngineChangeKind.DRAINING, 9.0, {"g": 9.8})],
     )
     ids = [f"{number:016x}" for number in range(100)]
     clients = [record(client_request_id=client_request_id) for client_request_id in ids]
@@ -111,14 +116,14 @@
         request(10.0 + number / 200, client_request_id=client_request_id)
         for number, client_request_id in enumerate(ids)
     ]
-    restarted = EngineChange("e", "restarted", 9.5, {"g": 9.6})
+    restarted = EngineChange("e", EngineChangeKind.RESTARTED, 9.5, {"g": 9.6})
     assert broken(clients, burst, changes=[restarted]) == {"a cold engine gets what it can bear"}
 
 
 def test_a_schedule_follows_from_its_seed() -> None:
-    names = list(TROUBLES)
-    first, second = (draw(names, random.Random(7), 10, 14.0) for _ in range(2))
-    assert first == second != draw(names, random.Random(8), 10, 14.0)
+    names = list(FAULTS)
+    first, second = (draw_schedule(names, random.Random(7), 10, 14.0) for _ in range(2))
+    assert first == second != draw_schedule(names, random.Random(8), 10, 14.0)
 
 
 def test_control_block_has_the_layout_of_the_shim(tmp_path: Path) -> None:
@@ -132,7 +137,7 @@
 def test_a_short_run_with_overlapping_faults_breaks_no_promise(seed: int, tmp_path: Path) -> None:
     """All three layouts, both fronts: real processes on loopback for some seconds."""
     layouts = (Layout.PLAIN, Layout.FLIGHT, Layout.PROCESSES)
-    plan = Plan(seed, 6.0, layouts, engine_count=2, client_count=12, flight_client_count=3, trouble_count=6)
+    plan = Plan(seed, 6.0, layouts, engine_count=2, client_count=12, flight_client_count=3, fault_count=6)
     result = asyncio.run(run(plan, ROOT, tmp_path, build_shim(tmp_path)))
     assert len(result.observations.clients) > 100
     assert not result.violations, f"{result.schedule} {result.violations}"
