--- a/bench/fault_soak/deployment.py
+++ b/bench/fault_soak/deployment.py
@@ -1,4 +1,4 @@
-"""All processes of a run: starts them, and kills, stops and upgrades gateways as the faults ask for."""
+"""All processes of a run: starts them, and kills, stops and upgrades gateways as the faults require."""
 
 import asyncio
 import contextlib
@@ -88,7 +88,7 @@
         return b" 200 " in status
 
     async def kill(self, gateway: GatewayProcess, gateway_count: int) -> None:
-        """SIGKILL to the whole gateway, and a new start soon after."""
+        """SIGKILL to all processes of the gateway, and a new start soon after."""
         began_at = time.monotonic()
         gateway.expected_to_end = True
         gateway.signal_group(signal.SIGKILL)
--- a/bench/fault_soak/evidence.py
+++ b/bench/fault_soak/evidence.py
@@ -18,7 +18,7 @@
 STALL_MARGIN_S = 0.5  # around a stall of the soak's own process
 UNREAD_MARGIN_S = 0.5  # after a span in which requests waited unread
 KILL_MARGIN_BEFORE_S, KILL_MARGIN_AFTER_S = 0.05, 0.2
-STOPPED_ACCEPT_S = 0.7  # a request sent so long after SIGTERM may find the gateway gone
+STOPPED_ACCEPT_S = 0.7  # a request sent so long after SIGTERM may find that the gateway has ended
 UNANSWERED_S = 4.0  # that a request without an end counts as open
 
 
--- a/bench/fault_soak/gateway_process.py
+++ b/bench/fault_soak/gateway_process.py
@@ -30,7 +30,7 @@
 
 @dataclass(frozen=True, slots=True)
 class DiscoveryView:
-    """What a configuration says of the discovery service: its port, and the endpoint list to start with."""
+    """The discovery service in a configuration: its port, and the endpoint list to start with."""
 
     port: int
     endpoint_list: dict[str, Any]
--- a/bench/fault_soak/run.py
+++ b/bench/fault_soak/run.py
@@ -1,4 +1,4 @@
-"""One run of the soak: start everything, run clients and faults against it, then ask the oracle."""
+"""One run of the soak: start everything, run clients and faults against it, then check its promises."""
 
 import asyncio
 import json
@@ -102,9 +102,9 @@
     watching = asyncio.create_task(_watch(deployment))
     context = FaultContext(deployment, population, random.Random(source.random()))
     await asyncio.sleep(WARM_UP_S)
-    ends_at = time.monotonic() + plan.seconds
+    schedule_ends_at = time.monotonic() + plan.seconds
     await play_schedule(context, schedule)
-    await asyncio.sleep(max(0.0, ends_at - time.monotonic()))
+    await asyncio.sleep(max(0.0, schedule_ends_at - time.monotonic()))
     population.stopped = True
     for flight_population in flight_populations:
         flight_population.stopped = True
--- a/bench/lookups_per_second.py
+++ b/bench/lookups_per_second.py
@@ -65,7 +65,7 @@
 
 
 class FailedLookupError(Exception):
-    """A lookup was not answered with 200; says what came instead."""
+    """A lookup was not answered with 200; the message shows what came instead."""
 
 
 # ---- engines and discovery service
@@ -319,9 +319,9 @@
             pipes.append(receiver)
         time.sleep(max(0.0, counted_from - time.monotonic()))
         pids = [gateway.pid, *load_pids]
-        used_before = [cpu_seconds(pid) for pid in pids]
+        cpu_before = [cpu_seconds(pid) for pid in pids]
         time.sleep(max(0.0, counted_from + seconds - time.monotonic()))
-        used = [cpu_seconds(pid) - before for pid, before in zip(pids, used_before, strict=True)]
+        used = [cpu_seconds(pid) - earlier for pid, earlier in zip(pids, cpu_before, strict=True)]
         results = [_receive_result(pipe) for pipe in pipes]
     served = sum(result.served for result in results)
     return {
--- a/bench/statements.py
+++ b/bench/statements.py
@@ -13,11 +13,21 @@
 import tracemalloc
 from collections import OrderedDict
 from collections.abc import Callable
+from dataclasses import dataclass
 from random import Random
 from typing import Any
 
 import click
 
+from bench.statement_workloads import (
+    fingerprint_of,
+    quantiles,
+    run_time,
+    share_within_twice,
+    skewed,
+    slow_run_time,
+    statement,
+)
 from query_gateway.statements.cache import Cache
 from query_gateway.statements.classifier import Classifier
 from query_gateway.statements.costs import CostEstimates
@@ -26,69 +36,11 @@
 from query_gateway.statements.reader import Reader
 
 KEYS = (KeyRule("lending_*.loans", "member"),)
-COLUMNS = ["id", "member", "title", "due", "returned", "branch", "renewed", "copy"]
-TABLES = ["loans", "titles", "members", "holds", "copies", "fines"]
 SHAPES = 500  # that the traces of regular statements have
 HITS = 20_000  # statements of the trace of hits
 CACHE_CAPACITY = 600  # of the caches that are compared
 MICROSECONDS, MILLISECONDS = 1e6, 1e3  # in a second
 MEBIBYTE = 2**20
-SLOWDOWN = 5  # times slower, what a shape turns
-
-
-# ---- what the parts and the tests draw from
-
-
-def statement(random: Random, shape: int) -> str:
-    """One statement of a shape; its literals are drawn."""
-    form = Random(shape)
-    columns = ", ".join(form.sample(COLUMNS, form.randint(1, 5)))
-    table, schema = form.choice(TABLES), f"lending_{form.randint(1, 40)}"
-    where = " AND ".join(
-        _predicate(random, form, column) for column in form.sample(COLUMNS, form.randint(1, 3))
-    )
-    tail = form.choice(["", " ORDER BY due", " ORDER BY due DESC LIMIT 10", " LIMIT 20"])
-    if form.random() < 0.15:
-        counted = f"SELECT branch, count(*) FROM {schema}.{table} WHERE {where}"
-        return f"{counted} GROUP BY branch ORDER BY 2 DESC"
-    if form.random() < 0.1:
-        member = random.randint(1, 10**6)
-        return f"UPDATE {schema}.loans SET due = '{random.random()}' WHERE member = {member}"
-    return f"SELECT {columns} FROM {schema}.{table} WHERE {where}{tail}"
-
-
-def _predicate(random: Random, form: Random, column: str) -> str:
-    if form.random() < 0.7:
-        return f"{column} = {random.randint(1, 10**6)}"
-    return f"{column} IN ('{random.random()}', 'x')"
-
-
-def skewed(random: Random, shapes: int) -> int:
-    """The number of a shape, few of which come often."""
-    return min(shapes - 1, int(random.paretovariate(0.8)) - 1)
-
-
-def run_time(random: Random, usual: float) -> float:
-    """One run: spread log-normally by 0.25, and one in 25 with a bad plan of 14 to 25 times."""
-    bad = random.uniform(14, 25) if random.random() < 0.04 else 1.0
-    return usual * random.lognormvariate(0, 0.25) * bad
-
-
-def slow_run_time(random: Random, usual: float) -> float:
-    """One run of a shape that has turned slower."""
-    return SLOWDOWN * usual * random.lognormvariate(0, 0.25)
-
-
-def share_within_twice(expected: dict[int, float], usual: dict[int, float], random: Random) -> float:
-    """The share of 50 further runs of each shape that its expected time meets within a factor of 2."""
-    pairs = [(expected[n], run_time(random, usual[n])) for n in usual for _ in range(50)]
-    return sum(0.5 <= cost / real <= 2 for cost, real in pairs) / len(pairs)
-
-
-def quantiles(values: list[float]) -> dict[str, float]:
-    """The median and the 99th percentile, rounded."""
-    ordered = sorted(values)
-    return {f"p{p}": round(ordered[min(len(ordered) - 1, len(ordered) * p // 100)], 1) for p in (50, 99)}
 
 
 # ---- microseconds and memory
@@ -98,7 +50,7 @@
     """Times of statements that had to be parsed, in microseconds; what the last parse found."""
 
     def __init__(self) -> None:
-        """Nothing is measured yet."""
+        """Begin without a measurement."""
         self.misses: list[float] = []
         self.parses: list[float] = []
         self.last_result = ParseResult(True)
@@ -116,28 +68,44 @@
         self.misses.append((time.perf_counter() - started_at) * MICROSECONDS)
 
 
+@dataclass(frozen=True)
+class HitTimes:
+    """What a trace of hits has shown."""
+
+    microseconds: list[float]  # of each hit
+    mean_length: int  # of the statements
+
+
+@dataclass(frozen=True)
+class ClassifierMemory:
+    """The memory of a full classifier."""
+
+    shapes: int
+    mebibytes: float
+
+
 def micro(seed: int) -> dict[str, Any]:
     """Times of hits and misses, of the slowest parses, and the memory of a full classifier."""
     random = Random(seed)
     classifier, reader, miss_times = Classifier(Rules(keys=KEYS)), Reader(Rules(keys=KEYS)), MissTimes()
     for n in range(SHAPES):
         miss_times.measure(classifier, reader, statement(random, n))
-    hits, length = _hit_times(classifier, random)
+    hit_times = _hit_times(classifier, random)
     hit_again = _hit_again(classifier, random)
-    shapes, memory_mb = _memory(reader, miss_times.last_result)
+    memory = _memory(reader, miss_times.last_result)
     return {
-        "hit_us": quantiles(hits),
+        "hit_us": quantiles(hit_times.microseconds),
         "hit_again_us": round(hit_again, 1),
         "miss_us": quantiles(miss_times.misses),
         "parse_us": quantiles(miss_times.parses),
-        "mean_length": length,
-        "shapes": shapes,
-        "memory_mb": round(memory_mb, 2),
+        "mean_length": hit_times.mean_length,
+        "shapes": memory.shapes,
+        "memory_mb": round(memory.mebibytes, 2),
         "slowest_parse_ms": slowest(reader),
     }
 
 
-def _hit_times(classifier: Classifier, random: Random) -> tuple[list[float], int]:
+def _hit_times(classifier: Classifier, random: Random) -> HitTimes:
     """Microseconds of each hit on a skewed trace, and the mean length of its statements."""
     hits = []
     lengths = 0
@@ -150,7 +118,7 @@
         if cached is not None:
             classifier.decide(cached, normalized)
             hits.append((time.perf_counter() - started_at) * MICROSECONDS)
-    return hits, lengths // HITS
+    return HitTimes(hits, lengths // HITS)
 
 
 def _hit_again(classifier: Classifier, random: Random) -> float:
@@ -167,10 +135,9 @@
     return mean_us
 
 
-def _memory(reader: Reader, parse_result: ParseResult) -> tuple[int, float]:
-    """The shapes that a full classifier has cached, and its memory in MB."""
+def _memory(reader: Reader, parse_result: ParseResult) -> ClassifierMemory:
     tracemalloc.start()
-    before = tracemalloc.get_traced_memory()[0]
+    bytes_before = tracemalloc.get_traced_memory()[0]
     classifier = Classifier(Rules(keys=KEYS))
     for n in range(14_000):  # more than it caches, each used twice
         normalized = classifier.normalize(f"SELECT c{n} FROM lending_{n % 40}.loans WHERE member = 1")
@@ -178,9 +145,9 @@
             classifier.learn(normalized, reader.read(normalized) if n < 50 else parse_result)
         classifier.cached(normalized)
         classifier.costs.observe(normalized.fingerprint, "lookup", n % 40, 10_000_000)
-    memory_mb = (tracemalloc.get_traced_memory()[0] - before) / MEBIBYTE
+    mebibytes = (tracemalloc.get_traced_memory()[0] - bytes_before) / MEBIBYTE
     tracemalloc.stop()
-    return len(classifier.shapes), memory_mb
+    return ClassifierMemory(len(classifier.shapes), mebibytes)
 
 
 # Statements that take long to normalize and to parse, within the lexer's bounds
@@ -219,20 +186,20 @@
 
 
 class Lru:
-    """The plain cache that ours is compared with, here and in the tests."""
+    """A cache that evicts the least recently used entry, to compare the statement cache with."""
 
     def __init__(self, capacity: int) -> None:
         """Empty, for so many entries."""
         self.capacity, self.entries = capacity, OrderedDict[bytes, int]()
 
     def get(self, key: bytes) -> int | None:
-        """The entry, which counts as a use; None if there is none."""
+        """The entry, now the most recently used; None if there is none."""
         if key in self.entries:
             self.entries.move_to_end(key)
         return self.entries.get(key)
 
     def put(self, key: bytes, value: int) -> None:
-        """Add an entry in place of the one used longest ago."""
+        """Add an entry; a full cache evicts its least recently used one."""
         self.entries[key] = value
         if len(self.entries) > self.capacity:
             self.entries.popitem(last=False)
@@ -242,7 +209,7 @@
     """The share of hits among the regular shapes, those below `regular`."""
     hits = lookups = 0
     for n in trace:
-        key = n.to_bytes(8, "little") * 2 if isinstance(cache, Lru) else spread(n)
+        key = n.to_bytes(8, "little") * 2 if isinstance(cache, Lru) else fingerprint_of(n)
         found = cache.get(key)
         if found is None:
             cache.put(key, n)
@@ -251,11 +218,6 @@
     return round(hits / lookups, 4)
 
 
-def spread(n: int) -> bytes:
-    """A fingerprint for a number."""
-    return Random(n).randbytes(16)
-
-
 def cache(seed: int) -> dict[str, Any]:
     """Hit rates of the regular shapes, calm and beside shapes that come once or in turn."""
     random = Random(seed)
@@ -279,8 +241,8 @@
     """Nine shapes that are never seen again for each regular statement."""
     trace = []
     for i, n in enumerate(regular):
-        first = 10**6 + 9 * i
-        trace += [n, *range(first, first + 9)]
+        first_unseen = 10**6 + 9 * i
+        trace += [n, *range(first_unseen, first_unseen + 9)]
     return trace
 
 
@@ -294,8 +256,8 @@
     learned = CostEstimates()
     for _ in range(200):
         for n in usual:
-            learned.observe(spread(n), "lookup", n % 5, int(run_time(random, usual[n]) * 1e6))
-    expected = {n: (learned.cost_ns(spread(n), "lookup", n % 5) or 0) / 1e6 for n in usual}
+            learned.observe(fingerprint_of(n), "lookup", n % 5, int(run_time(random, usual[n]) * 1e6))
+    expected = {n: (learned.cost_ns(fingerprint_of(n), "lookup", n % 5) or 0) / 1e6 for n in usual}
     near = share_within_twice(expected, usual, random)
     followed = [_runs_until_followed(learned, n, usual[n], random) for n in range(20)]
     mean = sum(followed) / len(followed)
@@ -305,8 +267,8 @@
 def _runs_until_followed(learned: CostEstimates, n: int, usual_ms: float, random: Random) -> int:
     """Slow runs of a shape until its estimate is half way there; 500 at most."""
     runs = 0
-    while (learned.cost_ns(spread(n), "lookup", n % 5) or 0) < 2.5e6 * usual_ms and runs < 500:
-        learned.observe(spread(n), "lookup", n % 5, int(slow_run_time(random, usual_ms) * 1e6))
+    while (learned.cost_ns(fingerprint_of(n), "lookup", n % 5) or 0) < 2.5e6 * usual_ms and runs < 500:
+        learned.observe(fingerprint_of(n), "lookup", n % 5, int(slow_run_time(random, usual_ms) * 1e6))
         runs += 1
     return runs
 
--- a/bench/statements_gateway.py
+++ b/bench/statements_gateway.py
@@ -21,7 +21,7 @@
 
 import click
 
-from bench.statements import run_time, share_within_twice, slow_run_time
+from bench.statement_workloads import run_time, share_within_twice, slow_run_time
 from query_gateway.parsing.snapshot_store import SnapshotStore
 from query_gateway.statements.costs import CostEstimates
 from query_gateway.statements.normalizer import normalize
@@ -36,6 +36,14 @@
 KEY_RULES = '[[statements.keys]]\ntable = "lending_*.loans"\ncolumn = "member"\n'
 
 
+@dataclass(frozen=True)
+class LearnedCosts:
+    """What a gateway has learned by its end."""
+
+    estimates: CostEstimates
+    lost_statements: int
+
+
 @dataclass(frozen=True)
 class GatewayProcess:
     """A gateway that runs, and where its Flight SQL front listens."""
@@ -62,16 +70,18 @@
     later = [_text(0, slow_run_time(random, usual[0])) for _ in range(slow_runs)]
     engine = _slow_engine()
     with tempfile.TemporaryDirectory() as folder:
-        learned, lost = _run_through_gateway(Path(folder), engine.port, mix, clients, seed)
-        after, _ = _run_through_gateway(Path(folder), engine.port, later, 1, seed)
+        learned = _run_through_gateway(Path(folder), engine.port, mix, clients, seed)
+        learned_later = _run_through_gateway(Path(folder), engine.port, later, 1, seed)
     engine.shutdown()
-    expected = {n: _expected_seconds(learned, n) for n in usual}
+    expected = {n: _expected_seconds(learned.estimates, n) for n in usual}
     return {
         "runs": shapes * runs_each,
-        "lost": lost,
+        "lost": learned.lost_statements,
         "compared": 50 * shapes,
         "within_twice": round(share_within_twice(expected, usual, random), 4),
-        "times_as_long_after_slow_runs": round(_expected_seconds(after, 0) / expected[0], 2),
+        "times_as_long_after_slow_runs": round(
+            _expected_seconds(learned_later.estimates, 0) / expected[0], 2
+        ),
         "slow_runs": slow_runs,
     }
 
@@ -86,10 +96,12 @@
 
 
 def _slow_engine() -> Any:
-    """An engine that takes as long for a statement as its text says. The caller shuts it down."""
+    """An engine that takes the time that a statement's text holds. The caller shuts it down."""
     from tests.test_flight import FlightEngine
 
     class SlowEngine(FlightEngine):
+        """Plans each statement after the microseconds at the end of its text."""
+
         def get_flight_info(self, context: Any, descriptor: Any) -> Any:
             """Plan the statement after its time."""
             time.sleep(int(descriptor.command.rpartition(b"= ")[2]) / 1e6)
@@ -100,24 +112,21 @@
 
 def _run_through_gateway(
     folder: Path, engine_port: int, statements: list[str], clients: int, seed: int
-) -> tuple[CostEstimates, int]:
-    """What a gateway has learned by its end once these have run, with what the one before it left.
-
-    Also how many were lost.
-    """
+) -> LearnedCosts:
+    """Run the statements through a gateway that starts with the snapshot of the one before it."""
     snapshot = folder / "costs"
-    before = _modified_at(snapshot)
+    modified_before = _modified_at(snapshot)
     with started(folder, engine_port, True, f'snapshot = "{snapshot}"\n') as gateway:
         calls("hits", gateway.address, seed, WARM_UP_S)
         lost = _run_all(gateway.address, statements, clients)
         os.kill(gateway.pid, signal.SIGTERM)
         until = time.monotonic() + EXIT_TIMEOUT_S
-        while time.monotonic() < until and _modified_at(snapshot) <= before:
+        while time.monotonic() < until and _modified_at(snapshot) <= modified_before:
             time.sleep(0.05)
     learned = CostEstimates()
     if not learned.restore(SnapshotStore(str(snapshot)).load()):
         raise click.ClickException("the gateway left no snapshot")
-    return learned, lost
+    return LearnedCosts(learned, lost)
 
 
 def _modified_at(path: Path) -> int:
@@ -132,6 +141,7 @@
     lost = [0] * clients
 
     def run(client: int) -> None:
+        """Run statements until none is left."""
         peer = fl.connect(address)
         while statements:
             try:
@@ -149,7 +159,7 @@
 def front(seed: int, seconds: float) -> dict[str, Any]:
     """Three gateways at once, called in turn for a quarter of a second each.
 
-    So what else the machine does falls on all of them alike.
+    Other load of the machine then slows all of them alike.
     """
     from tests.test_flight import FlightEngine
 
@@ -163,9 +173,9 @@
             calls(mode, gateways[mode].address, seed, WARM_UP_S)
         for turn in range(max(1, int(seconds / TURN_S))):
             for mode in modes if turn % 2 else modes[::-1]:
-                before = cpu_of(gateways[mode].pid)
+                cpu_before = cpu_of(gateways[mode].pid)
                 served[mode] += calls(mode, gateways[mode].address, seed + CLIENTS * turn, TURN_S)
-                cpu_seconds[mode] += cpu_of(gateways[mode].pid) - before
+                cpu_seconds[mode] += cpu_of(gateways[mode].pid) - cpu_before
     engine.shutdown()
     rates = {mode: round(served[mode] / cpu_seconds[mode], 1) for mode in modes}
     return {
@@ -191,6 +201,7 @@
     until = time.monotonic() + seconds
 
     def run(client: int) -> None:
+        """Run statements until the time is over."""
         random, peer = Random(seed + client), fl.connect(address)
         while time.monotonic() < until:
             try:
--- a/tests/test_statements_cache.py
+++ b/tests/test_statements_cache.py
@@ -7,7 +7,8 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from bench.statements import Lru, skewed, statement
+from bench.statement_workloads import skewed, statement
+from bench.statements import Lru
 from query_gateway.statements.cache import Cache
 from query_gateway.statements.messages import Rules
 from query_gateway.statements.sketch import CountMin
--- a/tests/test_statements_costs.py
+++ b/tests/test_statements_costs.py
@@ -5,7 +5,7 @@
 
 import pytest
 
-from bench.statements import run_time
+from bench.statement_workloads import run_time
 from query_gateway.statements.costs import BUCKETS, MAX_TOTAL, MIN_OUTCOMES, CostEstimates, Histogram
 from query_gateway.statements.limits import (
     ENGINES,
