--- a/query_gateway/forwarder/forwarder.py
+++ b/query_gateway/forwarder/forwarder.py
@@ -234,7 +234,7 @@
     def on_planner_lost(self, planner_index: int) -> None:
         """End all exchanges of a planner and quarantine its keys until what it had in flight has ended."""
         self.planners[planner_index].connected = False
-        self.key_quarantine.start(planner_index, self.settings.key_quarantine)
+        self.key_quarantine.start(planner_index, self.settings)
         for exchange in list(self.exchanges.values()):
             if exchange.planner_index == planner_index:
                 exchange.end_without_planner()
--- a/query_gateway/forwarder/key_quarantine.py
+++ b/query_gateway/forwarder/key_quarantine.py
@@ -8,6 +8,8 @@
 
 from query_gateway.forwarder.exchange import Exchange
 from query_gateway.forwarder.messages import CallAt
+from query_gateway.model.settings import Settings
+from query_gateway.policy.key_quarantine import key_quarantine_end
 
 
 class KeyQuarantine:
@@ -23,9 +25,9 @@
         self.ends_at: dict[int, int] = {}  # clock time by planner
         self.queues: dict[int, list[Exchange]] = {}  # by planner; absent when empty
 
-    def start(self, planner_index: int, duration: int) -> None:
+    def start(self, planner_index: int, settings: Settings) -> None:
         """Quarantine the keys of a planner from now on; one that is running is prolonged."""
-        self.ends_at[planner_index] = self.clock() + duration
+        self.ends_at[planner_index] = key_quarantine_end(settings, self.clock())
 
     def applies_to(self, exchange: Exchange) -> bool:
         """Whether the exchange must wait.
--- a/query_gateway/policy/attempts.py
+++ b/query_gateway/policy/attempts.py
@@ -7,11 +7,8 @@
 from query_gateway.model.state import SchedulerState
 from query_gateway.policy import admission, answers, outliers, slow_start
 from query_gateway.policy.fleet_survey import FLEET_ESTIMATOR
-from query_gateway.policy.repetition import (
-    MAY_STILL_RUN_CODES,
-    NEVER_RAN_CODES,
-    may_run_twice,
-)
+from query_gateway.policy.key_quarantine import key_quarantine_end, starts_key_quarantine
+from query_gateway.policy.repetition import NEVER_RAN_CODES, may_run_twice
 from query_gateway.policy.routing import is_usable, may_run_again
 
 WARM_TABLE_GROUPS = 4  # table groups taken to be warm in an engine's cache
@@ -34,6 +31,11 @@
     return not query.attempt_count or state.retry_budget.allows_retry(settings, state.now)
 
 
+def has_time_for_attempt(query: QueryState, now: int) -> bool:
+    """Whether a query has an attempt left, and time to end before it is due if that one starts now."""
+    return query.attempt_count < query.max_attempts and now + query.run_time < query.due_at
+
+
 def forward(state: SchedulerState, query: QueryState, engine: EngineState) -> None:
     """Send an attempt to an engine, with its memory and priority where the site takes them."""
     _set_terms(state, query, engine)
@@ -73,8 +75,8 @@
     FLEET_ESTIMATOR.record_load_report(state, engine, outcome.load_report)
     if outcome.code not in NEVER_RAN_CODES:
         query.executed.append((attempt.sent_at, engine))
-    if outcome.code in MAY_STILL_RUN_CODES:
-        state.key_queues.quarantine(query, state.now + state.settings.key_quarantine)
+    if starts_key_quarantine(outcome.code):
+        state.key_queues.quarantine(query, key_quarantine_end(state.settings, state.now))
     outliers.record_health(state, engine, query, attempt, outcome.code)
     if outcome.code is OutcomeCode.OK:
         FLEET_ESTIMATOR.learn_from_answer(state, engine, query, outcome)
@@ -88,8 +90,7 @@
 
 def _retry(state: SchedulerState, query: QueryState) -> None:
     """No attempt is in flight and no answer given: another one where allowed and in time, else the end."""
-    in_time = query.attempt_count < query.max_attempts and state.now + query.run_time < query.due_at
-    if in_time and may_run_again(query, state.now):
+    if has_time_for_attempt(query, state.now) and may_run_again(query, state.now):
         admission.admit(state, query)
     else:
         answers.give_up(state, query, EndReason.NO_FURTHER_ATTEMPT)
--- a/query_gateway/policy/progress_review.py
+++ b/query_gateway/policy/progress_review.py
@@ -35,7 +35,7 @@
     overdue = _is_overdue(state, query, attempt)
     slow_plan = attempt.progress > 0 and remaining > RESTART_GAIN * query.run_time
     wrong = query.restarts == 0 and (overdue or slow_plan)
-    in_time = query.attempt_count < query.max_attempts and state.now + query.run_time < query.due_at
+    in_time = attempts.has_time_for_attempt(query, state.now)
     if query.is_idempotent and in_time and (engine_failed or lost or wrong):
         query.restarts += not engine_failed
         answers.cancel_attempt(state, query, attempt)
--- a/query_gateway/policy/repetition.py
+++ b/query_gateway/policy/repetition.py
@@ -19,8 +19,6 @@
 
 # Outcomes of an attempt that the engine surely never ran
 NEVER_RAN_CODES: Final = (OutcomeCode.FULL, OutcomeCode.CONNECT_FAILED, OutcomeCode.NOT_SENT)
-# Outcomes of an attempt that may still be running at its engine
-MAY_STILL_RUN_CODES: Final = (OutcomeCode.TIMEOUT, OutcomeCode.RESET, OutcomeCode.CANCELLED)
 
 NO_DEADLINE: Final = 2**62 - 1  # later than any clock time
 NEVER: Final = 0  # earlier than any clock time
--- a/tests/test_layers.py
+++ b/tests/test_layers.py
@@ -18,7 +18,7 @@
     "rpc", "statements",
 )  # fmt: skip
 # Rules that the scheduler plans by and the forwarder enforces: pure functions of settings and times
-SHARED_RULES = ("policy.recovery_ramp", "policy.repetition")
+SHARED_RULES = ("policy.key_quarantine", "policy.recovery_ramp", "policy.repetition")
 # Planner modules that connect processes; all others of the planner know no socket
 PLANNER_IPC_MODULES = ("planner.ipc", "planner.process", "planner.supervisor")
 
