--- a/tests/test_bad_input.py
+++ b/tests/test_bad_input.py
@@ -76,7 +76,12 @@
 
 
 def test_a_malformed_configuration_is_rejected_or_works() -> None:
-    """Guards the start: a number too large was a traceback, and engines of no cores broke each decision."""
+    """A value of the platform's configuration is malformed.
+
+    A number too large ended the start with a traceback, and engines without cores broke every decision of a
+    gateway that had started. Each value is checked when the configuration is read: it is rejected with one
+    line, or a gateway that starts with it decides on requests without a fault.
+    """
     rejected, broken = 0, []
     for what, raw in each_malformed(RAW):
         try:
@@ -94,13 +99,23 @@
 
 
 def test_a_malformed_endpoint_list_event_leaves_a_gateway_that_works() -> None:
-    """Guards the list: a name with a lone surrogate broke the planner, and each that was restarted."""
+    """A value of an endpoint list event is malformed.
+
+    An engine name with a lone surrogate broke the planner, and again each planner that was started after it.
+    The watch client rejects such an event as a whole, so the gateway keeps the list that it has and goes on
+    deciding.
+    """
     config = parse_configuration(RAW, {})
     assert [what for what, raw in each_malformed(DELTA) if not works(config, raw)] == []
 
 
 @pytest.mark.parametrize("value", ["1e400", "true", '"x"', "-1"])
 def test_an_invalid_number_ends_the_start_with_one_line(value: str, tmp_path: Path) -> None:
+    """The configuration file holds a number that cannot be used.
+
+    A traceback would leave an operator to guess which value was meant. The start ends with exit code 2 and
+    one line on standard error.
+    """
     file = tmp_path / "config.json"
     raw = RAW | {"limits": {"cores": 1.0, "memory_mb": 64, "sockets": "PLACEHOLDER"}}
     file.write_text(json.dumps(raw).replace('"PLACEHOLDER"', value))
--- a/tests/test_clock_steps.py
+++ b/tests/test_clock_steps.py
@@ -39,7 +39,12 @@
 def test_step_while_a_request_is_open_leaves_its_deadline_and_its_answer(
     step: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Guards deadlines against the wall clock: set back by an hour, no timer came due for an hour."""
+    """The wall clock is stepped while a request waits for its engine.
+
+    After a step back by an hour, no timer came due for an hour, and the client stayed unanswered. Timers and
+    deadlines use the monotonic clock, so the request ends at its deadline and the gateway serves the next
+    one.
+    """
     clock, engine = SteppedClock(monkeypatch), HeldEngine()
     with running(engine) as gateway, ThreadPoolExecutor() as executor:
         began_at = time.monotonic()
--- a/tests/test_fault_soak.py
+++ b/tests/test_fault_soak.py
@@ -135,7 +135,11 @@
 
 @pytest.mark.parametrize("seed", [1, 2])
 def test_a_short_run_with_overlapping_faults_breaks_no_promise(seed: int, tmp_path: Path) -> None:
-    """All three layouts, both fronts: real processes on loopback for some seconds."""
+    """Several faults overlap while real processes serve clients on loopback for some seconds.
+
+    A fault that one guard handles alone may break a promise together with another. The oracle checks every
+    promise over what clients and engines have seen, with all three layouts and both fronts.
+    """
     layouts = (Layout.PLAIN, Layout.FLIGHT, Layout.PROCESSES)
     plan = Plan(seed, 6.0, layouts, engine_count=2, client_count=12, flight_client_count=3, fault_count=6)
     result = asyncio.run(run(plan, ROOT, tmp_path, build_shim(tmp_path)))
--- a/tests/test_race_endpoint_list.py
+++ b/tests/test_race_endpoint_list.py
@@ -24,7 +24,11 @@
 
 
 def test_sequence_reset_gap_or_duplicate_in_the_watch_causes_a_resync(capfd: Any) -> None:
-    """Guards the list: it kept the highest position and ignored all later answers, without a log line."""
+    """The discovery service restarts, leaves out events, or sends them twice.
+
+    The gateway kept the highest position that it had seen and ignored all later answers, without a log line:
+    its list stayed old. Each of these anomalies is logged and followed by a poll for the complete list.
+    """
     journal, first_engine, second_engine = JournalStandIn(), Engine(), Engine()
     gateway = Gateway(config([], journal=journal.address), OperatorSettings(), signals=False)
     thread = threading.Thread(target=gateway.loop.run, daemon=True)
@@ -58,7 +62,12 @@
 
 
 def test_restarted_service_that_has_passed_our_position_causes_a_resync(capfd: Any) -> None:
-    """Guards the list: lower positions would show the restart, but there are none left at the next poll."""
+    """The discovery service restarts and passes the gateway's position before the next poll.
+
+    Lower positions would show the restart, but there are none left; the gateway would miss the events before
+    its position. A new connection polls for the last known event once more, and a different one means a
+    resync.
+    """
     journal, first_engine, second_engine = JournalStandIn(), Engine(), Engine()
     gateway = Gateway(config([], journal=journal.address), OperatorSettings(), signals=False)
     thread = threading.Thread(target=gateway.loop.run, daemon=True)
@@ -95,7 +104,11 @@
 
 
 def test_restarted_service_does_not_revive_draining_or_removed_engines() -> None:
-    """Guards the drain: a service behind our position revived engines that were draining or removed."""
+    """A restarted discovery service answers with a list from before a drain.
+
+    Engines that were draining or removed were up again and got requests. Tombstones remember them; only a
+    later start of the engine, or the service's own next event, ends one.
+    """
     journal, engines = JournalStandIn(), [Engine() for _ in range(3)]
 
     def answer_with(pos: int, **states: str) -> bytes:
@@ -135,7 +148,11 @@
 
 
 def test_draining_survives_stale_lists_of_a_restarted_service() -> None:
-    """Without sockets: only a later start or the service's own next event ends a drain."""
+    """The same as above without sockets: a stale list says that a draining engine is up.
+
+    Requests would go to an engine that is about to end. A tombstone is ended only by a later start of the
+    engine, or by an event in the sequence of the same service.
+    """
 
     def make_endpoint(name: str, state: EndpointState, launched: int = 0) -> Endpoint:
         return Endpoint(EndpointInfo(name, state, 0, 0, 0, launched, 1.0), {})
@@ -180,6 +197,12 @@
 def test_drain_announced_while_the_watch_is_down_is_applied_with_the_next_poll(
     failure: str, monkeypatch: pytest.MonkeyPatch, capfd: Any
 ) -> None:
+    """An engine begins to drain while the watch hangs or is broken.
+
+    The gateway would go on sending to the engine for as long as the watch is down. A watch without an answer
+    is ended after its grace, the next poll continues at the last position, and the drain is applied with its
+    answer.
+    """
     monkeypatch.setattr("query_gateway.discovery.watch_client.POLL_HOLD_MS", 100)
     monkeypatch.setattr("query_gateway.discovery.watch_client.ANSWER_GRACE_SECONDS", 0.1)
     journal, engine = JournalStandIn(), Engine()
@@ -207,7 +230,11 @@
 
 
 def test_watches_that_break_together_reconnect_at_different_times() -> None:
-    """Guards the service: all gateways reconnected at the same moment, every 0.1 s."""
+    """The discovery service closes the watches of all gateways at once.
+
+    All of them reconnected at the same moment, every 0.1 s, and loaded a service that had just started. The
+    backoff has a random part, drawn from each gateway's own seed.
+    """
     reconnect_delays: list[float] = []
     for seed in range(20):
         gateway = Gateway(config([], seed=f"{seed:x}"), OperatorSettings(), signals=False)
@@ -244,6 +271,11 @@
 def test_whatever_a_watch_does_its_next_good_answers_tell_the_whole_list(
     steps: list[tuple[int, str]],
 ) -> None:
+    """A watch gets any series of good, empty, incomplete, repeated and reset answers.
+
+    After one that it handles wrongly, its list would differ from the service's for good. Whatever came
+    before, two good answers bring the complete list: the first may only show that a resync is needed.
+    """
     held, known = 0, dict[str, EndpointState]()
 
     def take(last: int, events: list[EndpointListEvent]) -> None:
--- a/tests/test_race_shutdown.py
+++ b/tests/test_race_shutdown.py
@@ -39,7 +39,11 @@
 
 
 def test_shutdown_aborts_open_requests_before_the_process_is_killed() -> None:
-    """Guards clients of long requests: SIGKILL comes 0.7 s after the longest deadline, or after 3 s."""
+    """A request is still open when the platform is about to send SIGKILL.
+
+    SIGKILL comes 0.7 s after the longest deadline, or after 3 s; a client that is open then gets no answer.
+    The shutdown aborts open requests before that, and a second SIGTERM changes nothing.
+    """
     for settings, longest_deadline in ((SETTINGS, ANSWER_SECONDS), (settings_with_timeout(1.0), 1.0)):
         gateway = Gateway(config([], settings=settings), OperatorSettings(), signals=False)
         gateway.begin_shutdown()
@@ -54,7 +58,11 @@
 
 
 def test_shutdown_after_a_reload_uses_the_current_deadlines() -> None:
-    """Guards clients of a retired class: SIGKILL no longer waits for its longer deadline."""
+    """A reload retires the class with the longest deadline, and a shutdown begins.
+
+    SIGKILL no longer waits for the retired class, so its clients would stay unanswered. The shutdown takes
+    the deadlines of the current configuration.
+    """
     settings = settings_with_timeout(1.0)
     settings["services"][1] |= {"name": "audit"}
     sources = ConfigurationSources(read_configuration=lambda: config([], settings=settings))
@@ -71,7 +79,11 @@
 
 
 def test_request_aborted_while_its_connection_is_being_opened_is_rejected_in_every_class() -> None:
-    """Guards clients of a non-idempotent class: after a failure they may not retry."""
+    """A shutdown aborts a non-idempotent request whose connection to the engine is still being opened.
+
+    Nothing was sent, but a failure would forbid the client to retry. The request is rejected instead, which
+    its client may repeat, and the engine never sees it.
+    """
     engine = SlowToAcceptEngine()
     with running(
         engine,
@@ -88,6 +100,11 @@
 
 
 def test_shutdown_answers_a_long_request_and_exits(tmp_path: Path) -> None:
+    """SIGTERM arrives while a request runs that is longer than the shutdown may take.
+
+    Waiting for its engine, the process would be killed with the client unanswered. The request is answered
+    when the shutdown aborts it, and the process exits with 0.
+    """
     with site(tmp_path) as deployment, ThreadPoolExecutor() as executor:
         settings = settings_with_timeout(1.0)
         settings["family-info"]["progress"] = 0  # no progress note is expected of a long request
@@ -133,12 +150,22 @@
 
 
 def test_predecessor_serves_waiting_clients_when_its_successor_dies_after_sigterm(tmp_path: Path) -> None:
-    """Guards clients not accepted yet: both processes had closed the shared listener, so they were reset."""
+    """A successor dies before it is ready, after its predecessor got SIGTERM.
+
+    Both processes had closed the listener that they share, so clients that were connected but not accepted
+    were reset. The predecessor keeps the listener until the successor is ready and serves these clients
+    itself.
+    """
     with site(tmp_path) as deployment:
         assert stop_before_successor_is_ready(deployment, lambda process: process.kill()) == 200
 
 
 def test_waiting_clients_are_rejected_when_the_successor_never_becomes_ready(tmp_path: Path) -> None:
+    """A successor hangs before it is ready, after its predecessor got SIGTERM.
+
+    Clients in the shared listener's backlog would wait for a process that never accepts them. Before it
+    exits, the predecessor accepts them and rejects their requests, which they may repeat elsewhere.
+    """
     with site(tmp_path) as deployment:
         write_settings(deployment, settings_with_timeout(1.0))
         assert stop_before_successor_is_ready(deployment, lambda process: None) == 429
@@ -174,7 +201,11 @@
 def test_requests_after_the_death_of_the_successor_are_served_until_the_shutdown_ends(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Guards clients after SIGTERM: the predecessor then closed its listener and its idle connections."""
+    """A ready successor dies while its predecessor drains.
+
+    The predecessor had closed its listener and its idle connections, so clients had no gateway until the
+    next start. It goes on accepting and serving until its shutdown ends.
+    """
     monkeypatch.setattr("query_gateway.lifecycle.shutdown.LAST_CALL_SECONDS", 600.0)
     with gateway_with_successor(tmp_path, Engine()) as (gateway, link):
         assert gateway.hot_upgrade
@@ -194,6 +225,11 @@
 
 @pytest.mark.parametrize("step", ["connected", "hello", "ready"])
 def test_predecessor_keeps_serving_when_its_successor_dies_at_any_step(step: str, tmp_path: Path) -> None:
+    """A successor dies at one of the steps of a hot upgrade.
+
+    A predecessor that kept waiting for it would neither serve as before nor take another successor. It
+    notices the closed connection, serves on, and makes the same offer to the next one.
+    """
     with gateway_with_successor(tmp_path, Engine(), *(["ready"] if step == "ready" else [])) as (
         gateway,
         first_link,
@@ -222,7 +258,11 @@
 
 @pytest.mark.parametrize("step", ["connected", "offered", "ready", "leaving"])
 def test_successor_keeps_serving_when_its_predecessor_dies_at_any_step(step: str, tmp_path: Path) -> None:
-    """The successor is a gateway; the test plays the predecessor."""
+    """A predecessor dies at one of the steps of a hot upgrade; the test plays the predecessor.
+
+    A successor that kept waiting for its word would never become ready. It notices the closed connection,
+    becomes ready, and serves with what it has inherited so far.
+    """
     path, engine = str(tmp_path / "upgrade.sock"), Engine()
     http_listener = socket.create_server(("127.0.0.1", 0))
     with socket.socket(socket.AF_UNIX, socket.SOCK_SEQPACKET) as listener, ThreadPoolExecutor() as executor:
@@ -258,7 +298,11 @@
 
 
 def test_connection_in_transfer_to_a_successor_that_dies_ends_with_no_open_request(tmp_path: Path) -> None:
-    """Its client retries; open requests stay with the predecessor and are answered there."""
+    """A successor dies with a transferred connection that it has not read.
+
+    A request that was open on such a connection would be lost. Only idle connections are transferred: their
+    client sees a close and retries, while open requests stay with the predecessor and are answered there.
+    """
     engine = PausedReaderEngine(script={LOAD: ["mute"]})
     engine.may_read.set()
     with (
