--- a/query_gateway/composition.py
+++ b/query_gateway/composition.py
@@ -103,7 +103,7 @@
     forwarder.invariants.on_violation = lambda invariant, details: log(
         "invariant", f"{invariant.value} is violated: {details}"
     )
-    forwarder.request_trace = open_request_trace(os.environ)
+    forwarder.context.request_trace = open_request_trace(os.environ)
     for name in config.classes:
         forwarder.counters.add_class(name)
     return forwarder
@@ -148,7 +148,7 @@
     if path and operator.forwarder_count > 1:
         path = f"{path}.{core.options.number}"
     statements.restore(path, inherited.statement_costs if inherited else None)
-    core.forwarder.observer = statements
+    core.forwarder.context.observer = statements
     return statements
 
 
--- a/query_gateway/forwarder/forwarder.py
+++ b/query_gateway/forwarder/forwarder.py
@@ -1,11 +1,19 @@
-"""The forwarder: the table of open exchanges, between the servers, the engine clients and the planners."""
+"""The forwarder: the table of open exchanges, between the servers, the engine clients and the planners.
+
+A server calls `accept`; the planner of the request is notified; its actions come back to `apply`; exchanges
+call engine clients; what engine clients report goes up through the attempt and the exchange, and ends at the
+client and the planner. The modules import downwards only:
+
+    forwarder > exchange > engine_side > attempt > exchange_context > send_guard > slow_start_budgets
+"""
 
 from collections.abc import Callable
-from typing import Protocol
 
 from query_gateway.forwarder.attempt import AttemptTerms, outcome_of_unknown_request
 from query_gateway.forwarder.counters import Counters
 from query_gateway.forwarder.exchange import Exchange
+from query_gateway.forwarder.exchange_context import ExchangeContext, ForwardingEngineClient
+from query_gateway.forwarder.forwarder_state import ForwarderState
 from query_gateway.forwarder.invariants import InvariantChecks
 from query_gateway.forwarder.key_quarantine import KeyQuarantine
 from query_gateway.forwarder.messages import (
@@ -14,32 +22,25 @@
     Client,
     ClientRequest,
     Endpoint,
-    EngineClient,
     Notify,
-    QueryObserver,
     Verdict,
 )
 from query_gateway.forwarder.planner_routing import PlannerConnection, PlannerRouter
 from query_gateway.forwarder.send_guard import SendGuard
 from query_gateway.forwarder.slow_start_budgets import SlowStartBudgets
-from query_gateway.forwarder.trace import RequestTrace, TraceStep
+from query_gateway.forwarder.trace import TraceStep
 from query_gateway.model.actions import Action, Cancel, EndReason, Fail, Forward, Reject, SetTerms
-from query_gateway.model.endpoints import EndpointState, EndpointUpdateKind
-from query_gateway.model.events import EndpointUpdate, Request, SettingsUpdate
+from query_gateway.model.endpoints import EndpointUpdateKind
+from query_gateway.model.events import EndpointUpdate, Request
 from query_gateway.model.settings import Settings
 
 
-class ForwardingEngineClient(EngineClient, Protocol):
-    """An engine client as the forwarder is given it."""
-
-    streams_results: bool  # result pages go on as they come, else the result is collected first
-
-
 class Forwarder:
     """Accepts requests, carries out what planners decide, and owes each request one final answer.
 
-    It owns the exchanges and the endpoint table; the caller owns servers, engine clients and planners.
-    Planners are added at start, engine clients before the first request of their wire.
+    It owns the exchanges and the endpoint list; the caller owns servers, engine clients and planners.
+    Planners are added at start, engine clients before the first request of their wire. The trace and the
+    observer, if any, are set in `context`.
     """
 
     def __init__(
@@ -54,53 +55,69 @@
 
         `clock` gives nanoseconds and `call_at` takes its times. Requests beyond `max_exchanges` are rejected.
         """
-        self.settings = settings
         self.clock = clock
-        self.call_at = call_at
         self.max_exchanges = max_exchanges
-        self.engine_clients: dict[str, ForwardingEngineClient] = {}  # by wire
-        self.planners: list[PlannerConnection] = []
-        self.router = PlannerRouter(self.planners)
-        self.key_quarantine = KeyQuarantine(clock, call_at, self._pass_to_planner)
+        self.next_request_id = first_request_id
         self.exchanges: dict[int, Exchange] = {}  # by request id
         self.open_client_request_ids: set[str] = set()  # the clients' ids of the requests in `exchanges`
-        self.endpoints: dict[str, Endpoint] = {}  # by name
-        self.next_request_id = first_request_id
+        self.on_idle: Callable[[], None] = lambda: None  # called when the last exchange has ended
+        self.state = ForwarderState(settings)
+        self.engine_clients: dict[str, ForwardingEngineClient] = {}  # by wire
+        self.router = PlannerRouter()
+        self.key_quarantine = KeyQuarantine(clock, call_at, self._pass_to_planner)
         self.counters = Counters()
         self.invariants = InvariantChecks()
-        self.send_guard = SendGuard(self)
-        self.slow_start_budgets = SlowStartBudgets(settings)
-        self.request_trace: RequestTrace | None = None
-        self.observer: QueryObserver | None = None
-        self.on_idle: Callable[[], None] = lambda: None  # called when the last exchange has ended
+        self.slow_start_budgets = SlowStartBudgets()
+        self.context = ExchangeContext(
+            clock=clock,
+            call_at=call_at,
+            state=self.state,
+            engine_clients=self.engine_clients,
+            router=self.router,
+            send_guard=SendGuard(self.state, self.slow_start_budgets, clock, self.invariants),
+            counters=self.counters,
+            invariants=self.invariants,
+            on_settled=self._on_settled,
+        )
+
+    @property
+    def settings(self) -> Settings:
+        """The settings in force."""
+        return self.state.settings
+
+    @property
+    def endpoints(self) -> dict[str, Endpoint]:
+        """The endpoint list, by name."""
+        return self.state.endpoints
+
+    @property
+    def planners(self) -> list[PlannerConnection]:
+        """The planners, by index."""
+        return self.router.planners
 
     @property
     def open_request_count(self) -> int:
         """The requests that are not answered; an answered exchange may stay until its attempt has ended."""
         return sum(not exchange.answered for exchange in self.exchanges.values())
 
-    @property
-    def any_planner_connected(self) -> bool:
-        """Whether any planner can decide."""
-        return any(planner.connected for planner in self.planners)
-
     # ---- requests
 
     def accept(self, request: ClientRequest, client: Client, wire: str) -> Exchange:
         """Take a request; from here on one final answer is owed, which may be given before this returns."""
-        exchange = Exchange(self, self.next_request_id, request, client, wire)
+        exchange = Exchange(self.context, self.next_request_id, request, client, wire)
         self.next_request_id += 1
-        exchange.trace(TraceStep.ACCEPTED, _describe(request))
+        if self.context.request_trace:
+            exchange.trace(TraceStep.ACCEPTED, _describe(request))
         if answer := self._immediate_answer(exchange):
             exchange.answer(answer)
             return exchange
         self.exchanges[exchange.request_id] = exchange
         self.open_client_request_ids.add(request.client_request_id)
-        if request.fingerprint and self.observer:
-            self.observer.on_accepted(request)
-        exchange.timer = self.call_at(request.deadline, exchange.on_deadline)
-        if self.key_quarantine.applies_to(exchange):
-            self.key_quarantine.queue(exchange)
+        if request.fingerprint and self.context.observer:
+            self.context.observer.on_accepted(request)
+        exchange.timer = self.context.call_at(request.deadline, exchange.on_deadline)
+        if self.key_quarantine.applies_to(exchange.planner.index, request.key):
+            self.key_quarantine.queue(exchange.planner.index, exchange)
         else:
             self._pass_to_planner(exchange)
         return exchange
@@ -108,11 +125,11 @@
     def _immediate_answer(self, exchange: Exchange) -> Answer | None:
         """The answer to a request that is not even passed to a planner."""
         if len(self.exchanges) >= self.max_exchanges:
-            return self._rejection()  # guards the memory: more than could be served in time
+            return self._rejection()  # more than could be served in time would only fill the memory
         if exchange.request.client_request_id in self.open_client_request_ids:
             # An id stands for one request at the engines, so a second one cannot be sent beside it
             return Answer(Verdict.FAILED)
-        if not self.planners[exchange.planner_index].connected:
+        if not exchange.planner.connected:
             return self._rejection()
         return None
 
@@ -122,33 +139,20 @@
     def _pass_to_planner(self, exchange: Exchange) -> None:
         if exchange.answered:
             return
-        if not self.planners[exchange.planner_index].connected:
+        if not exchange.planner.connected:
             exchange.end_without_planner()
             return
-        request = exchange.request
         exchange.planner_notified = True
-        exchange.notify_planner(
-            Request(
-                request_id=exchange.request_id,
-                class_index=request.class_index,
-                deadline=request.deadline,
-                tenant=0,
-                table_group=request.table_group,
-                key=request.key,
-                estimated_work=request.estimated_work,
-                estimated_memory_mb=request.estimated_memory_mb,
-                is_retry=request.is_retry,
-            )
-        )
+        exchange.notify_planner(_request_event(exchange.request_id, exchange.request))
 
-    def release(self, exchange: Exchange) -> None:
-        """Forget an exchange that is answered and has no attempt in flight; else do nothing."""
-        if not exchange.answered or exchange.current_attempt or exchange.request_id not in self.exchanges:
+    def _on_settled(self, request_id: int) -> None:
+        """Forget an exchange that is answered and has no attempt in flight; a second call does nothing."""
+        exchange = self.exchanges.pop(request_id, None)
+        if exchange is None:
             return
-        del self.exchanges[exchange.request_id]
         self.open_client_request_ids.discard(exchange.request.client_request_id)
-        if exchange.request.fingerprint and self.observer:
-            self.observer.on_settled(exchange.request)
+        if exchange.request.fingerprint and self.context.observer:
+            self.context.observer.on_settled(exchange.request)
         if exchange.timer:
             exchange.timer.cancel()
         if not self.exchanges:
@@ -186,9 +190,9 @@
     def _answer(self, request_id: int, answer: Answer, reason: EndReason) -> None:
         exchange = self.exchanges.get(request_id)
         if exchange and not exchange.is_streaming:
-            exchange.trace(TraceStep.DECIDED, f"{answer.verdict.value} {reason.value}")
+            exchange.trace(TraceStep.DECIDED, answer.verdict.value, reason.value)
             exchange.answer(answer)
-            self.release(exchange)
+            exchange.settle()
 
     # ---- settings and endpoints
 
@@ -196,58 +200,55 @@
         self, settings: Settings, planner_settings: list[Settings], new_classes: tuple[int, ...]
     ) -> None:
         """Apply new settings to requests from here on; `planner_settings` has those of each planner."""
-        self.settings = self.slow_start_budgets.settings = settings
+        self.state.settings = settings
         for planner, own_settings in zip(self.planners, planner_settings, strict=True):
-            planner.settings = own_settings
-            planner.notify(SettingsUpdate(own_settings, new_classes))
+            planner.update_settings(own_settings, new_classes)
 
     def update_endpoints(self, endpoints: list[Endpoint], is_snapshot: bool) -> None:
         """Take in the endpoint list: a snapshot replaces what is known, else these entries have changed.
 
         Engine clients are updated before planners are notified: attempts may then go to the new endpoints.
         """
-        if is_snapshot:
-            self.endpoints = {}
-        for endpoint in endpoints:
-            self.endpoints[endpoint.info.name] = endpoint
-            self.slow_start_budgets.update_endpoint(endpoint.info)
+        for engine_name in self.state.update_endpoints(endpoints, is_snapshot):
+            self.slow_start_budgets.forget(engine_name)
         for engine_client in self.engine_clients.values():
             engine_client.update_endpoints(endpoints, is_snapshot)
         kind = EndpointUpdateKind.SNAPSHOT if is_snapshot else EndpointUpdateKind.DELTA
-        update = EndpointUpdate(kind, tuple(endpoint.info for endpoint in endpoints))
-        for planner in self.planners:
-            planner.notify(update)
-        removed = [
-            n for n, endpoint in self.endpoints.items() if endpoint.info.state is EndpointState.REMOVED
-        ]
-        for name in removed:
-            del self.endpoints[name]  # guards the table against growing with every engine that ever was
-        if removed or is_snapshot:
-            self.slow_start_budgets.keep_only(set(self.endpoints))
+        self.router.notify_all(EndpointUpdate(kind, tuple(endpoint.info for endpoint in endpoints)))
 
     # ---- planners
 
     def add_planner(self, notify: Notify, connected: bool, settings: Settings | None = None) -> None:
         """Add a planner; `settings`, if any, are sent to it whenever it connects."""
-        self.planners.append(PlannerConnection(notify, connected, settings))
+        self.router.add(notify, connected, settings)
 
     def on_planner_lost(self, planner_index: int) -> None:
         """End all exchanges of a planner and quarantine its keys until what it had in flight has ended."""
         self.planners[planner_index].connected = False
         self.key_quarantine.start(planner_index, self.settings.key_quarantine)
         for exchange in list(self.exchanges.values()):
-            if exchange.planner_index == planner_index:
+            if exchange.planner.index == planner_index:
                 exchange.end_without_planner()
 
     def on_planner_connected(self, planner_index: int) -> None:
-        """Send a planner that has started what it needs to decide: its settings, then all endpoints."""
-        planner = self.planners[planner_index]
-        planner.connected = True
-        if planner.settings:  # the settings it read at its start may number the classes otherwise
-            all_classes = tuple(range(len(planner.settings.classes)))
-            planner.notify(SettingsUpdate(planner.settings, all_classes))
+        """Let a planner that has started decide from here on."""
         endpoints = tuple(endpoint.info for endpoint in self.endpoints.values())
-        planner.notify(EndpointUpdate(EndpointUpdateKind.SNAPSHOT, endpoints))
+        self.planners[planner_index].connect(endpoints)
+
+
+def _request_event(request_id: int, request: ClientRequest) -> Request:
+    """The event that notifies a planner of a request."""
+    return Request(
+        request_id=request_id,
+        class_index=request.class_index,
+        deadline=request.deadline,
+        tenant=0,
+        table_group=request.table_group,
+        key=request.key,
+        estimated_work=request.estimated_work,
+        estimated_memory_mb=request.estimated_memory_mb,
+        is_retry=request.is_retry,
+    )
 
 
 def _describe(request: ClientRequest) -> str:
--- a/query_gateway/forwarder/key_quarantine.py
+++ b/query_gateway/forwarder/key_quarantine.py
@@ -1,54 +1,63 @@
 """Key quarantine: requests with a key wait for a while after their planner was lost.
 
-The lost planner may have had a request of the key at an engine. The quarantine gives that one time to end, so
-that the next request of the key does not overtake it.
+The lost planner may have had a request of the key at an engine, where it still runs. A restarted planner does
+not know of it and would send the next request of the key at once, so that the two change the same rows in
+either order. The quarantine gives the first one time to end.
+
+Inputs  the planner of the request, whether it has a key, and the duration of the quarantine (nanoseconds)
+Answer  whether the request must wait; those that wait are released together, in the order of their arrival
 """
 
 from collections.abc import Callable
+from typing import Generic, TypeVar
 
-from query_gateway.forwarder.exchange import Exchange
 from query_gateway.forwarder.messages import CallAt
 
+Waiting = TypeVar("Waiting")  # what waits for the end of a quarantine
+
 
-class KeyQuarantine:
-    """The quarantine of each planner's keys, and the exchanges that wait for its end, in order of arrival."""
+class KeyQuarantine(Generic[Waiting]):
+    """The quarantine of each planner's keys, and what waits for its end in the order of arrival."""
 
     def __init__(
-        self, clock: Callable[[], int], call_at: CallAt, on_released: Callable[[Exchange], None]
+        self, clock: Callable[[], int], call_at: CallAt, on_released: Callable[[Waiting], None]
     ) -> None:
-        """`on_released` takes each exchange when its quarantine has ended, those of a planner in order."""
+        """`on_released` takes what has waited when its quarantine has ended, that of one planner in order."""
         self.clock = clock
         self.call_at = call_at
         self.on_released = on_released
         self.ends_at: dict[int, int] = {}  # clock time by planner
-        self.queues: dict[int, list[Exchange]] = {}  # by planner; absent when empty
+        self.queues: dict[int, list[Waiting]] = {}  # by planner; absent when empty
 
     def start(self, planner_index: int, duration: int) -> None:
         """Quarantine the keys of a planner from now on; one that is running is prolonged."""
         self.ends_at[planner_index] = self.clock() + duration
 
-    def applies_to(self, exchange: Exchange) -> bool:
-        """Whether the exchange must wait.
+    def applies_to(self, planner_index: int, key: str | None) -> bool:
+        """Whether a request with this key must wait.
 
-        It also waits behind a queue whose time is over but which was not released yet: else it would overtake
-        earlier requests of its key.
+        A request can come after the end of the quarantine and before the timer that releases the queue. It
+        would overtake earlier requests of its key, so it waits as long as there is a queue.
         """
-        if not exchange.request.key:
+        if not key:
             return False
-        index = exchange.planner_index
-        return index in self.queues or self.ends_at.get(index, 0) > self.clock()
+        return planner_index in self.queues or self.ends_at.get(planner_index, 0) > self.clock()
 
-    def queue(self, exchange: Exchange) -> None:
-        """Let the exchange wait for the end of the quarantine."""
-        waiting = self.queues.setdefault(exchange.planner_index, [])
-        waiting.append(exchange)
-        if len(waiting) == 1:
-            self._release_when_over(exchange.planner_index)
+    def queue(self, planner_index: int, waiting: Waiting) -> None:
+        """Let a request wait for the end of its planner's quarantine."""
+        queue = self.queues.setdefault(planner_index, [])
+        queue.append(waiting)
+        if len(queue) == 1:
+            self._release_when_over(planner_index)
 
     def _release_when_over(self, planner_index: int) -> None:
-        """Release the whole queue at once: guards its order against a request that comes at its end."""
+        """Release the queue, or wait on if the quarantine was prolonged.
+
+        It is released as a whole: if it were released one by one, a request that comes meanwhile could
+        overtake the rest.
+        """
         if self.ends_at[planner_index] > self.clock():
             self.call_at(self.ends_at[planner_index], lambda: self._release_when_over(planner_index))
             return
-        for exchange in self.queues.pop(planner_index, []):
-            self.on_released(exchange)
+        for waiting in self.queues.pop(planner_index, []):
+            self.on_released(waiting)
--- a/query_gateway/forwarder/send_guard.py
+++ b/query_gateway/forwarder/send_guard.py
@@ -1,96 +1,187 @@
-"""The one guard that every attempt passes, first as it starts and again as its first byte is about to leave.
+"""The send guard: every attempt passes it as it starts, and again as its first byte is about to leave.
 
-Between the two an attempt may wait, for a connection that comes up late or for an engine that does not read.
-A planner may also decide late, or on an old view. Whatever has changed meanwhile is found here.
+The scheduler plans an attempt; until its first byte leaves, time passes. The attempt may wait for a
+connection that comes up late or for an engine that does not read; a planner process may decide late, or on an
+outdated endpoint list. The guard therefore asks the same rules once more, at the last moment when the attempt
+can still be taken back, and on the state of this process.
+
+Inputs  the request with its deadline and client, its earlier attempts, the endpoint list in force, the
+        slow-start budgets, the clock (nanoseconds)
+Answer  None if the attempt may be sent, else a `SendRefusal`
+Reason  `policy.repetition` says until when a request may run once more, `policy.recovery_ramp` what an engine
+        in slow start takes; nothing is sent to an engine that is not up, or for a client that has left
+
+After the last byte `check_written` compares what has really left with the same rules. It prevents nothing: a
+violation shows a path that went around the guard.
 """
 
+from collections.abc import Callable
 from enum import Enum
-from typing import TYPE_CHECKING
+from typing import Final, Protocol
 
-from query_gateway.forwarder.invariants import Invariant
+from query_gateway.forwarder.forwarder_state import ForwarderState
+from query_gateway.forwarder.invariants import Invariant, InvariantChecks
+from query_gateway.forwarder.messages import Client, ClientRequest
+from query_gateway.forwarder.slow_start_budgets import SlowStartBudgets
 from query_gateway.model.endpoints import EndpointState
-from query_gateway.policy.repetition import may_run_twice, repeat_deadline
-
-if TYPE_CHECKING:
-    from query_gateway.forwarder.attempt import Attempt
-    from query_gateway.forwarder.exchange import Exchange
-    from query_gateway.forwarder.forwarder import Forwarder
+from query_gateway.policy.repetition import NEVER
 
-SENT_AFTER_END_NS = 100_000_000  # an attempt may be on its way to the socket as its client leaves
+# After its request has ended, an attempt may need so long from the guard to its last byte on the socket
+SEND_LATENCY_NS: Final = 100_000_000
 
 
-class HoldBack(Enum):
+class SendRefusal(Enum):
     """Why an attempt is not sent; the values stand in the trace."""
 
-    NOT_OPEN = "not-open"  # the request has its answer, or pages of one
-    SECOND_ATTEMPT = "second-attempt"  # another one is in flight
-    TOO_LATE = "too-late"  # its deadline, or the time in which a repeat is recognised, is over
-    MAY_HAVE_RUN = "may-have-run"  # and its class may not run twice
-    ENDPOINT_NOT_UP = "endpoint-not-up"  # it drains, was removed, or does not speak this wire
+    REQUEST_NOT_OPEN = "not-open"  # the request is answered, or its client has pages of a result
+    ATTEMPT_IN_FLIGHT = "second-attempt"  # another attempt of the request is in flight
+    TOO_LATE = "too-late"  # its deadline is over, or engines no longer recognise a duplicate
+    NOT_REPEATABLE = "may-have-run"  # an attempt may have run, and its class may not run twice
+    ENDPOINT_NOT_UP = "endpoint-not-up"  # the engine drains, was removed, or does not speak this wire
     CLIENT_LEFT = "client-left"
-    COLD_ENDPOINT = "cold-endpoint"  # its slow-start budget for this moment is used up
+    SLOW_START = "cold-endpoint"  # the engine's slow-start budget of this window is used up
+
+
+class GuardedAttempts(Protocol):
+    """What the guard reads of the attempts of a request."""
+
+    @property
+    def wire(self) -> str:
+        """The wire that they are sent on."""
+
+    @property
+    def repeat_deadline(self) -> int:
+        """Until when one more attempt may start, the client's deadline aside."""
+
+    @property
+    def has_attempt_in_flight(self) -> bool:
+        """Whether one of them has not ended."""
+
+    @property
+    def endpoints_in_flight(self) -> list[str]:
+        """The engines that have an attempt in flight."""
+
+
+class GuardedExchange(Protocol):
+    """What the guard reads of an exchange."""
+
+    @property
+    def request(self) -> ClientRequest:
+        """The request."""
+
+    @property
+    def client(self) -> Client:
+        """Its client."""
+
+    @property
+    def engine_side(self) -> GuardedAttempts:
+        """Its attempts."""
+
+    @property
+    def is_open(self) -> bool:
+        """Whether any attempt may still serve the request."""
+
+    @property
+    def abandoned(self) -> bool:
+        """Whether its client has left."""
+
+    @property
+    def ended_at(self) -> int | None:
+        """Since when no answer is owed; None: one is."""
+
+
+class GuardedAttempt(Protocol):
+    """What the guard reads of an attempt that has started."""
+
+    @property
+    def exchange(self) -> GuardedExchange:
+        """The exchange that it belongs to."""
+
+    @property
+    def endpoint(self) -> str:
+        """The engine that it goes to."""
+
+    @property
+    def in_flight(self) -> bool:
+        """Whether it has not ended."""
 
 
 class SendGuard:
     """Decides whether an attempt may be sent now."""
 
-    def __init__(self, forwarder: "Forwarder") -> None:
-        """Judge by the state of the forwarder's exchanges and endpoints."""
-        self.forwarder = forwarder
+    def __init__(
+        self,
+        state: ForwarderState,
+        budgets: SlowStartBudgets,
+        clock: Callable[[], int],
+        invariants: InvariantChecks,
+    ) -> None:
+        """Judge by the endpoint list and settings of `state`; violations are counted by `invariants`."""
+        self.state = state
+        self.budgets = budgets
+        self.clock = clock
+        self.invariants = invariants
 
-    def refusal_to_start(self, exchange: "Exchange", endpoint: str) -> HoldBack | None:
+    def refusal_to_start(self, exchange: GuardedExchange, endpoint: str) -> SendRefusal | None:
         """Why an attempt at an endpoint may not start; None if it may."""
         if not exchange.is_open:
-            return HoldBack.NOT_OPEN
-        if exchange.current_attempt is not None:
-            return HoldBack.SECOND_ATTEMPT
-        return self._refusal_now(exchange, endpoint)
+            return SendRefusal.REQUEST_NOT_OPEN
+        if exchange.engine_side.has_attempt_in_flight:
+            return SendRefusal.ATTEMPT_IN_FLIGHT
+        return self._refusal_at(exchange, endpoint, self.clock())
 
-    def refusal_to_write(self, attempt: "Attempt") -> HoldBack | None:
-        """Why an attempt that has started must not be written, just before its first byte would leave."""
+    def refusal_to_write(self, attempt: GuardedAttempt) -> SendRefusal | None:
+        """Why an attempt that has started must not be written; None if its first byte may leave now."""
         exchange = attempt.exchange
         if not exchange.is_open or not attempt.in_flight:
-            return HoldBack.NOT_OPEN
-        if refusal := self._refusal_now(exchange, attempt.endpoint):
+            return SendRefusal.REQUEST_NOT_OPEN
+        now = self.clock()
+        if refusal := self._refusal_at(exchange, attempt.endpoint, now):
             return refusal
-        # Last, as it looks at the socket: the client's end may have come since the loop's last poll
+        # A client that closes between two polls of the loop would have its request run for nobody. This looks
+        # at the client's socket itself, and comes late as it costs a system call
         if exchange.client.has_left():
-            return HoldBack.CLIENT_LEFT
-        budgets = self.forwarder.slow_start_budgets
-        work = exchange.request.estimated_work
-        if not budgets.allows(attempt.endpoint, work, self.forwarder.clock()):
-            return HoldBack.COLD_ENDPOINT
+            return SendRefusal.CLIENT_LEFT
+        engine = self.state.endpoints[attempt.endpoint].info
+        if not self.budgets.allows(engine, self.state.settings, exchange.request.estimated_work, now):
+            return SendRefusal.SLOW_START
         return None
 
-    def _refusal_now(self, exchange: "Exchange", endpoint: str) -> HoldBack | None:
-        if exchange.may_have_run and not may_run_twice(exchange.class_settings):
-            return HoldBack.MAY_HAVE_RUN
-        if self.forwarder.clock() >= exchange.send_deadline:
-            return HoldBack.TOO_LATE
-        known = self.forwarder.endpoints.get(endpoint)
-        if known is None or known.info.state is not EndpointState.UP or exchange.wire not in known.addresses:
-            return HoldBack.ENDPOINT_NOT_UP
+    def _refusal_at(self, exchange: GuardedExchange, endpoint_name: str, now: int) -> SendRefusal | None:
+        """The rules of both moments."""
+        attempts = exchange.engine_side
+        repeat_deadline = attempts.repeat_deadline
+        if repeat_deadline == NEVER:
+            return SendRefusal.NOT_REPEATABLE
+        if now >= repeat_deadline or now >= exchange.request.deadline:
+            return SendRefusal.TOO_LATE
+        endpoint = self.state.endpoints.get(endpoint_name)
+        is_up = endpoint is not None and endpoint.info.state is EndpointState.UP
+        if endpoint is None or not is_up or attempts.wire not in endpoint.addresses:
+            return SendRefusal.ENDPOINT_NOT_UP
         return None
 
-    def note_written(self, attempt: "Attempt") -> None:
-        """Note that a request has left to its last byte, and count what is violated by that."""
-        exchange, now = attempt.exchange, self.forwarder.clock()
-        self.forwarder.slow_start_budgets.record(attempt.endpoint, exchange.request.estimated_work, now)
-        checks, subject = (
-            self.forwarder.invariants,
-            f"request {exchange.request.client_request_id} at {attempt.endpoint}",
-        )
-        ended_at = exchange.ended_at
-        ended_before = ended_at is not None and now > ended_at + SENT_AFTER_END_NS
-        abandoned = exchange.abandoned and ended_before
-        checks.check(not abandoned, Invariant.SENT_FOR_A_CLIENT, subject)
-        checks.check(not ended_before or abandoned, Invariant.SENT_WHILE_OPEN, subject)
-        in_time = now < exchange.request.deadline + SENT_AFTER_END_NS
-        checks.check(in_time, Invariant.SENT_IN_TIME, subject)
-        known = self.forwarder.endpoints.get(attempt.endpoint)
-        is_up = known is not None and known.info.state is EndpointState.UP
-        checks.check(is_up, Invariant.SENT_TO_AN_UP_ENDPOINT, subject)
-        in_flight = [other.endpoint for other in exchange.attempts if other.in_flight]
-        checks.check(len(in_flight) <= 1, Invariant.ONE_ATTEMPT, f"{subject}: {in_flight}")
-        repeat_until = repeat_deadline(exchange.class_settings, exchange.first_executed_at)
-        checks.check(now <= repeat_until + SENT_AFTER_END_NS, Invariant.REPEATED_SAFELY, subject)
+    def check_written(self, attempt: GuardedAttempt) -> None:
+        """Count an attempt that has left to its last byte, and every invariant that it violates."""
+        exchange, now = attempt.exchange, self.clock()
+        endpoint = self.state.endpoints.get(attempt.endpoint)
+        if endpoint is not None:
+            work = exchange.request.estimated_work
+            self.budgets.record(endpoint.info, self.state.settings, work, now)
+        if exchange.ended_at is not None and now > exchange.ended_at + SEND_LATENCY_NS:
+            was_abandoned = exchange.abandoned
+            violated = Invariant.SENT_FOR_CLIENT if was_abandoned else Invariant.SENT_WHILE_OPEN
+            self._report(violated, attempt)
+        if now >= exchange.request.deadline + SEND_LATENCY_NS:
+            self._report(Invariant.SENT_BEFORE_DEADLINE, attempt)
+        if endpoint is None or endpoint.info.state is not EndpointState.UP:
+            self._report(Invariant.SENT_TO_UP_ENDPOINT, attempt)
+        in_flight = exchange.engine_side.endpoints_in_flight
+        if len(in_flight) > 1:
+            self._report(Invariant.SINGLE_ATTEMPT, attempt, f": {in_flight}")
+        if now > exchange.engine_side.repeat_deadline + SEND_LATENCY_NS:
+            self._report(Invariant.REPEATED_SAFELY, attempt)
+
+    def _report(self, invariant: Invariant, attempt: GuardedAttempt, details: str = "") -> None:
+        client_request_id = attempt.exchange.request.client_request_id
+        self.invariants.report(invariant, f"request {client_request_id} at {attempt.endpoint}{details}")
--- a/query_gateway/forwarder/slow_start_budgets.py
+++ b/query_gateway/forwarder/slow_start_budgets.py
@@ -1,90 +1,119 @@
-"""What this process may send to an engine that has started lately, counted as it leaves.
+"""Slow-start budgets: how much work this process may still send to an engine that has started lately.
 
-The planner spaces the attempts at such an engine, but they may leave together all the same: behind a
-connection that came up late, or behind a planner process that stood still. This is the last bound, on the
-process's own part of what the engine bears.
+The scheduler spaces its attempts at such an engine (`policy.slow_start`), but they can leave together all the
+same: behind a connection that came up late, or behind a planner process that was suspended. The engine would
+be overloaded and fail. Therefore work is counted here as it leaves, and bounded within each window.
+
+Inputs  the engine's start and kind, the recovery ramp of the settings, the work sent within the last
+        `cold_overload_window`, and the part of the budget that belongs to this process
+Answer  whether one more attempt may leave now
+Reason  `cold_overload_factor` times the engine's present capacity is what it takes within a window; chance
+        may bring more than the scheduler planned, so a statistical allowance is added
+
+Times are clock times in nanoseconds. Work is in nanoseconds on one core.
 """
 
 import math
 from collections import deque
+from dataclasses import dataclass
+from typing import Final, NamedTuple
 
 from query_gateway.model.endpoints import EndpointInfo
 from query_gateway.model.settings import Settings
 from query_gateway.policy.recovery_ramp import is_in_slow_start, recovery_ramp
 
-DEFAULT_CORES = 1
-SMALL_BUDGET = 30.0  # requests, below which more is left to chance
-SMALL_CHANCE, CHANCE = 3.0, 2.0  # roots of the budget that are left to chance
-SMALL_MORE, MORE = 3.0, 2.0  # requests on top of that
-MIN_CHANCE = 2.0  # requests of one process: with many of them its part of the budget is under one
+DEFAULT_CORES: Final = 1  # of an engine, where the settings name no kinds
+
+
+@dataclass(slots=True, frozen=True)
+class StatisticalAllowance:
+    """By how much a random number of requests may exceed the expected one.
+
+    The number of requests within a window has about the square root of its expectation as standard deviation.
+    """
+
+    standard_deviations: float
+    extra_requests: float
+
+    def above(self, expected_requests: float) -> float:
+        """The allowance in requests."""
+        return self.standard_deviations * math.sqrt(expected_requests) + self.extra_requests
+
+
+SMALL_BUDGET_REQUESTS: Final = 30.0  # a budget of fewer requests counts as small
+SMALL_BUDGET_ALLOWANCE: Final = StatisticalAllowance(standard_deviations=3.0, extra_requests=3.0)
+LARGE_BUDGET_ALLOWANCE: Final = StatisticalAllowance(standard_deviations=2.0, extra_requests=2.0)
+# Of one process. Where many processes divide a budget, the part of each is below one request
+MIN_ALLOWANCE_REQUESTS: Final = 2.0
+
+
+class _SentWork(NamedTuple):
+    """The work of one attempt that has left."""
+
+    sent_at: int
+    work: float
 
 
 class SlowStartBudgets:
-    """Counts what leaves for each engine in slow start."""
-
-    def __init__(self, settings: Settings, process_count: int = 1) -> None:
-        """`process_count`: forwarders of this gateway, which divide its part."""
-        self.settings, self.process_count = settings, process_count
-        self.share = 1.0  # of the gateway's part, while it is divided with another process of a hot upgrade
-        self._engines: dict[str, EndpointInfo] = {}
-        # By engine: what has left within the window, as clock time and work (nanoseconds)
-        self._sends: dict[str, deque[tuple[int, float]]] = {}
-
-    def update_endpoint(self, info: EndpointInfo) -> None:
-        """Take in what the list says of an engine."""
-        before = self._engines.get(info.name)
-        if before is None or before.started_at != info.started_at:
-            self._sends.pop(info.name, None)
-        self._engines[info.name] = info
-
-    def keep_only(self, names: set[str]) -> None:
-        """Forget engines that are no longer listed."""
-        self._engines = {name: info for name, info in self._engines.items() if name in names}
-        self._sends = {name: sends for name, sends in self._sends.items() if name in names}
-
-    def allows(self, engine: str, work: int | None, now: int) -> bool:
-        """Whether the engine can bear one more attempt now.
-
-        `work` is its estimate in nanoseconds. Without one, or outside slow start, nothing is bounded here.
+    """Counts the work that leaves for each engine in slow start."""
+
+    def __init__(self, process_count: int = 1) -> None:
+        """`process_count`: the forwarder processes of this gateway, which divide its budget evenly."""
+        self.process_count = process_count
+        # The part of this process's budget that it may use, 0 to 1: below 1 while it divides the budget with
+        # the other process of a hot upgrade
+        self.share = 1.0
+        self._sent: dict[str, deque[_SentWork]] = {}  # by engine: what has left within the last window
+
+    def allows(self, engine: EndpointInfo, settings: Settings, work: int | None, now: int) -> bool:
+        """Whether one more attempt with this estimated work may leave for the engine now.
+
+        Attempts without an estimate, and those at an engine that is not in slow start, always may.
         """
-        info = self._in_slow_start(engine, now)
-        if info is None or not work:
+        if not self._is_bounded(engine, settings, now) or not work:
             return True
-        sends = self._recent_sends(engine, now)
-        used = math.fsum(sent for _, sent in sends) + work
-        mean_work = used / (len(sends) + 1)
-        return used <= self._allowed(info, now - info.started_at, mean_work)
-
-    def record(self, engine: str, work: int | None, now: int) -> None:
-        """Count an attempt that has left."""
-        if work and self._in_slow_start(engine, now):
-            self._recent_sends(engine, now).append((now, float(work)))
-
-    def _in_slow_start(self, engine: str, now: int) -> EndpointInfo | None:
-        """What is known of the engine, if it is in slow start."""
-        info = self._engines.get(engine)
-        if info is None:
-            return None
-        if not is_in_slow_start(self.settings, info.started_at, now):
-            self._sends.pop(engine, None)
-            return None
-        return info
-
-    def _recent_sends(self, engine: str, now: int) -> deque[tuple[int, float]]:
-        sends = self._sends.setdefault(engine, deque())
-        while sends and sends[0][0] <= now - self.settings.cold_overload_window:
-            sends.popleft()
-        return sends
-
-    def _allowed(self, info: EndpointInfo, age: int, mean_work: float) -> float:
-        """Work (nanoseconds) that this process may send there within one window, with its part of chance."""
-        settings = self.settings
-        kinds = settings.cores_by_kind
-        cores = kinds[info.kind] if info.kind < len(kinds) else max(kinds, default=DEFAULT_CORES)
-        capacity = cores * recovery_ramp(settings).capacity_at(max(0, age))
-        whole = settings.cold_overload_factor * capacity * settings.cold_overload_window
-        requests = whole / mean_work
-        roots, more = (CHANCE, MORE) if requests >= SMALL_BUDGET else (SMALL_CHANCE, SMALL_MORE)
-        chance = roots * math.sqrt(requests) + more
-        part = self.share / (settings.instance_count * self.process_count)
-        return (requests * part + max(MIN_CHANCE, chance * part)) * mean_work
+        sent = self._sent_in_window(engine, settings, now)
+        used = math.fsum(attempt.work for attempt in sent) + work
+        mean_work = used / (len(sent) + 1)
+        return used <= self._allowed_work(engine, settings, now, mean_work)
+
+    def record(self, engine: EndpointInfo, settings: Settings, work: int | None, now: int) -> None:
+        """Count an attempt that has left to its last byte."""
+        if work and self._is_bounded(engine, settings, now):
+            self._sent_in_window(engine, settings, now).append(_SentWork(now, float(work)))
+
+    def forget(self, engine_name: str) -> None:
+        """Drop what was counted for an engine whose process has ended: a restarted one has run none of it."""
+        self._sent.pop(engine_name, None)
+
+    def _is_bounded(self, engine: EndpointInfo, settings: Settings, now: int) -> bool:
+        """Whether the engine is in slow start; what was counted for it goes as that ends."""
+        if is_in_slow_start(settings, engine.started_at, now):
+            return True
+        self._sent.pop(engine.name, None)
+        return False
+
+    def _sent_in_window(self, engine: EndpointInfo, settings: Settings, now: int) -> deque[_SentWork]:
+        sent = self._sent.setdefault(engine.name, deque())
+        while sent and sent[0].sent_at <= now - settings.cold_overload_window:
+            sent.popleft()
+        return sent
+
+    def _allowed_work(self, engine: EndpointInfo, settings: Settings, now: int, mean_work: float) -> float:
+        """What this process may send within one window, if its attempts have `mean_work` on average."""
+        age = max(0, now - engine.started_at)
+        capacity_in_cores = _cores(engine, settings) * recovery_ramp(settings).capacity_at(age)
+        gateways_budget = settings.cold_overload_factor * capacity_in_cores * settings.cold_overload_window
+        expected_requests = gateways_budget / mean_work
+        is_small = expected_requests < SMALL_BUDGET_REQUESTS
+        allowance = (SMALL_BUDGET_ALLOWANCE if is_small else LARGE_BUDGET_ALLOWANCE).above(expected_requests)
+        own_part = self.share / (settings.instance_count * self.process_count)
+        return (expected_requests * own_part + max(MIN_ALLOWANCE_REQUESTS, allowance * own_part)) * mean_work
+
+
+def _cores(engine: EndpointInfo, settings: Settings) -> int:
+    """The cores of an engine by its kind; of an unknown kind it counts as the largest."""
+    cores_by_kind = settings.cores_by_kind
+    if engine.kind < len(cores_by_kind):
+        return cores_by_kind[engine.kind]
+    return max(cores_by_kind, default=DEFAULT_CORES)
--- a/query_gateway/forwarder/trace.py
+++ b/query_gateway/forwarder/trace.py
@@ -8,11 +8,11 @@
     """What happens to a request; the values stand in the trace."""
 
     ACCEPTED = "accepted"
-    STARTED = "attempt-started"
-    HELD_BACK = "held-back"  # an attempt was not sent, by the send guard
-    WRITTEN = "attempt-written"
-    ENDED = "attempt-ended"
-    CANCELLED = "attempt-cancelled"
+    ATTEMPT_STARTED = "attempt-started"
+    SEND_REFUSED = "held-back"  # an attempt was not sent, by the send guard
+    ATTEMPT_WRITTEN = "attempt-written"
+    ATTEMPT_ENDED = "attempt-ended"
+    ATTEMPT_CANCELLED = "attempt-cancelled"
     DECIDED = "decided"  # a planner ends the request
     ANSWERED = "answered"
     ABANDONED = "abandoned"  # its client has left
@@ -22,5 +22,7 @@
 class RequestTrace(Protocol):
     """A sink for the steps of requests."""
 
-    def record(self, at: int, request_id: int, client_request_id: str, step: TraceStep, details: str) -> None:
+    def record(
+        self, clock_time: int, request_id: int, client_request_id: str, step: TraceStep, details: str
+    ) -> None:
         """Note one step at a clock time (nanoseconds)."""
--- a/query_gateway/lifecycle/planner_links.py
+++ b/query_gateway/lifecycle/planner_links.py
@@ -91,7 +91,7 @@
 
     def update_readiness(self) -> None:
         """Without any planner the gateway is not ready."""
-        self.readiness.set_planner_available(self.forwarder.any_planner_connected)
+        self.readiness.set_planner_available(self.forwarder.router.any_connected)
 
     def ejected_endpoints(self) -> set[str]:
         """The engines that at least one planner gives nothing for now."""
--- a/query_gateway/lifecycle/request_trace.py
+++ b/query_gateway/lifecycle/request_trace.py
@@ -23,13 +23,14 @@
         self._descriptor = os.open(path, os.O_WRONLY | os.O_APPEND | os.O_CREAT | os.O_CLOEXEC, 0o600)
         self._bytes_left = MAX_TRACE_BYTES
 
-    def record(self, at: int, request_id: int, client_request_id: str, step: TraceStep, details: str) -> None:
+    def record(
+        self, clock_time: int, request_id: int, client_request_id: str, step: TraceStep, details: str
+    ) -> None:
         """Write one step as a line."""
         if self._bytes_left <= 0:
             return
-        line = (
-            f"{loop_time_of(at):.6f} {os.getpid()} {request_id} {client_request_id} {step.value} {details}\n"
-        )
+        request = f"{request_id} {client_request_id}"
+        line = f"{loop_time_of(clock_time):.6f} {os.getpid()} {request} {step.value} {details}\n"
         try:
             self._bytes_left -= os.write(self._descriptor, line.encode())
         except OSError as error:
--- a/tests/test_exchange.py
+++ b/tests/test_exchange.py
@@ -3,7 +3,7 @@
 from collections.abc import Callable
 
 from query_gateway.configuration.settings_parser import parse_settings
-from query_gateway.forwarder.exchange import CANCEL_PROPAGATION_NS
+from query_gateway.forwarder.engine_side import CANCEL_PROPAGATION_NS
 from query_gateway.forwarder.forwarder import Forwarder
 from query_gateway.forwarder.messages import Answer, AttemptHandle, ClientRequest, Endpoint, Verdict
 from query_gateway.model.actions import Cancel, Forward, Reject
@@ -92,7 +92,8 @@
         return [event.request_id for event in self.events if isinstance(event, Request) and event.key]
 
     def end_last_attempt(self, code: OutcomeCode, request_id: int | None = None) -> None:
-        self.forwarder.exchanges[request_id or self.request_id].attempts[-1].on_ended(code)
+        exchange = self.forwarder.exchanges[request_id or self.request_id]
+        exchange.engine_side.attempts[-1].on_ended(code)
 
 
 def test_a_cancelled_attempt_counts_as_ended_when_its_cancellation_has_arrived() -> None:
--- a/tests/test_race_flight.py
+++ b/tests/test_race_flight.py
@@ -130,13 +130,12 @@
     else:
         engine_socket.shutdown(socket.SHUT_RDWR)
         turn_until(gateway, lambda: grpc.stream.closed)
-        assert not any(exchange.may_have_run for exchange in exchanges)
+        assert not any(exchange.engine_side.may_have_run for exchange in exchanges)
         exchanges = []
     # A partly sent message is incomplete too, so it never ran; its client still waits for it
     if exchanges:
-        assert exchanges[1].current_attempt is None and bool(exchanges[0].current_attempt) is (
-            event == "leaves"
-        )
+        assert exchanges[1].engine_side.current_attempt is None
+        assert bool(exchanges[0].engine_side.current_attempt) is (event == "leaves")
         connection_window = WindowUpdateFrame(0, window_increment=1_000_000).serialize()
         stream_window = WindowUpdateFrame(1, window_increment=1_000_000).serialize()
         engine_socket.sendall(SettingsFrame(0).serialize() + connection_window + stream_window)
@@ -163,7 +162,7 @@
     until(lambda: tcp_state(closed_connection.grpc.stream.sock) == CLOSE_WAIT)
     exchange = accept_flight_query(gateway, SQL)
     assert (
-        exchange.current_attempt
+        exchange.engine_side.current_attempt
         and pool.connections["e0"] is not closed_connection
         and not closed_connection.grpc.calls
     )
--- a/tests/test_send_guard.py
+++ b/tests/test_send_guard.py
@@ -2,6 +2,7 @@
 
 import copy
 from collections.abc import Callable
+from dataclasses import replace
 from typing import Any
 
 import pytest
@@ -9,6 +10,7 @@
 from query_gateway.configuration.settings_parser import parse_settings
 from query_gateway.forwarder.attempt import Attempt
 from query_gateway.forwarder.forwarder import Forwarder
+from query_gateway.forwarder.forwarder_state import ForwarderState
 from query_gateway.forwarder.invariants import Invariant
 from query_gateway.forwarder.messages import Answer, ClientRequest, Endpoint, Verdict
 from query_gateway.forwarder.slow_start_budgets import SlowStartBudgets
@@ -73,7 +75,9 @@
     def __init__(self) -> None:
         self.seen: list[tuple[TraceStep, str]] = []
 
-    def record(self, at: int, request_id: int, client_request_id: str, step: TraceStep, details: str) -> None:
+    def record(
+        self, clock_time: int, request_id: int, client_request_id: str, step: TraceStep, details: str
+    ) -> None:
         self.seen.append((step, details))
 
 
@@ -98,7 +102,7 @@
         self.forwarder.engine_clients["web"] = self.engine_client
         self.forwarder.add_planner(self.events.append, True)
         self.forwarder.invariants.on_violation = lambda invariant, _: self.violations.append(invariant)
-        self.forwarder.request_trace = self.steps
+        self.forwarder.context.request_trace = self.steps
         self.list_engines(EndpointState.UP, started_at)
         self.request_id = self.accept("1" * 16, class_index)
 
@@ -133,8 +137,8 @@
     def outcomes(self) -> list[OutcomeCode]:
         return [event.code for event in self.events if isinstance(event, AttemptOutcome)]
 
-    def held_back(self) -> list[str]:
-        return [details for step, details in self.steps.seen if step is TraceStep.HELD_BACK]
+    def send_refusals(self) -> list[str]:
+        return [details for step, details in self.steps.seen if step is TraceStep.SEND_REFUSED]
 
 
 def leave(world: World) -> None:
@@ -169,7 +173,7 @@
     world.forward()
     change(world)
     world.engine_client.write_all()
-    assert world.engine_client.written == [] and world.held_back() == [reason]
+    assert world.engine_client.written == [] and world.send_refusals() == [reason]
     assert world.outcomes() == [OutcomeCode.NOT_SENT] and not world.violations
 
 
@@ -190,18 +194,18 @@
     world.engine_client.write_all()
     attempt.on_ended(OutcomeCode.RESET)
     world.forward("b")
-    assert world.held_back() == ["b may-have-run"] and world.engine_client.held == []
+    assert world.send_refusals() == ["b may-have-run"] and world.engine_client.held == []
     world.forwarder.apply(Reject(world.request_id, 0))
     assert [a.verdict for a in world.client.answers] == [Verdict.FAILED]  # a rejection would be untrue
-    assert world.violations == [Invariant.REJECTED_TRULY]
+    assert world.violations == [Invariant.REJECTED_SAFELY]
 
 
 @pytest.mark.parametrize(
     ("change", "violation"),
     [
-        (drain, Invariant.SENT_TO_AN_UP_ENDPOINT),
+        (drain, Invariant.SENT_TO_UP_ENDPOINT),
         (lambda world: pass_time_after(world, answer), Invariant.SENT_WHILE_OPEN),
-        (lambda world: pass_time_after(world, abandon), Invariant.SENT_FOR_A_CLIENT),
+        (lambda world: pass_time_after(world, abandon), Invariant.SENT_FOR_CLIENT),
     ],
 )
 def test_what_leaves_past_the_guard_is_counted(change: Callable[[World], None], violation: Invariant) -> None:
@@ -232,9 +236,9 @@
     world.forwarder.apply(Reject(world.request_id, 0, EndReason.LATE))
     assert world.steps.seen == [
         (TraceStep.ACCEPTED, f"any deadline {105 * SEC}"),
-        (TraceStep.STARTED, "a number 0"),
-        (TraceStep.WRITTEN, "a"),
-        (TraceStep.ENDED, f"a {OutcomeCode.FULL.value}"),
+        (TraceStep.ATTEMPT_STARTED, "a number 0"),
+        (TraceStep.ATTEMPT_WRITTEN, "a"),
+        (TraceStep.ATTEMPT_ENDED, f"a {OutcomeCode.FULL.value}"),
         (TraceStep.DECIDED, "rejected late"),
         (TraceStep.ANSWERED, "rejected"),
     ]
@@ -260,55 +264,79 @@
 }  # 16 cores: 20 requests of a second's work at the start
 
 
-def cold_budgets(instances: int = 1, **more: Any) -> SlowStartBudgets:
-    raw = copy.deepcopy(SETTINGS)
-    raw["instances"] = instances
-    raw["rules"] |= {name.replace("_", "-"): value for name, value in COLD.items()}  # type: ignore[operator]
-    budgets = SlowStartBudgets(parse_settings(flatten_settings(raw)), **more)
-    budgets.update_endpoint(EndpointInfo("a", EndpointState.UP, 0, 0, 0, 100 * SEC, 1.0))
-    return budgets
+class EngineInSlowStart:
+    """An engine that started at 100 s, and the budget of one forwarder process for it."""
+
+    def __init__(self, instances: int = 1, process_count: int = 1) -> None:
+        raw = copy.deepcopy(SETTINGS)
+        raw["instances"] = instances
+        raw["rules"] |= {name.replace("_", "-"): value for name, value in COLD.items()}  # type: ignore[operator]
+        self.settings = parse_settings(flatten_settings(raw))
+        self.budgets = SlowStartBudgets(process_count)
+        self.info = EndpointInfo("a", EndpointState.UP, 0, 0, 0, 100 * SEC, 1.0)
+
+    def allows(self, now: int) -> bool:
+        """Whether a request of a second's work may leave."""
+        return self.budgets.allows(self.info, self.settings, SEC, now)
 
+    def send_all_allowed(self, now: int) -> int:
+        """Send requests at once until the budget is used up; how many these were."""
+        count = 0
+        while count < 1_000 and self.allows(now):
+            self.budgets.record(self.info, self.settings, SEC, now)
+            count += 1
+        return count
 
-def taken(budgets: SlowStartBudgets, now: int, work: int = SEC) -> int:
-    """How many requests leave at once."""
-    count = 0
-    while count < 1_000 and budgets.allows("a", work, now):
-        budgets.record("a", work, now)
-        count += 1
-    return count
+    def restart(self, started_at: int) -> None:
+        self.info = replace(self.info, started_at=started_at)
+        self.budgets.forget(self.info.name)
 
 
-def test_burst_to_a_cold_engine_is_bounded_by_its_budget_with_the_slack() -> None:
+def test_burst_to_an_engine_in_slow_start_is_bounded_by_its_budget_and_the_allowance() -> None:
     allowed = 20 + 3 * 20**0.5 + 3
-    assert taken(cold_budgets(), 100 * SEC) == int(allowed)
+    assert EngineInSlowStart().send_all_allowed(100 * SEC) == int(allowed)
 
 
 @pytest.mark.parametrize(("instances", "processes"), [(2, 1), (1, 2), (4, 2)])
 def test_processes_together_stay_within_the_budget(instances: int, processes: int) -> None:
     count = instances * processes
-    each = taken(cold_budgets(instances, process_count=processes), 100 * SEC)
+    each = EngineInSlowStart(instances, processes).send_all_allowed(100 * SEC)
     assert 0 < each * count <= 20 + 3 * 20**0.5 + 3
 
 
 def test_budget_returns_with_the_window_and_ends_with_slow_start() -> None:
-    budgets = cold_budgets()
-    first = taken(budgets, 100 * SEC)
-    assert not budgets.allows("a", SEC, 100 * SEC + 1)
-    assert taken(budgets, 101 * SEC) >= first
-    assert taken(budgets, 110 * SEC) == 1_000
+    engine = EngineInSlowStart()
+    first = engine.send_all_allowed(100 * SEC)
+    assert not engine.allows(100 * SEC + 1)
+    assert engine.send_all_allowed(101 * SEC) >= first
+    assert engine.send_all_allowed(110 * SEC) == 1_000
 
 
 def test_restart_of_an_engine_begins_a_budget_of_its_own() -> None:
-    budgets = cold_budgets()
-    taken(budgets, 100 * SEC)
-    budgets.update_endpoint(EndpointInfo("a", EndpointState.UP, 0, 0, 0, 100 * SEC + 1, 1.0))
-    assert budgets.allows("a", SEC, 100 * SEC + 2)
+    engine = EngineInSlowStart()
+    engine.send_all_allowed(100 * SEC)
+    engine.restart(100 * SEC + 1)
+    assert engine.allows(100 * SEC + 2)
+
+
+@pytest.mark.parametrize("is_snapshot", [True, False])
+def test_endpoint_list_tells_which_engines_have_restarted_or_are_no_longer_listed(is_snapshot: bool) -> None:
+    state = ForwarderState(settings({}))
+    kept, restarted, removed = (
+        Endpoint(EndpointInfo(name, EndpointState.UP, 0, 0, 0, 1, 1.0), {}) for name in "abc"
+    )
+    assert state.update_endpoints([kept, restarted, removed], True) == []
+    restarted = replace(restarted, info=replace(restarted.info, started_at=2))
+    removed = replace(removed, info=replace(removed.info, state=EndpointState.REMOVED))
+    change = [kept, restarted] if is_snapshot else [restarted, removed]
+    assert state.update_endpoints(change, is_snapshot) == ["b", "c"]
+    assert state.endpoints == {"a": kept, "b": restarted}
 
 
 def test_share_of_a_hot_upgrade_divides_the_budget() -> None:
-    whole, half = cold_budgets(), cold_budgets()
-    half.share = 0.5
-    assert taken(half, 100 * SEC) <= taken(whole, 100 * SEC) / 2 + 1
+    whole, half = EngineInSlowStart(), EngineInSlowStart()
+    half.budgets.share = 0.5
+    assert half.send_all_allowed(100 * SEC) <= whole.send_all_allowed(100 * SEC) / 2 + 1
 
 
 def test_attempts_behind_a_late_connection_to_a_cold_engine_do_not_leave_together() -> None:
@@ -321,7 +349,7 @@
     world.engine_client.write_all()
     allowed = 22 + 3 * 22**0.5 + 3  # it is a second old by then
     assert len(world.engine_client.written) <= allowed
-    assert set(world.held_back()) == {"a cold-endpoint"}
+    assert set(world.send_refusals()) == {"a cold-endpoint"}
     assert not world.violations
 
 
