--- a/query_gateway/forwarder/key_quarantine.py
+++ b/query_gateway/forwarder/key_quarantine.py
@@ -12,6 +12,8 @@
 from typing import Generic, TypeVar
 
 from query_gateway.forwarder.messages import CallAt
+from query_gateway.model.settings import Settings
+from query_gateway.policy.key_quarantine import key_quarantine_end
 
 Waiting = TypeVar("Waiting")  # what waits for the end of a quarantine
 
@@ -29,9 +31,9 @@
         self.ends_at: dict[int, int] = {}  # clock time by planner
         self.queues: dict[int, list[Waiting]] = {}  # by planner; absent when empty
 
-    def start(self, planner_index: int, duration: int) -> None:
+    def start(self, planner_index: int, settings: Settings) -> None:
         """Quarantine the keys of a planner from now on; one that is running is prolonged."""
-        self.ends_at[planner_index] = self.clock() + duration
+        self.ends_at[planner_index] = key_quarantine_end(settings, self.clock())
 
     def applies_to(self, planner_index: int, key: str | None) -> bool:
         """Whether a request with this key must wait.
