--- a/Makefile
+++ b/Makefile
@@ -3,8 +3,8 @@
 SOURCES = query_gateway tests bench example
 # Not the model's events, actions and settings: compiled, their fields lose the types that the IPC codec decodes by
 MODULE = $(filter-out %/__init__.py,$(wildcard query_gateway/policy/*.py)) \
-	$(addprefix query_gateway/model/,averages.py budgets.py costs.py estimates.py forecasts.py gossip.py \
-	key_queues.py learning.py records.py state.py units.py)
+	$(addprefix query_gateway/model/,averages.py budgets.py costs.py estimates.py fleet.py forecasts.py gossip.py \
+	key_queues.py learning.py records.py request_classes.py state.py units.py workload.py)
 COMPILED = query_gateway/*.so query_gateway/*/*.so *__mypyc*.so
 
 build: .venv/.installed query_gateway/.compiled
--- a/query_gateway/model/budgets.py
+++ b/query_gateway/model/budgets.py
@@ -3,7 +3,6 @@
 from collections import deque
 from dataclasses import dataclass, field
 
-from query_gateway.model.settings import Settings
 from query_gateway.model.units import SEC
 
 
@@ -32,17 +31,8 @@
     requests: deque[int] = field(default_factory=deque)
     retries: deque[int] = field(default_factory=deque)
 
-    def record_request(self, settings: Settings, now: int) -> None:
-        """Count a request, where the site limits retries."""
-        if settings.retry_allowance is not None:
-            self.requests.append(now)
-
-    def allows_retry(self, settings: Settings, now: int) -> bool:
-        """Whether one more retry stays within what the site allows for the requests of its window."""
-        if settings.retry_allowance is None:
-            return True
-        for sent in (self.requests, self.retries):
-            while sent and sent[0] <= now - settings.retry_window:
-                sent.popleft()
-        most = settings.retry_allowance + settings.retries_per_request * len(self.requests)
-        return len(self.retries) + 1 <= most
+    def forget_before(self, window_start: int) -> None:
+        """Forget what came at the start of the window or earlier."""
+        for times in (self.requests, self.retries):
+            while times and times[0] <= window_start:
+                times.popleft()
--- a/query_gateway/model/costs.py
+++ b/query_gateway/model/costs.py
@@ -1,13 +1,21 @@
-"""What the controller of the lag ratio weighs: the weight of requests, of rejections and of late answers."""
+"""The costs that the controller of the lag ratio compares: the weight of rejections and of late answers."""
 
 from dataclasses import dataclass, field
 
 from query_gateway.model.averages import DecayedAverage
 
 
+@dataclass(slots=True, frozen=True)
+class CostShares:
+    """Shares of the priority weight requested."""
+
+    rejected: float
+    late: float
+
+
 @dataclass(slots=True)
 class CostTotals:
-    """Decayed sums of weight, all of the same age."""
+    """Decayed sums of priority weight, all of the same age."""
 
     requested: DecayedAverage = field(default_factory=DecayedAverage)
     rejected: DecayedAverage = field(default_factory=DecayedAverage)
@@ -19,8 +27,9 @@
         self.rejected.add(rejected, now, decay)
         self.late.add(late, now, decay)
 
-    def shares(self) -> tuple[float, float]:
+    def shares(self) -> CostShares:
         """The shares of the weight requested that were rejected and that came late."""
         if self.requested.total <= 0:
-            return 0.0, 0.0
-        return self.rejected.total / self.requested.total, self.late.total / self.requested.total
+            return CostShares(0.0, 0.0)
+        requested = self.requested.total
+        return CostShares(self.rejected.total / requested, self.late.total / requested)
--- a/query_gateway/model/forecasts.py
+++ b/query_gateway/model/forecasts.py
@@ -3,6 +3,29 @@
 from bisect import bisect_left
 from dataclasses import dataclass
 from itertools import accumulate
+from typing import NamedTuple
+
+
+class QueuePlace(NamedTuple):
+    """The place of a query in a queue: by earliest deadline, then by the number of its request."""
+
+    due_at: int  # clock time, nanoseconds
+    request_id: int
+
+
+class ExpectedEnd(NamedTuple):
+    """When an attempt in flight should end, and the threads that it frees."""
+
+    remaining_time: float  # nanoseconds
+    threads: int
+
+
+class QueuedThreads(NamedTuple):
+    """The threads of one queued query."""
+
+    place: QueuePlace
+    threads: int
+    is_long: bool
 
 
 @dataclass(slots=True)
@@ -13,48 +36,49 @@
     completes_at: list[int]  # clock times, nanoseconds, ascending
     freed_threads: list[int]  # threads free by each of these times, as a running sum
 
-    def time_until_free(self, needed: float, used: int, limit: float, run_time: float, now: int) -> float:
+    def time_until_free(
+        self, needed: float, threads_in_use: int, limit: float, run_time: float, now: int
+    ) -> float:
         """Nanoseconds until `needed` threads more than the limit allows now have ended.
 
-        `used` are the threads in use now: what began or ended since the forecast moves the place by them.
+        `threads_in_use` is the number now: what began or ended since the forecast moves the index by it.
         Beyond the last known end, `run_time` (nanoseconds) is taken for each `limit` threads.
         """
         if not self.completes_at:
             return max(0.0, needed) / max(1.0, limit) * run_time
-        place = bisect_left(self.freed_threads, needed + self.freed_threads[-1] - max(used, 0))
-        if place < len(self.completes_at):
-            return max(0.0, float(self.completes_at[place] - now))
-        return max(0.0, self.completes_at[-1] - now) + max(0.0, needed - used) / max(1.0, limit) * run_time
+        index = bisect_left(self.freed_threads, needed + self.freed_threads[-1] - max(threads_in_use, 0))
+        if index < len(self.completes_at):
+            return max(0.0, float(self.completes_at[index] - now))
+        time_until_last = max(0.0, self.completes_at[-1] - now)
+        return time_until_last + max(0.0, needed - threads_in_use) / max(1.0, limit) * run_time
 
 
-def forecast_completions(
-    remaining: list[tuple[float, int]], now: int, valid_until: int
-) -> CompletionForecast:
-    """Build a forecast from the remaining run time (nanoseconds) and the threads of each attempt."""
-    ordered = sorted(remaining)
+def forecast_completions(ends: list[ExpectedEnd], now: int, valid_until: int) -> CompletionForecast:
+    """Build a forecast from the expected end of each attempt."""
+    ordered = sorted(ends)
     freed = list(accumulate(threads for _, threads in ordered))
     return CompletionForecast(valid_until, [now + int(time) for time, _ in ordered], freed)
 
 
 @dataclass(slots=True)
 class QueuedThreadIndex:
-    """Threads queued ahead of each place of a long queue, for short and for long classes."""
+    """Threads queued before each place of a long queue, of short and of long classes."""
 
     valid_until: int  # clock time, nanoseconds
-    orders: list[tuple[int, int]]  # deadline (nanoseconds) and request number of each place, ascending
-    threads: tuple[list[int], list[int]]  # running sums, of short and of long classes
-
-    def threads_ahead(self, order: tuple[int, int], is_long: bool) -> int:
-        """Threads queued before `order` by classes of the same length."""
-        return self.threads[is_long][bisect_left(self.orders, order)]
-
-
-def index_queued_threads(
-    places: list[tuple[tuple[int, int], int, bool]], valid_until: int
-) -> QueuedThreadIndex:
-    """Build the index from the order, the threads and the length of each place of a queue."""
-    sums: tuple[list[int], list[int]] = ([0], [0])
-    for _, threads, is_long in places:
-        for length in (0, 1):
-            sums[length].append(sums[length][-1] + threads * (is_long == length))
-    return QueuedThreadIndex(valid_until, [order for order, _, _ in places], sums)
+    places: list[QueuePlace]  # ascending
+    short_threads: list[int]  # running sums, from 0: one more than there are places
+    long_threads: list[int]
+
+    def threads_before(self, place: QueuePlace, is_long: bool) -> int:
+        """Threads queued before a place by classes of the same length."""
+        sums = self.long_threads if is_long else self.short_threads
+        return sums[bisect_left(self.places, place)]
+
+
+def index_queued_threads(queued: list[QueuedThreads], valid_until: int) -> QueuedThreadIndex:
+    """Build the index from what is queued, in order."""
+    short_sum, long_sum = [0], [0]
+    for _, threads, is_long in queued:
+        short_sum.append(short_sum[-1] + (0 if is_long else threads))
+        long_sum.append(long_sum[-1] + (threads if is_long else 0))
+    return QueuedThreadIndex(valid_until, [place for place, _, _ in queued], short_sum, long_sum)
--- a/query_gateway/model/settings.py
+++ b/query_gateway/model/settings.py
@@ -49,11 +49,6 @@
     allowed_zones: tuple[int, ...] | None
     allowed_kinds: tuple[int, ...] | None
 
-    def allows_placement(self, zone: int, kind: int) -> bool:
-        """Whether the class may run in this zone and on this kind of engine."""
-        in_zone = self.allowed_zones is None or zone in self.allowed_zones
-        return in_zone and (self.allowed_kinds is None or kind in self.allowed_kinds)
-
 
 @dataclass(slots=True, frozen=True)
 class Settings:
--- a/query_gateway/planner/learned_state.py
+++ b/query_gateway/planner/learned_state.py
@@ -11,7 +11,8 @@
 
 from query_gateway.model.averages import DecayedAverage, RunningMean
 from query_gateway.model.costs import CostTotals
-from query_gateway.model.records import ClassState, EngineState
+from query_gateway.model.records import EngineState
+from query_gateway.model.request_classes import ClassState
 from query_gateway.model.state import SchedulerState
 from query_gateway.policy.scheduler import Scheduler
 
@@ -59,7 +60,7 @@
     started_at: int
     log_slowdown: DecayedAverage
     fault_rate: float
-    last_heard_at: int
+    last_received_at: int
     ejected_until: int
     ejection_time: int
     warm_table_groups: list[float]
@@ -68,11 +69,11 @@
         """Put it into the record of the engine."""
         engine = self.state
         engine.started_at, engine.log_slowdown = self.started_at, self.log_slowdown
-        engine.fault_rate, engine.last_heard_at = self.fault_rate, self.last_heard_at
+        engine.fault_rate, engine.last_received_at = self.fault_rate, self.last_received_at
         engine.ejected_until, engine.ejection_time = self.ejected_until, self.ejection_time
         engine.warm_table_groups = self.warm_table_groups
         # Ejected and not heard since: one query at a time, as it was
-        engine.on_probation = self.ejected_until > self.last_heard_at
+        engine.on_probation = self.ejected_until > self.last_received_at
 
 
 @dataclass(slots=True, frozen=True)
@@ -88,10 +89,11 @@
 
     def restore(self, state: SchedulerState) -> None:
         """Put all of it into a scheduler's state."""
-        state.lag_ratio, state.usual_threads = self.lag_ratio, self.usual_threads
-        state.slowdown_samples, state.costs = self.slowdown_samples, self.costs
-        for known in self.classes:
-            known.restore()
+        state.controller.lag_ratio, state.controller.costs = self.lag_ratio, self.costs
+        state.fleet.usual_threads = self.usual_threads
+        state.fleet.slowdown_samples = self.slowdown_samples
+        for request_class in self.classes:
+            request_class.restore()
         for engine in self.engines:
             engine.restore()
 
@@ -126,15 +128,16 @@
 
     def encode(self, state: SchedulerState, class_indexes: Mapping[str, int]) -> dict[str, Any]:
         """All that a scheduler has learned."""
-        costs = (state.costs.requested, state.costs.rejected, state.costs.late)
+        controller, fleet = state.controller, state.fleet
+        costs = (controller.costs.requested, controller.costs.rejected, controller.costs.late)
         return {
             "version": VERSION,
-            "lag": state.lag_ratio,
-            "paces": self._average(state.slowdown_samples),
+            "lag": controller.lag_ratio,
+            "paces": self._average(fleet.slowdown_samples),
             "costs": [self._average(cost) for cost in costs],
-            "usual": state.usual_threads,
+            "usual": fleet.usual_threads,
             "classes": {name: self._class(state.classes[index]) for name, index in class_indexes.items()},
-            "engines": {engine.info.name: self._engine(engine) for engine in state.up[:MAX_ENGINES]},
+            "engines": {engine.info.name: self._engine(engine) for engine in fleet.snapshot.up[:MAX_ENGINES]},
         }
 
     def _time(self, time: int) -> int:
@@ -143,9 +146,10 @@
     def _average(self, average: DecayedAverage) -> list[float]:
         return [average.total, average.weight, self._time(average.updated_at)]
 
-    def _class(self, known: ClassState) -> dict[str, Any]:
-        means = {key: _encode_mean(getattr(known, attribute)) for key, attribute in MEANS.items()}
-        return {**means, "rate": self._average(known.slowdown), "first_span": known.longest_timeout}
+    def _class(self, request_class: ClassState) -> dict[str, Any]:
+        means = {key: _encode_mean(getattr(request_class, attribute)) for key, attribute in MEANS.items()}
+        slowdown = self._average(request_class.slowdown)
+        return {**means, "rate": slowdown, "first_span": request_class.longest_timeout}
 
     def _engine(self, engine: EngineState) -> list[Any]:
         return [
@@ -153,7 +157,7 @@
             self._time(engine.started_at),
             self._average(engine.log_slowdown),
             engine.fault_rate,
-            self._time(engine.last_heard_at),
+            self._time(engine.last_received_at),
             self._time(engine.ejected_until),
             engine.ejection_time,
             engine.warm_table_groups,
@@ -180,14 +184,14 @@
             slowdown_samples=self._average(raw["paces"]),
             costs=CostTotals(*costs),
             classes=[
-                self._class(state.classes[class_indexes[name]], known)
-                for name, known in raw["classes"].items()
+                self._class(state.classes[class_indexes[name]], values)
+                for name, values in raw["classes"].items()
                 if name in class_indexes
             ],
             engines=[
                 engine
                 for name, values in raw["engines"].items()
-                if (engine := self._engine(state.engines.get(name), values)) is not None
+                if (engine := self._engine(state.fleet.engines.get(name), values)) is not None
             ],
         )
 
@@ -199,22 +203,23 @@
         total, weight, updated_at = raw
         return DecayedAverage(_number(total), max(0.0, _number(weight)), self._time(updated_at))
 
-    def _class(self, known: ClassState, raw: Any) -> LearnedClass:
+    def _class(self, request_class: ClassState, raw: Any) -> LearnedClass:
         means = {attribute: _decode_mean(raw[key]) for key, attribute in MEANS.items()}
-        return LearnedClass(known, means, self._average(raw["rate"]), int(_number(raw["first_span"])))
+        longest_timeout = int(_number(raw["first_span"]))
+        return LearnedClass(request_class, means, self._average(raw["rate"]), longest_timeout)
 
     def _engine(self, engine: EngineState | None, raw: Any) -> LearnedEngine | None:
         """None for an engine that is unknown here or has started since: its past says nothing."""
         listed_start, started_at, slowdown, fault_rate, *times, ejection_time, table_groups = raw
         if engine is None or not _is_same_start(engine.info.started_at, self._time(listed_start)):
             return None
-        last_heard_at, ejected_until = (self._time(time) for time in times)
+        last_received_at, ejected_until = (self._time(time) for time in times)
         return LearnedEngine(
             state=engine,
             started_at=self._time(started_at),
             log_slowdown=self._average(slowdown),
             fault_rate=_number(fault_rate),
-            last_heard_at=last_heard_at,
+            last_received_at=last_received_at,
             ejected_until=ejected_until,
             ejection_time=int(_number(ejection_time)),
             warm_table_groups=[_number(group) for group in table_groups[:MAX_TABLE_GROUPS]],
--- a/query_gateway/policy/admission.py
+++ b/query_gateway/policy/admission.py
@@ -1,28 +1,41 @@
-"""Admission (UNIT 3.3): what comes is queued for its engine, or rejected at once.
+"""Admission (UNIT 3.3): a new request is queued for its engine, or rejected at once.
 
-A query passes if `lag ratio * earliest start + mean run time` lies before it is due, and if the weight of
-what it would make late is not above its own.
+A query is rejected, with the first of these reasons that applies:
+
+    LATE               now + lag ratio * start delay + run time is not before it is due
+    TOO_MANY_QUEUED    it would wait, and queries hold most of the connections that clients may have
+    OVER_QUOTA         it is beyond its tenant's quota, and its engine is saturated
+    ENDANGERS_OTHERS   it would make more priority weight late behind it than its own
+
+Inputs: the request, the expected run time of its class and the start delay of its best route (nanoseconds),
+the lag ratio. A query whose last attempt failed is admitted again by the same rules.
 """
 
+import math
+from typing import Final
+
 from query_gateway.model.actions import EndReason
 from query_gateway.model.events import Request
-from query_gateway.model.records import ClassState, EngineState, QueryState
+from query_gateway.model.forecasts import QueuePlace
+from query_gateway.model.records import DeadlineQueue, EngineState, QueryState
+from query_gateway.model.request_classes import ClassState
 from query_gateway.model.state import SchedulerState
 from query_gateway.model.units import MS
-from query_gateway.policy import answers, capacity, routing, tenants
+from query_gateway.policy import answers, capacity, retry_budget, routing, tenants
 from query_gateway.policy.controller import record_cost
-from query_gateway.policy.fleet_survey import FLEET_ESTIMATOR
+from query_gateway.policy.fleet_estimator import FLEET_ESTIMATOR
+from query_gateway.policy.saturation import is_saturated
+from query_gateway.policy.work_estimate import expected_work
 
-FULL_CLIENTS = 0.75  # share of the clients' connections taken from which nothing more is queued
-MIN_ESTIMATES = 5  # answers from which the error of a class's estimates is known
-CLIENT_JITTER_NS = 1 * MS  # by which a client's timeout may differ from one request to the next
+MAX_CONNECTION_SHARE: Final = 0.75  # of the clients' connections in use, from which nothing more is queued
+CLIENT_JITTER_NS: Final = 1 * MS  # by which a client's timeout may differ from one request to the next
 
 
 def arrive(state: SchedulerState, request: Request) -> None:
     """Take a new request in and decide whether it is admitted."""
     if request.request_id in state.queries or request.class_index >= len(state.classes):
         return
-    state.retry_budget.record_request(state.settings, state.now)
+    retry_budget.record_request(state.retry_budget, state.settings, state.now)
     query = _new_query(state, request, state.classes[request.class_index])
     state.queries[request.request_id] = query
     if request.key and query.settings.ordered_by_key:
@@ -32,55 +45,89 @@
     admit(state, query)
 
 
-def _new_query(state: SchedulerState, request: Request, known: ClassState) -> QueryState:
-    settings, remaining = known.settings, request.deadline - state.now
-    work = known.expected_work(request, MIN_ESTIMATES)
-    run_time = work / settings.threads * FLEET_ESTIMATOR.class_slowdown(state, known)
+def _new_query(state: SchedulerState, request: Request, request_class: ClassState) -> QueryState:
+    threads = request_class.settings.threads
+    work = expected_work(request_class, request)
+    due_at = min(state.now + _objective(state, request, request_class, work), request.deadline)
+    return QueryState(
+        request=request,
+        request_class=request_class,
+        arrived_at=state.now,
+        priority_weight=tenants.request_weight(state, request_class, request.tenant),
+        work=work,
+        run_time=work / threads * FLEET_ESTIMATOR.class_slowdown(state, request_class),
+        due_at=due_at,
+        place=QueuePlace(due_at, request.request_id),
+        max_attempts=state.settings.max_attempts,
+    )
+
+
+def _objective(state: SchedulerState, request: Request, request_class: ClassState, work: float) -> int:
+    """Nanoseconds that are left of a request's latency objective.
+
+    A client's retry has less time left than a first request of its class; what is missing has passed since
+    the first one, and is taken off.
+    """
+    settings, remaining = request_class.settings, request.deadline - state.now
     objective = settings.latency_objective + int(settings.objective_per_run_time * work / settings.threads)
     if not request.is_retry:
-        known.longest_timeout = max(known.longest_timeout, remaining)
-    elif remaining < known.longest_timeout - CLIENT_JITTER_NS:
-        # Its first request was so long ago, and that much of its objective has passed
+        request_class.longest_timeout = max(request_class.longest_timeout, remaining)
+    elif remaining < request_class.longest_timeout - CLIENT_JITTER_NS:
         objective -= max(0, settings.timeout - remaining)
-    due_at = min(state.now + objective, request.deadline)
-    weight, order = tenants.request_weight(state, known, request.tenant), (due_at, request.request_id)
-    most = state.settings.max_attempts
-    return QueryState(request, known, state.now, weight, work, run_time, due_at, order, most)
+    return objective
 
 
 def admit(state: SchedulerState, query: QueryState) -> None:
     """Check whether a query can be in time and what it endangers; it is queued for its engine or given up."""
-    delay, engine = routing.best_route(state, query) or (0.0, None)
+    route = routing.best_route(state, query)
+    engine, delay = (route.engine, route.start_delay) if route else (None, 0.0)
     if reason := _rejection_reason(state, query, engine, delay):
         answers.give_up(state, query, reason, delay)
         return
     query.queued_at, query.start_at = engine, state.now + delay
-    state.queue.add(query)
+    state.workload.queue.add(query)
     if engine:
-        engine.queue.add(query)
+        engine.workload.queue.add(query)
 
 
 def _rejection_reason(
     state: SchedulerState, query: QueryState, engine: EngineState | None, delay: float
 ) -> EndReason | None:
     """Why a query is not admitted; None if it is."""
-    if state.now + state.lag_ratio * delay + query.run_time >= query.due_at:
+    if state.now + state.controller.lag_ratio * delay + query.run_time >= query.due_at:
         return EndReason.LATE
-    # Guards clients who find no connection: each queued one keeps one, and only who gets in can be rejected
-    if delay > 0 and 0 < state.settings.max_client_connections * FULL_CLIENTS <= len(state.queries):
+    # Each queued query holds a connection of its client. With all of them held new clients find none, and
+    # time out without an answer; a client that gets in can at least be rejected.
+    if delay > 0 and _holds_most_connections(state):
         return EndReason.TOO_MANY_QUEUED
-    # Guards the others against a tenant's surplus: it weighs little, and at a saturated engine it delays all
-    surplus = query.priority_weight < query.settings.priority_weight
-    if engine is not None and surplus and engine.is_saturated():
+    # A tenant's requests beyond its quota have little weight, but at a saturated engine they delay all others
+    is_over_quota = query.priority_weight < query.settings.priority_weight
+    if engine is not None and is_over_quota and is_saturated(engine):
         return EndReason.OVER_QUOTA
     if engine and _endangered_weight(state, query, engine, delay) > query.priority_weight:
         return EndReason.ENDANGERS_OTHERS
     return None
 
 
+def _holds_most_connections(state: SchedulerState) -> bool:
+    """Whether the open queries hold most of the connections that clients may have, where a limit is known."""
+    limit = state.settings.max_client_connections * MAX_CONNECTION_SHARE
+    return 0 < limit <= len(state.queries)
+
+
 def _endangered_weight(state: SchedulerState, query: QueryState, engine: EngineState, delay: float) -> float:
-    """Weight queued behind a query that would come late because of it, and would not have."""
+    """Priority weight queued behind a query that would come late because of it, and would not have."""
     if delay <= 0:
         return 0.0
     limit = capacity.concurrency_limit(state, engine.cores, query.request_class)
-    return engine.queue.weight_made_late(query, query.run_time * query.settings.threads / max(1.0, limit))
+    added_delay = query.run_time * query.settings.threads / max(1.0, limit)
+    return weight_made_late(engine.workload.queue, query, added_delay)
+
+
+def weight_made_late(queue: DeadlineQueue, query: QueryState, added_delay: float) -> float:
+    """Priority weight from a query's place on that a delay (nanoseconds) would make late, and is not yet."""
+    return math.fsum(
+        other.priority_weight
+        for other in queue.queries_behind(query)
+        if 0 < other.due_at - other.start_at - other.run_time <= added_delay
+    )
--- a/query_gateway/policy/answers.py
+++ b/query_gateway/policy/answers.py
@@ -1,4 +1,13 @@
-"""How a query ends: rejected where that is true, failed where it may have run, or by its client."""
+"""How a query ends: rejected where that is true, failed where it may have run, or by its client.
+
+    no attempt may have run, or the client may retry     Reject: the client may send the request again
+    otherwise                                            Fail: it may have run
+
+Whether the client may retry is a rule of `repetition`. Attempts still in flight are cancelled where the site
+allows it. Times are nanoseconds.
+"""
+
+from typing import Final
 
 from query_gateway.model.actions import Cancel, EndReason, Fail, Reject
 from query_gateway.model.events import RequestAbandoned
@@ -8,7 +17,7 @@
 from query_gateway.policy.controller import record_cost
 from query_gateway.policy.repetition import client_may_retry
 
-MIN_RETRY_AFTER_NS = 100 * MS  # advice to a client; the period of the timer
+MIN_RETRY_AFTER_NS: Final = 100 * MS  # the period of the timer: less would not change the answer
 
 
 def give_up(state: SchedulerState, query: QueryState, reason: EndReason, start_delay: float = 0.0) -> None:
@@ -17,19 +26,31 @@
         return
     request_id, never_ran = query.request.request_id, not query.executed and not query.in_flight
     if never_ran or client_may_retry(query.settings):
-        wait = min(state.settings.max_retry_after, max(MIN_RETRY_AFTER_NS, int(start_delay)))
-        state.actions.append(Reject(request_id, wait if state.settings.allows_retry_after else 0, reason))
+        state.actions.append(Reject(request_id, retry_after(state, start_delay), reason))
     else:
         state.actions.append(Fail(request_id, reason))
-    late = state.now >= query.due_at or not never_ran
-    if not query.request.is_retry:
-        record_cost(
-            state, 0.0, 0.0 if late else query.priority_weight, query.priority_weight if late else 0.0
-        )
+    _record_cost(state, query, late=state.now >= query.due_at or not never_ran)
     query.ended = True
     _cancel_attempts(state, query)
 
 
+def retry_after(state: SchedulerState, start_delay: float) -> int:
+    """How long a rejected client is told to wait, in nanoseconds; 0: the site gives no such advice.
+
+    The expected start delay, between `MIN_RETRY_AFTER_NS` and the site's `max_retry_after`.
+    """
+    if not state.settings.allows_retry_after:
+        return 0
+    return min(state.settings.max_retry_after, max(MIN_RETRY_AFTER_NS, int(start_delay)))
+
+
+def _record_cost(state: SchedulerState, query: QueryState, late: bool) -> None:
+    """Count a query that was given up, as late or as rejected; a client's retry counts once, by the first."""
+    if not query.request.is_retry:
+        weight = query.priority_weight
+        record_cost(state, 0.0, 0.0 if late else weight, weight if late else 0.0)
+
+
 def mark_answered(state: SchedulerState, query: QueryState) -> None:
     """The request ended by an outcome or by its client."""
     if not query.ended and state.now > query.due_at and not query.request.is_retry:
@@ -38,7 +59,7 @@
 
 
 def abandon(state: SchedulerState, event: RequestAbandoned) -> None:
-    """A client has left: nobody waits for its query."""
+    """A client has left: nothing more of its query is needed."""
     query = state.queries.get(event.request_id)
     if query is not None and not query.ended:
         mark_answered(state, query)
@@ -47,13 +68,13 @@
 
 def _cancel_attempts(state: SchedulerState, query: QueryState) -> None:
     for attempt in query.in_flight:
-        cancel_attempt(state, query, attempt)
+        cancel_attempt(state, attempt)
     if not query.in_flight:
         state.forget(query)
 
 
-def cancel_attempt(state: SchedulerState, query: QueryState, attempt: AttemptState) -> None:
+def cancel_attempt(state: SchedulerState, attempt: AttemptState) -> None:
     """Cancel an attempt once, where the site allows it."""
     if state.settings.allows_cancellation and not attempt.cancelled:
         attempt.cancelled = True
-        state.actions.append(Cancel(query.request.request_id, attempt.number))
+        state.actions.append(Cancel(attempt.query.request.request_id, attempt.number))
--- a/query_gateway/policy/outliers.py
+++ b/query_gateway/policy/outliers.py
@@ -1,71 +1,69 @@
-"""Outlier detection: which engines are ejected, for how long, and how they come back by probation."""
+"""Outlier detection: which engines are ejected, and for how long.
+
+    in service --eject--> ejected --ejection time over--> on probation --answer--> in service
+                  ^                                            |
+                  +------------- fails: twice the time --------+
+
+Ejected: an engine that refuses connections or has no capacity, that ended too many attempts in error
+(`fault_rate`), or that is unresponsive (`unresponsive`). One broken connection only begins probation.
+While all engines that are up are ejected, ejections are ignored. Times are nanoseconds.
+"""
+
+from typing import Final
 
 from query_gateway.model.events import OutcomeCode
 from query_gateway.model.records import AttemptState, EngineState, QueryState
 from query_gateway.model.state import SchedulerState
 from query_gateway.model.units import MS, SEC
-from query_gateway.policy.fleet_survey import rate_penalty, survey_fleet
+from query_gateway.policy.fault_rate import record_answer
+from query_gateway.policy.fleet_snapshot import refresh_fleet_snapshot
+from query_gateway.policy.probation import begin_probation, record_received
+from query_gateway.policy.unresponsive import is_idle, is_unresponsive
 
-SILENT_RUNS = 6.0  # mean runs, summed over what is in flight, without a sign from an engine: e^-6 by chance
-SILENT_MIN_NS = 700 * MS  # and never in less than this, so that short pauses are no fault
-FIRST_EJECTION_NS = 500 * MS
-MAX_EJECTION_NS = 4 * SEC  # longer if answers are few
-MIN_EJECTION_JITTER = 0.75  # factor on an ejection time, drawn from here to half more
-FAULT_RATE_LIMIT = 0.3  # share of recent attempts that ended in error from which an engine is ejected
-FAULT_WEIGHT = 0.15  # weight of a new outcome in that share
+FIRST_EJECTION_NS: Final = 500 * MS
+MAX_EJECTION_NS: Final = 4 * SEC  # and the time between two answers of an engine on top of that
+MIN_EJECTION_JITTER: Final = 0.75  # factor on an ejection time, drawn from here to half more
+FAULT_RATE_LIMIT: Final = 0.3  # share of recent attempts that ended in error from which an engine is ejected
 
 
 def eject(state: SchedulerState, engine: EngineState) -> None:
-    """Eject an engine that failed; each probation that fails doubles the time."""
-    if state.now < engine.ejected_until:
+    """In service or on probation to ejected; each probation that fails doubles the time."""
+    if engine.is_ejected(state.now):
         return
-    longest = MAX_EJECTION_NS + state.answer_interval
+    longest = MAX_EJECTION_NS + state.fleet.snapshot.answer_interval
     engine.ejection_time = int(min(max(FIRST_EJECTION_NS, engine.ejection_time * 2), longest))
-    # Not all gateways come back at once
+    # Without jitter all gateways would send to the engine again in the same moment
     jitter = MIN_EJECTION_JITTER + state.random.random() / 2
     engine.ejected_until = state.now + int(engine.ejection_time * jitter)
-    engine.begin_probation(state.now)
-    survey_fleet(state, force=True)
+    begin_probation(engine, state.now)
+    refresh_fleet_snapshot(state, force=True)
 
 
 def eject_unresponsive(state: SchedulerState) -> None:
-    """Eject engines of which nothing was heard for so long that some attempt should have answered."""
-    for engine in state.engines.values():
-        if engine.in_flight:
-            hazard, silence = engine.silence_hazard(state.now)
-            if hazard > SILENT_RUNS and silence > SILENT_MIN_NS:
-                eject(state, engine)
-
-
-def record_lost_attempt(state: SchedulerState, engine: EngineState) -> None:
-    """An attempt got no answer from an engine that answers others."""
-    engine.fault_rate += FAULT_WEIGHT * (1 - engine.fault_rate)
-    rate_penalty(state, engine)
+    """Eject engines from which nothing came for too long."""
+    for engine in state.fleet.engines.values():
+        if is_unresponsive(engine, state.now):
+            eject(state, engine)
 
 
 def record_health(
     state: SchedulerState, engine: EngineState, query: QueryState, attempt: AttemptState, code: OutcomeCode
 ) -> None:
-    """What the end of an attempt says of the health of its engine."""
+    """Take in what the end of an attempt shows of the health of its engine."""
     if code in (OutcomeCode.OK, OutcomeCode.ERROR):
-        _record_answer(state, engine, query, code is OutcomeCode.ERROR)
+        record_received(engine, state.now)
+        record_answer(state, engine, query, code is OutcomeCode.ERROR)
+        if engine.fault_rate > FAULT_RATE_LIMIT:
+            eject(state, engine)
     elif code is OutcomeCode.RESET and not engine.on_probation:
-        # Guards a healthy engine against ejection for one broken connection: a dead one refuses the next
-        engine.begin_probation(state.now)
+        # One connection may break at a healthy engine, whose ejection would take its capacity from the fleet.
+        # Probation is enough: an engine that has died refuses the next connection, and is ejected then.
+        begin_probation(engine, state.now)
     elif code in (OutcomeCode.FULL, OutcomeCode.CONNECT_FAILED) or (
         code is OutcomeCode.RESET and attempt.sent_at >= engine.probation_since
     ):
-        # Guards a healthy engine against slow start: a process that has died says nothing
-        silent = state.now - engine.last_heard_at > SILENT_MIN_NS
-        engine.unreachable |= code is OutcomeCode.CONNECT_FAILED and silent
-        eject(state, engine)
-
-
-def _record_answer(state: SchedulerState, engine: EngineState, query: QueryState, failed: bool) -> None:
-    engine.record_sign_of_life(state.now)
-    # Where answers are few, each says more
-    engine.record_answer(query, failed, max(FAULT_WEIGHT, 1 / (2 + engine.log_slowdown.weight)))
-    if failed:
-        rate_penalty(state, engine)
-    if engine.fault_rate > FAULT_RATE_LIMIT:
+        # Taken for unreachable, an engine begins a slow start when it answers again. A healthy one that
+        # refused a single connection would lose most of its capacity for that; it has answered lately, a dead
+        # one not.
+        engine.unreachable |= code is OutcomeCode.CONNECT_FAILED and is_idle(engine, state.now)
         eject(state, engine)
--- a/query_gateway/policy/progress_review.py
+++ b/query_gateway/policy/progress_review.py
@@ -1,19 +1,34 @@
-"""Review of attempts in flight: each runs on, is cancelled to run elsewhere, or is given up."""
+"""Review of attempts in flight: each runs on, is cancelled to run elsewhere, or is given up.
+
+Each timer period, for the last attempt of each query where the site allows cancellation, the first that
+holds:
+
+    restart    the query is idempotent, there is time for one more attempt, and
+               its engine was ejected since the send or removed, or the attempt is lost, or, once a query,
+               it is overdue or its progress is far behind a fresh run
+    give up    the query is idempotent, and the attempt is lost, overdue where engines send no notes,
+               sure to end after its limit, or its limit has passed
+    run on     with a new priority if it has one by now
+
+The limit is the client's deadline, or the due time for a class whose late answers count for nothing. Only an
+idempotent query is cancelled: another one may have had its effect. Times are nanoseconds.
+"""
 
 import math
+from typing import Final
 
-from query_gateway.model.actions import EndReason, SetTerms
-from query_gateway.model.records import AttemptState, QueryState
+from query_gateway.model.actions import EndReason
+from query_gateway.model.records import AttemptState
 from query_gateway.model.state import SchedulerState
-from query_gateway.policy import answers, attempts, outliers
-from query_gateway.policy.fleet_survey import FLEET_ESTIMATOR
-from query_gateway.policy.routing import REMAINING_TIME
+from query_gateway.policy import answers, attempt_guard, attempt_terms, fault_rate, outliers
+from query_gateway.policy.fleet_estimator import FLEET_ESTIMATOR
+from query_gateway.policy.start_times import REMAINING_TIME
 
-LOST_NOTE_PERIODS = 1.6  # periods without a progress note after which an attempt is taken for lost
-PRIOR_LOG_SPREAD = 0.7  # of run times: about what cost estimates and slowdown leave
-OVERDUE_SPREADS = 1.8  # of the class's log run times past which a silent attempt is restarted, once
-RESTART_GAIN = 2.0  # times a fresh run that what remains must exceed before an attempt is restarted
-HOPELESS_OVERRUN = 1.3  # predicted end over the limit, from rough notes, that ends an attempt
+LOST_NOTE_PERIODS: Final = 1.6  # periods without a progress note after which an attempt is taken for lost
+PRIOR_LOG_SPREAD: Final = 0.7  # of run times of a class: about what cost estimates and slowdown leave
+OVERDUE_DEVIATIONS: Final = 1.8  # standard deviations of log run times over the expected one
+RESTART_GAIN: Final = 2.0  # times a fresh run that what remains must exceed before an attempt is restarted
+HOPELESS_OVERRUN: Final = 1.3  # predicted end over the limit, from rough notes, that ends an attempt
 
 
 def review_attempts(state: SchedulerState) -> None:
@@ -22,54 +37,67 @@
     for query in [query for query in state.queries.values() if query.in_flight and not query.ended]:
         attempt = query.in_flight[-1]
         if not attempt.cancelled and state.settings.allows_cancellation:
-            _review(state, query, attempt)
+            _review(state, attempt)
 
 
-def _review(state: SchedulerState, query: QueryState, attempt: AttemptState) -> None:
-    """By progress, the chance of finishing, and the work wasted."""
-    engine = attempt.engine
-    remaining = REMAINING_TIME.remaining_time(query, attempt, state.now)
-    ejected_since = state.now < engine.ejected_until and attempt.sent_at < engine.probation_since
-    engine_failed = ejected_since or not engine.listed
-    lost = _is_lost(state, query, attempt)
-    overdue = _is_overdue(state, query, attempt)
-    slow_plan = attempt.progress > 0 and remaining > RESTART_GAIN * query.run_time
-    wrong = query.restarts == 0 and (overdue or slow_plan)
-    in_time = attempts.has_time_for_attempt(query, state.now)
-    if query.is_idempotent and in_time and (engine_failed or lost or wrong):
+def _review(state: SchedulerState, attempt: AttemptState) -> None:
+    query = attempt.query
+    remaining = REMAINING_TIME.remaining_time(attempt, state.now)
+    engine_failed = _has_engine_failed(state, attempt)
+    lost = _is_lost(state, attempt)
+    overdue = _is_overdue(state, attempt)
+    is_far_behind = attempt.progress > 0 and remaining > RESTART_GAIN * query.run_time
+    may_restart_slow = query.restarts == 0 and (overdue or is_far_behind)
+    in_time = attempt_guard.has_time_for_attempt(query, state.now)
+    if query.is_idempotent and in_time and (engine_failed or lost or may_restart_slow):
         query.restarts += not engine_failed
-        answers.cancel_attempt(state, query, attempt)
+        answers.cancel_attempt(state, attempt)
         return
     limit = query.request.deadline if query.settings.late_weight > 0 else query.due_at
     hopeless = attempt.progress > 0 and remaining > HOPELESS_OVERRUN * (limit - state.now)
-    overdue_unseen = overdue and not state.settings.progress_interval
-    if query.is_idempotent and (lost or overdue_unseen or hopeless or state.now >= limit):
+    overdue_without_notes = overdue and not state.settings.progress_interval
+    if query.is_idempotent and (lost or overdue_without_notes or hopeless or state.now >= limit):
         answers.give_up(state, query, EndReason.ATTEMPT_LOST)
-    elif state.settings.heeds_priorities:
-        priority = attempts.priority(state, query)
-        if priority != query.priority:
-            query.priority = priority
-            state.actions.append(SetTerms(query.request.request_id, 0.0, priority))
+    else:
+        attempt_terms.update_priority(state, query)
+
 
+def _has_engine_failed(state: SchedulerState, attempt: AttemptState) -> bool:
+    """Whether an attempt's engine was ejected after the send, or is off the endpoint list.
 
-def _is_lost(state: SchedulerState, query: QueryState, attempt: AttemptState) -> bool:
-    """Guards against answers that never come from an engine that answers others: they count no threads."""
+    What was sent to an ejected engine on purpose, as all of them were ejected, is left to run.
+    """
+    engine = attempt.engine
+    ejected_since = engine.is_ejected(state.now) and attempt.sent_at < engine.probation_since
+    return ejected_since or not engine.listed
+
+
+def _is_lost(state: SchedulerState, attempt: AttemptState) -> bool:
+    """Whether the progress notes of an attempt have stopped; then it counts no threads from now on.
+
+    The answer of a single attempt may never come although its engine answers others. Its threads would count
+    as in use for ever, and the gateway would send that engine less and less.
+    """
     interval = state.settings.progress_interval
-    lost = interval > 0 and state.now - attempt.last_heard_at > LOST_NOTE_PERIODS * interval
+    lost = interval > 0 and state.now - attempt.last_note_at > LOST_NOTE_PERIODS * interval
     if lost and not attempt.lost:
-        state.mark_lost(query, attempt)
-        outliers.record_lost_attempt(state, attempt.engine)
+        state.mark_lost(attempt)
+        fault_rate.record_lost_attempt(state, attempt.engine)
     return lost
 
 
-def _is_overdue(state: SchedulerState, query: QueryState, attempt: AttemptState) -> bool:
-    """Whether an attempt without progress has run longer than its class does, even at this engine."""
-    error, enough = query.request_class.run_time_error, FLEET_ESTIMATOR.learned_samples
-    # Where notes tell how far a run is, only a spread that has been learned counts
+def _is_overdue(state: SchedulerState, attempt: AttemptState) -> bool:
+    """Whether an attempt without progress has run longer than its class does, even at this engine.
+
+    Until the spread of a class is learned a prior one counts as well: a class whose runs never end would
+    never show its spread, and its attempts would fill all engines. Where engines send progress notes those
+    show how far a run is, so there only a learned spread counts.
+    """
+    query, enough = attempt.query, FLEET_ESTIMATOR.learned_samples
+    error = query.request_class.run_time_error
     if attempt.progress or (state.settings.progress_interval and error.count < enough):
         return False
-    # Guards against a class that never ends a run, so never shows its spread, and fills all engines
     log_spread = error.spread(PRIOR_LOG_SPREAD, enough)
-    slower = max(0.0, attempt.engine.slowdown - state.fleet_slowdown)
-    longest = query.run_time * math.exp(OVERDUE_SPREADS * log_spread + slower)
+    slower = max(0.0, attempt.engine.snapshot.slowdown - state.fleet.snapshot.slowdown)
+    longest = query.run_time * math.exp(OVERDUE_DEVIATIONS * log_spread + slower)
     return state.now - attempt.sent_at > longest + state.settings.extra_run_time
--- a/query_gateway/policy/release.py
+++ b/query_gateway/policy/release.py
@@ -1,80 +1,122 @@
-"""Release of queued queries: each leaves by earliest deadline when an engine has room, or is given up."""
+"""Release of queued queries: each leaves by earliest deadline when an engine has capacity, or is given up.
+
+    given up as CLIENT_TIMEOUT    its client is about to give up
+    given up as LATE              half a run would end after it is due, and it may not run late
+    stays                         not next of its key, or no engine has capacity for it
+    leaves                        for its own engine if that was just found, else for that of least run time
+
+Inputs: the queue by earliest deadline, the capacity of each engine. Times are nanoseconds.
+"""
+
+from typing import Final
 
 from query_gateway.model.actions import EndReason
 from query_gateway.model.records import EngineState, QueryState
 from query_gateway.model.state import SchedulerState
 from query_gateway.model.units import MS
-from query_gateway.policy import answers, attempts, capacity, routing
+from query_gateway.policy import (
+    answers,
+    attempt_guard,
+    attempts,
+    capacity,
+    key_ordering,
+    placement,
+    routing,
+    start_times,
+)
+from query_gateway.policy.saturation import is_saturated
 
-CLIENT_MARGIN_NS = 200 * MS  # two timer periods before a client gives up, as one may come late
-LAST_CALL = 0.5  # of the run time that must be left to a queued query: runs scatter below the mean too
+CLIENT_MARGIN_NS: Final = 200 * MS  # two timer periods before a client gives up, as one may come late
+LAST_START_SHARE: Final = 0.5  # of the run time that must be left; some runs are that much shorter
 
 
 def release_queued(state: SchedulerState) -> None:
-    """Look at queued queries by earliest deadline; those that stay keep their order."""
-    queued = state.queue.entries
+    """Look at queued queries by earliest deadline; those that stay keep their order.
+
+    A long queue is looked over in full only once in a while, as each look takes time for every query; in
+    between only until both lengths of classes have found no capacity.
+    """
+    queue = state.workload.queue
+    queued = queue.entries
     if not queued:
         return
-    waiting = state.queue.entries = []
-    blocked: list[bool] = []  # lengths of classes of which a query found no room
-    # Guards the CPU where many are queued: between full looks, only until nothing more has room
-    full = state.now >= state.released_at + routing.QUEUED_AGE_NS * len(queued)
-    if full:
-        state.released_at = state.now
-    for place, (order, query) in enumerate(queued):
-        if not full and (len(blocked) == 2 or place == routing.EXACT_LENGTH):
-            waiting.extend(queued[place:])
+    staying = queue.entries = []
+    blocked_lengths: list[bool] = []  # `is_long` of classes of which a query found no capacity
+    is_full_look = state.now >= state.last_full_release_at + start_times.QUEUED_LIFETIME_NS * len(queued)
+    if is_full_look:
+        state.last_full_release_at = state.now
+    for index, entry in enumerate(queued):
+        if not is_full_look and (len(blocked_lengths) == 2 or index == start_times.EXACT_LENGTH):
+            staying.extend(queued[index:])
             break
-        engine = _release(state, query, blocked)
-        at = query.queued_at
-        if at and (query.ended or engine or not routing.is_usable(state, at, query)):
-            at.queue.remove(query)
-            query.queued_at = None
+        query = entry.query
+        engine = _release(state, query, blocked_lengths)
+        _leave_engine_queue(state, query, released=engine is not None)
         if engine:
             attempts.forward(state, query, engine)
         elif not query.ended:
-            waiting.append((order, query))
+            staying.append(entry)
+
+
+def _leave_engine_queue(state: SchedulerState, query: QueryState, released: bool) -> None:
+    """Take a query out of the queue of its engine once it has left or ended, or may not run there."""
+    engine = query.queued_at
+    if engine and (query.ended or released or not placement.is_usable(state, engine, query)):
+        engine.workload.queue.remove(query)
+        query.queued_at = None
 
 
-def _release(state: SchedulerState, query: QueryState, blocked: list[bool]) -> EngineState | None:
+def _release(state: SchedulerState, query: QueryState, blocked_lengths: list[bool]) -> EngineState | None:
     """The engine that a query leaves for now, if any; one that cannot be in time is given up."""
     if query.ended:
         return None
-    # Guards against a client's time that runs out between two looks at the queue
-    client_leaves = state.now + CLIENT_MARGIN_NS >= query.request.deadline
-    late = state.now + query.run_time * LAST_CALL >= query.due_at
-    if client_leaves or (late and not _is_worth_running_late(state, query)):
-        answers.give_up(state, query, EndReason.CLIENT_TIMEOUT if client_leaves else EndReason.LATE)
+    if reason := _give_up_reason(state, query):
+        answers.give_up(state, query, reason)
         return None
     is_long = query.request_class.is_long
-    if (is_long in blocked and not query.is_key_ordered) or not state.key_queues.is_next(query, state.now):
+    is_blocked = is_long in blocked_lengths and not query.is_key_ordered
+    if is_blocked or not key_ordering.is_next(state.key_queues, query, state.now):
         return None
-    engine = _engine_with_room(state, query)
-    if engine is None and query.attempt_count == 0 and is_long not in blocked:
-        blocked.append(is_long)
+    engine = _engine_with_capacity(state, query)
+    if engine is None and query.attempt_count == 0 and is_long not in blocked_lengths:
+        blocked_lengths.append(is_long)
     return engine
 
 
-def _is_worth_running_late(state: SchedulerState, query: QueryState) -> bool:
-    """Late as its key had to wait, which no rejection mends: it goes if those behind lose less by it."""
+def _give_up_reason(state: SchedulerState, query: QueryState) -> EndReason | None:
+    """Why a queued query must not wait any longer; None if it may."""
+    if state.now + CLIENT_MARGIN_NS >= query.request.deadline:
+        return EndReason.CLIENT_TIMEOUT
+    late = state.now + query.run_time * LAST_START_SHARE >= query.due_at
+    return EndReason.LATE if late and not _may_run_late(state, query) else None
+
+
+def _may_run_late(state: SchedulerState, query: QueryState) -> bool:
+    """Whether a query runs although it will be late, as its key had to wait, which no rejection mends.
+
+    It does where its late answer counts for more than what those behind it in its key lose, and where no
+    engine past slow start is saturated: there, other queries could be in time in its place.
+    """
     if not query.is_key_ordered:
         return False
-    if any(engine.is_saturated() for engine in state.up if not engine.in_slow_start):
-        return False  # its room is worth more to others
-    lost = state.key_queues.weight_lost_behind(query, state.now)
-    return lost < query.priority_weight * query.settings.late_weight
-
-
-def _engine_with_room(state: SchedulerState, query: QueryState) -> EngineState | None:
-    """The query's own engine or another with room: none stays idle while queries wait."""
-    own = query.queued_at
-    # Chosen just now, among all, as the one of least start delay
-    just_chosen = query.start_at <= query.arrived_at == state.now
-    if own and just_chosen and _may_start(state, own, query):
-        return own
+    past_slow_start = (engine for engine in state.fleet.snapshot.up if not engine.snapshot.in_slow_start)
+    if any(is_saturated(engine) for engine in past_slow_start):
+        return False
+    lost_weight = key_ordering.weight_lost_behind(state.key_queues, query, state.now)
+    return lost_weight < query.priority_weight * query.settings.late_weight
+
+
+def _engine_with_capacity(state: SchedulerState, query: QueryState) -> EngineState | None:
+    """The query's own engine or another with capacity: none stays idle while queries wait."""
+    own_engine = query.queued_at
+    # Routed in this batch, among all candidates, to the engine of least start delay
+    just_routed = query.start_at <= query.arrived_at == state.now
+    if own_engine and just_routed and _may_start(state, own_engine, query):
+        return own_engine
     ready = [engine for engine in routing.candidates(state, query) if _may_start(state, engine, query)]
     return min(ready, key=lambda engine: routing.expected_run_time(state, engine, query), default=None)
 
 
 def _may_start(state: SchedulerState, engine: EngineState, query: QueryState) -> bool:
-    return capacity.has_capacity(state, engine, query) and attempts.may_forward(state, query, engine)
+    has_capacity = capacity.has_capacity(state, engine, query)
+    return has_capacity and attempt_guard.may_forward(state, query, engine)
--- /dev/null
+++ b/query_gateway/policy/retry_budget.py
@@ -0,0 +1,26 @@
+"""Retry budget: how many retries a site allows for the requests of a sliding window.
+
+    retries within `retry_window` <= `retry_allowance` + `retries_per_request` * requests within
+    `retry_window`
+
+A site without a `retry_allowance` has no such limit. Retries of a fleet that fails would otherwise multiply
+its load just then.
+"""
+
+from query_gateway.model.budgets import RetryBudget
+from query_gateway.model.settings import Settings
+
+
+def record_request(budget: RetryBudget, settings: Settings, now: int) -> None:
+    """Count a request at a clock time (nanoseconds), where the site limits retries."""
+    if settings.retry_allowance is not None:
+        budget.requests.append(now)
+
+
+def allows_retry(budget: RetryBudget, settings: Settings, now: int) -> bool:
+    """Whether one more retry stays within the budget at a clock time (nanoseconds)."""
+    if settings.retry_allowance is None:
+        return True
+    budget.forget_before(now - settings.retry_window)
+    limit = settings.retry_allowance + settings.retries_per_request * len(budget.requests)
+    return len(budget.retries) + 1 <= limit
--- a/query_gateway/policy/scheduler.py
+++ b/query_gateway/policy/scheduler.py
@@ -1,13 +1,21 @@
 """The scheduler: which query goes to which engine, when, on what terms, or is rejected.
 
-Types: `query_gateway/model`; times are nanoseconds. UNIT (2.3, 3.2, 3.3): queued queries leave by earliest
-deadline; a query is admitted if `lag ratio * earliest start + mean run time` is before it is due, and if it
-makes no more weight late than its own; a controller moves the lag ratio. See `docs/design.md`.
+Events in, actions out; types: `query_gateway/model`; times are nanoseconds. For each batch of events:
+
+    1. the fleet snapshot is refreshed if that is due
+    2. the events are taken in: the endpoint list first, then outcomes and notes, requests, the review timer
+    3. the controller steps the lag ratio if that is due
+    4. queued queries are released to engines with capacity, or given up
+
+The algorithm is that of UNIT (2.3, 3.2, 3.3): queued queries leave by earliest deadline; a query is admitted
+if `lag ratio * earliest start + mean run time` is before it is due, and if it makes no more weight late than
+its own. Each decision in the order in which a request meets it: `docs/decisions.md`.
 """
 
 from collections.abc import Callable
+from dataclasses import dataclass
 from random import Random
-from typing import Any
+from typing import Any, Final
 
 from query_gateway.model import events as ev
 from query_gateway.model.actions import Action, SetTimer, WatchEndpoints
@@ -20,15 +28,23 @@
     answers,
     attempts,
     controller,
-    fleet_survey,
     progress_review,
     release,
 )
+from query_gateway.policy.fleet_snapshot import refresh_fleet_snapshot
+
+TIMER_PERIOD_NS: Final = 100 * MS  # how often attempts in flight are reviewed
+STALL_NS: Final = 500 * MS  # a batch so much later than the one before it shows a stall of this process
+WATCH_BACKOFF_NS: Final = 1 * SEC  # until the endpoint list is watched again after a failure
+PRIOR_WORK: Final = 1 / 12  # share of the client timeout, for each thread, taken as work before any sample
+
+
+@dataclass(slots=True, frozen=True)
+class EventHandler:
+    """What an event leads to, and its place among the events of a batch: lower ones come first."""
 
-TIMER_PERIOD_NS = 100 * MS  # how often attempts in flight are reviewed
-STALL_NS = 500 * MS  # a clock so much late was our own stall: silence meanwhile says nothing
-WATCH_BACKOFF_NS = 1 * SEC  # until the endpoint list is watched again after a failure
-PRIOR_WORK = 1 / 12  # share of the client timeout, for each thread, taken as work before any sample
+    stage: int
+    handle: Callable[[SchedulerState, Any], None]
 
 
 def _update_endpoints(state: SchedulerState, update: ev.EndpointUpdate) -> None:
@@ -36,27 +52,34 @@
         state.watch.fail(state.now + WATCH_BACKOFF_NS)
     else:
         state.update_endpoints(update)
-        fleet_survey.survey_fleet(state, force=True)
+        refresh_fleet_snapshot(state, force=True)
 
 
-def _review(state: SchedulerState, _: ev.TimerFired) -> None:
-    state.timer_armed = False
-    if not state.stalled:
+def _review_attempts(state: SchedulerState, _: ev.TimerFired) -> None:
+    state.timer.armed = False
+    if not state.timer.stalled:
         progress_review.review_attempts(state)
 
 
-# What each event leads to; what came at once is taken in by the number, the endpoint list first
-HANDLERS: dict[type, tuple[int, Callable[[SchedulerState, Any], None]]] = {
-    ev.EndpointUpdate: (0, _update_endpoints),
-    ev.AttemptOutcome: (1, attempts.record_outcome),
-    ev.ProgressNote: (1, attempts.record_note),
-    ev.GossipMessage: (1, SchedulerState.record_gossip),
-    ev.Request: (2, admission.arrive),
-    ev.RequestAbandoned: (2, answers.abandon),
-    ev.SettingsUpdate: (2, SchedulerState.update_settings),
-    ev.TimerFired: (3, _review),
+def _ignore(state: SchedulerState, event: Any) -> None:
+    """Take an event in that decides nothing."""
+
+
+HANDLERS: Final[dict[type, EventHandler]] = {
+    ev.EndpointUpdate: EventHandler(0, _update_endpoints),
+    ev.AttemptOutcome: EventHandler(1, attempts.record_outcome),
+    ev.ProgressNote: EventHandler(1, attempts.record_progress),
+    ev.GossipMessage: EventHandler(1, SchedulerState.record_gossip),
+    ev.Request: EventHandler(2, admission.arrive),
+    ev.RequestAbandoned: EventHandler(2, answers.abandon),
+    ev.SettingsUpdate: EventHandler(2, SchedulerState.update_settings),
+    ev.TimerFired: EventHandler(3, _review_attempts),
 }
-IGNORED = 1, lambda state, event: None  # of events that decide nothing
+IGNORED: Final = EventHandler(1, _ignore)
+
+
+def _handler(event: ev.Event) -> EventHandler:
+    return HANDLERS.get(type(event), IGNORED)
 
 
 class Scheduler:
@@ -72,21 +95,33 @@
         state = self.state
         state.actions = []
         state.started_at = state.started_at or now
-        # Guards against our own stalls: answers and list first, and no engine is blamed for our silence
-        state.stalled, state.now = state.timer_armed and now - state.now > STALL_NS, now
-        fleet_survey.survey_fleet(state)
-        for event in sorted(events, key=lambda event: HANDLERS.get(type(event), IGNORED)[0]):
-            HANDLERS.get(type(event), IGNORED)[1](state, event)
-        polls = state.settings.polls_endpoint_list
-        if polls and state.watch.begin(now):
-            state.actions.append(WatchEndpoints(True))
+        # While this process did not run, answers and list changes piled up unread. Reviewed before they are
+        # taken in, or by the time that passed, healthy engines would look unresponsive and be ejected.
+        state.timer.stalled, state.now = state.timer.armed and now - state.now > STALL_NS, now
+        refresh_fleet_snapshot(state)
+        for event in sorted(events, key=lambda event: _handler(event).stage):
+            _handler(event).handle(state, event)
+        self._watch_endpoints()
         controller.adjust_lag_ratio(state)
         release.release_queued(state)
-        if (state.queries or (polls and not state.watch.active)) and not state.timer_armed:
-            state.timer_armed = True
-            state.actions.append(SetTimer(TIMER_PERIOD_NS, 0))
+        self._arm_timer()
         return state.actions
 
+    def _watch_endpoints(self) -> None:
+        """Watch the endpoint list where the site has it polled."""
+        state = self.state
+        if state.settings.polls_endpoint_list and state.watch.begin(state.now):
+            state.actions.append(WatchEndpoints(True))
+
+    def _arm_timer(self) -> None:
+        """Set the timer while a query is open or the watch must begin again."""
+        state = self.state
+        needs_watch = state.settings.polls_endpoint_list and not state.watch.active
+        if (state.queries or needs_watch) and not state.timer.armed:
+            state.timer.armed = True
+            state.actions.append(SetTimer(TIMER_PERIOD_NS, 0))
+
     def ejected_endpoints(self, now: int) -> tuple[str, ...]:
         """Names of the engines that are up but ejected at the clock time `now`."""
-        return tuple(engine.info.name for engine in self.state.up if now < engine.ejected_until)
+        up = self.state.fleet.snapshot.up
+        return tuple(engine.info.name for engine in up if engine.is_ejected(now))
--- a/query_gateway/policy/slow_start.py
+++ b/query_gateway/policy/slow_start.py
@@ -1,18 +1,28 @@
 """Slow start: what an engine that started lately may be sent, as credits shared among all gateways.
 
-Each gateway has its place in a round, by its number and the engine's name. In each round it earns the credit
-for one query of a class when the engine can have done so many queries by then.
+    engine not in slow start     no limit here
+    engine in slow start         one query of a class for each credit of this gateway that is not spent
+
+What the engine can do grows by the recovery ramp (`recovery_ramp`). Of that, a class gets its share of the
+work, and the gateways take turns: each has its position in a round, by its number and the engine's name, and
+earns a credit for one query whenever the engine can have done a round of queries since. A credit lasts for
+one overload window, for long classes for a few. Credits of an age at which this gateway did not know of the
+start are not given out, nor those of an age at which the engine can hardly bear a few queries of the class.
+
+Inputs: the start of the engine (nanoseconds), its cores, the mean work of the class (nanoseconds over all
+threads), what was sent there lately. The forwarder's slow-start budgets bound again what really leaves.
 """
 
 import math
 from typing import Final
 from zlib import crc32
 
-from query_gateway.model.records import ClassState, EngineState
+from query_gateway.model.records import EngineState
+from query_gateway.model.request_classes import ClassState
 from query_gateway.model.state import SchedulerState
-from query_gateway.policy.recovery_ramp import is_in_slow_start, recovery_ramp
+from query_gateway.policy.recovery_ramp import RecoveryRamp, is_in_slow_start, recovery_ramp
 
-BUDGET_SHARE: Final = 0.4  # of the overload budget comes as credits: late ones meet others in one window
+BUDGET_SHARE: Final = 0.4  # of the overload budget comes as credits: late sends meet others in one window
 QUERIES_IN_BUDGET: Final = 5  # queries of a class that the budget must hold before one is sent
 LONG_CREDIT_WINDOWS: Final = 3  # windows that credits of long classes last, as each of many seldom has one
 RATED_BUSY_SHARE: Final = 0.85  # busy share of the cores that a rating as capacity means
@@ -20,30 +30,66 @@
 
 def has_credit(state: SchedulerState, engine: EngineState, request_class: ClassState) -> bool:
     """Whether slow start, if the engine is in it, allows one more query of a class."""
-    settings, age = state.settings, state.now - engine.started_at
+    settings = state.settings
     if not is_in_slow_start(settings, engine.started_at, state.now):
         return True
-    factor, window = settings.cold_overload_factor, settings.cold_overload_window
-    cores = engine.cores * RATED_BUSY_SHARE
-    rate = cores * min(1.0, factor * BUDGET_SHARE)
-    work, ramp = request_class.mean_work(), recovery_ramp(settings)
-    lifetime = window * (LONG_CREDIT_WINDOWS if request_class.is_long else 1)
-    # Guards the budget against credits that all saved up until they knew, or until it held a few so heavy
-    needed_capacity = work * QUERIES_IN_BUDGET / (cores * factor * window)
+    age, ramp = state.now - engine.started_at, recovery_ramp(settings)
+    lifetime = credit_lifetime_ns(state, request_class)
+    opens_at = _first_credited_age(state, engine, request_class, ramp, age - lifetime)
+    oldest_counted_at = state.now - lifetime
+    spent = sum(
+        sent_class is request_class
+        for sent_at, sent_class in engine.recent_sends
+        if sent_at > oldest_counted_at
+    )
+    if opens_at >= age:
+        return False
+    earned = _credits_at(state, engine, request_class, ramp, age)
+    return spent < earned - _credits_at(state, engine, request_class, ramp, opens_at)
+
+
+def credit_lifetime_ns(state: SchedulerState, request_class: ClassState) -> int:
+    """How long a credit of a class lasts, and a send counts against it."""
+    return state.settings.cold_overload_window * (LONG_CREDIT_WINDOWS if request_class.is_long else 1)
+
+
+def _first_credited_age(
+    state: SchedulerState,
+    engine: EngineState,
+    request_class: ClassState,
+    ramp: RecoveryRamp,
+    expired_age: int,
+) -> float:
+    """The age of an engine from which credits of a class count; those up to `expired_age` have expired.
+
+    If gateways that learn of a start late gave out the credits of the time before, or of classes so heavy
+    that the budget holds a few, all would send at once. The engine would be overloaded within one window.
+    """
+    factor, window = state.settings.cold_overload_factor, state.settings.cold_overload_window
+    rated_cores = engine.cores * RATED_BUSY_SHARE
+    needed_capacity = request_class.mean_work() * QUERIES_IN_BUDGET / (rated_cores * factor * window)
     # What a predecessor of this process sent may still count
     own_start = state.started_at + window if engine.started_at < state.started_at else 0
     known_age = max(engine.start_known_at, own_start) - engine.started_at
-    opens_at = max(known_age, ramp.age_at_capacity(needed_capacity), age - lifetime)
-    offset = crc32(engine.info.name.encode()) / 2**32
-    position = (settings.instance_index + 0.5) / settings.instance_count + offset
+    return max(known_age, ramp.age_at_capacity(needed_capacity), expired_age)
 
-    def credits_at(age: float) -> int:
-        """Credits that this gateway has earned by an age of the engine."""
-        done = rate * age * ramp.mean_capacity_until(age) * request_class.work_share / work
-        return math.floor(done * settings.slow_start_share / settings.instance_count + position)
 
-    spent = sum(sent is request_class for at, sent in engine.recent_sends if at > state.now - lifetime)
-    return opens_at < age and spent < credits_at(age) - credits_at(opens_at)
+def _credits_at(
+    state: SchedulerState, engine: EngineState, request_class: ClassState, ramp: RecoveryRamp, age: float
+) -> int:
+    """Credits for a class that this gateway has earned by an age of an engine."""
+    settings = state.settings
+    credited_cores = engine.cores * RATED_BUSY_SHARE * min(1.0, settings.cold_overload_factor * BUDGET_SHARE)
+    queries = (
+        credited_cores
+        * age
+        * ramp.mean_capacity_until(age)
+        * request_class.work_share
+        / request_class.mean_work()
+    )
+    offset = crc32(engine.info.name.encode()) / 2**32
+    position = (settings.instance_index + 0.5) / settings.instance_count + offset
+    return math.floor(queries * settings.slow_start_share / settings.instance_count + position)
 
 
 def record_send(state: SchedulerState, engine: EngineState, request_class: ClassState) -> None:
--- /dev/null
+++ b/query_gateway/policy/unresponsive.py
@@ -0,0 +1,48 @@
+"""Unresponsive engines: nothing has come from them for so long that some attempt should have answered.
+
+Inputs: the attempts in flight at an engine, with their expected run times, and when something was last
+received from it (nanoseconds). If run times are spread exponentially, an idle time of n mean runs, summed
+over the attempts, happens to a healthy engine with the probability e^-n.
+"""
+
+import math
+from dataclasses import dataclass
+from typing import Final
+
+from query_gateway.model.records import EngineState
+from query_gateway.model.units import MS
+
+MAX_IDLE_RUNS: Final = 6.0  # mean runs, summed over the attempts in flight; e^-6 is one in four hundred
+MIN_IDLE_NS: Final = 700 * MS  # an idle time up to this is no fault: engines pause shortly
+
+
+@dataclass(slots=True)
+class IdleHazard:
+    """How long an engine has been idle, while attempts are in flight there."""
+
+    runs: float  # mean runs, summed over the attempts
+    longest_ns: int
+
+
+def idle_hazard(engine: EngineState, now: int) -> IdleHazard:
+    """The idle time of an engine with attempts in flight. Raises ValueError if there are none."""
+    runs, longest_ns = [], []
+    for attempt in engine.in_flight.values():
+        idle_ns = now - max(engine.last_received_at, attempt.sent_at)
+        # A run that had lasted longer than expected before is expected to go on for as long again
+        runs.append(idle_ns / max(attempt.query.run_time, now - attempt.sent_at - idle_ns))
+        longest_ns.append(idle_ns)
+    return IdleHazard(math.fsum(runs), max(longest_ns))
+
+
+def is_unresponsive(engine: EngineState, now: int) -> bool:
+    """Whether an engine has been idle for too long for what is in flight there."""
+    if not engine.in_flight:
+        return False
+    hazard = idle_hazard(engine, now)
+    return hazard.runs > MAX_IDLE_RUNS and hazard.longest_ns > MIN_IDLE_NS
+
+
+def is_idle(engine: EngineState, now: int) -> bool:
+    """Whether nothing came from an engine for longer than a short pause."""
+    return now - engine.last_received_at > MIN_IDLE_NS
--- a/tests/test_decisions.py
+++ b/tests/test_decisions.py
@@ -18,9 +18,11 @@
     TimerFired,
 )
 from query_gateway.model.settings import Idempotency, MemoryShortage
-from query_gateway.policy import admission, capacity, controller, outliers, tenants
-from query_gateway.policy.fleet_survey import FLEET_ESTIMATOR
+from query_gateway.model.workload import ThreadsInUse
+from query_gateway.policy import capacity, controller, outliers, tenants
+from query_gateway.policy.fleet_estimator import FLEET_ESTIMATOR
 from query_gateway.policy.scheduler import Scheduler
+from query_gateway.policy.work_estimate import expected_work
 from tests.world import LOAD, MS, QUICK, REPORT, SEC, SITE, World, cancels, engine
 
 ONE = (engine("a"),)
@@ -95,7 +97,7 @@
             w.ask()
         for _ in range(60):
             w.ask()
-        told[places] = len(w.scheduler.state.queries), len(w.scheduler.state.queue.entries)
+        told[places] = len(w.scheduler.state.queries), len(w.scheduler.state.workload.queue.entries)
     assert told[0][0] > 40 >= told[40][0] and told[40][1] > 0
 
 
@@ -104,11 +106,11 @@
     scheduler.state.now = 10 * SEC
     controller.record_cost(scheduler.state, 10.0, 0.0, 2.0)
     controller.adjust_lag_ratio(scheduler.state)
-    assert scheduler.state.lag_ratio == pytest.approx(1.1)
+    assert scheduler.state.controller.lag_ratio == pytest.approx(1.1)
     scheduler.state.now += 2 * SEC
     controller.record_cost(scheduler.state, 0.0, 5.0, 0.0)
     controller.adjust_lag_ratio(scheduler.state)
-    assert scheduler.state.lag_ratio == pytest.approx(1.0)
+    assert scheduler.state.controller.lag_ratio == pytest.approx(1.0)
 
 
 def test_controller_is_idle_below_its_floor() -> None:
@@ -116,13 +118,13 @@
     scheduler.state.now = 10 * SEC
     controller.record_cost(scheduler.state, 1000.0, 1.0, 0.0)
     controller.adjust_lag_ratio(scheduler.state)
-    assert scheduler.state.lag_ratio == 1.0
+    assert scheduler.state.controller.lag_ratio == 1.0
 
 
 def test_marked_retries_do_not_swell_rejection_cost() -> None:
     world = World(engines=())
     world.ask(left=1 * MS, retry=True)
-    assert world.scheduler.state.costs.rejected.total == 0.0
+    assert world.scheduler.state.controller.costs.rejected.total == 0.0
 
 
 def test_a_retry_whose_objective_has_passed_is_rejected_at_once() -> None:
@@ -146,7 +148,7 @@
     assert cancels(w.last) == [(r.request_id, 0)]
     w.end(r.request_id, OutcomeCode.CANCELLED)
     assert w.sent[-1].request_id == r.request_id and w.sent[-1].endpoint != here
-    assert w.scheduler.state.engines[here].threads_in_use == [0, 0]
+    assert w.scheduler.state.fleet.engines[here].workload.threads_in_use == ThreadsInUse()
 
 
 def test_a_wrong_plan_is_restarted_once_by_its_notes() -> None:
@@ -201,7 +203,7 @@
     back = [s for s in w.sent[n:] if s.endpoint == dead]
     assert len(back) == 1
     w.end(back[0].request_id, OutcomeCode.OK)
-    assert w.scheduler.state.engines[dead].started_at > 0
+    assert w.scheduler.state.fleet.engines[dead].started_at > 0
 
 
 def test_an_odd_connect_to_an_engine_just_heard_does_not_begin_slow_start() -> None:
@@ -220,14 +222,14 @@
     while w.sent[-1].endpoint != odd:
         r = w.ask()
         w.end(r.request_id, OutcomeCode.OK)
-    assert w.scheduler.state.engines[odd].started_at == 0
+    assert w.scheduler.state.fleet.engines[odd].started_at == 0
 
 
 def test_a_reset_ejects_no_engine_but_begins_probation() -> None:
     """Guards sound engines: each connection that broke took one out for half a second or more."""
     w = World(engines=TWO)
     r = w.ask()
-    engine_of = w.scheduler.state.engines[w.sent[-1].endpoint]
+    engine_of = w.scheduler.state.fleet.engines[w.sent[-1].endpoint]
     w.end(r.request_id, OutcomeCode.RESET)
     assert engine_of.on_probation and engine_of.ejected_until == 0
     r = w.ask()
@@ -255,12 +257,12 @@
         w.end(r.request_id, OutcomeCode.ERROR)
         while r.request_id in w.scheduler.state.queries:
             w.end(r.request_id, OutcomeCode.OK if served else OutcomeCode.ERROR)
-    assert any(e.fault_rate > 0 for e in w.scheduler.state.engines.values()) is served
+    assert any(e.fault_rate > 0 for e in w.scheduler.state.fleet.engines.values()) is served
 
 
 def test_what_was_sent_to_a_ejected_engine_is_not_restarted_for_that() -> None:
     w = World(engines=(engine("a"),))
-    outliers.eject(w.scheduler.state, w.scheduler.state.engines["a"])
+    outliers.eject(w.scheduler.state, w.scheduler.state.fleet.engines["a"])
     r = w.ask()
     assert w.sent[-1].request_id == r.request_id
     assert not cancels(w.notify(TimerFired(0), after=100 * MS))
@@ -271,10 +273,10 @@
     r = w.ask()
     name = w.sent[-1].endpoint
     w.notify(EndpointUpdate(EndpointUpdateKind.DELTA, (engine(name, EndpointState.REMOVED),)))
-    assert name in w.scheduler.state.engines
+    assert name in w.scheduler.state.fleet.engines
     w.end(r.request_id, OutcomeCode.OK)
     w.notify(after=SEC)
-    assert name not in w.scheduler.state.engines
+    assert name not in w.scheduler.state.fleet.engines
 
 
 def test_engines_are_not_all_ejected() -> None:
@@ -294,16 +296,19 @@
     for name, x in (("a", 0.0), ("b", 1.5)):
         for _ in range(20):
             FLEET_ESTIMATOR.record_slowdown(
-                scheduler.state, scheduler.state.engines[name], scheduler.state.classes[0], math.exp(x)
+                scheduler.state, scheduler.state.fleet.engines[name], scheduler.state.classes[0], math.exp(x)
             )
     w.notify(TimerFired(0), after=200 * MS)
-    assert scheduler.state.engines["b"].penalty > 1.5 * scheduler.state.engines["a"].penalty
+    assert (
+        scheduler.state.fleet.engines["b"].snapshot.penalty
+        > 1.5 * scheduler.state.fleet.engines["a"].snapshot.penalty
+    )
     for _ in range(60):
         FLEET_ESTIMATOR.record_slowdown(
-            scheduler.state, scheduler.state.engines["a"], scheduler.state.classes[0], math.exp(1.5)
+            scheduler.state, scheduler.state.fleet.engines["a"], scheduler.state.classes[0], math.exp(1.5)
         )
     w.notify(TimerFired(0), after=200 * MS)
-    assert scheduler.state.engines["b"].penalty == pytest.approx(1.0, abs=0.1)
+    assert scheduler.state.fleet.engines["b"].snapshot.penalty == pytest.approx(1.0, abs=0.1)
 
 
 def test_memory_where_surplus_is_lost_follows_the_estimate_and_spills_raise_it() -> None:
@@ -342,7 +347,7 @@
         c.log_work.add(math.log(1e8) + (i % 2), 1 / 80)
         c.estimate_error.add(math.log(2.0), 1 / 80)
     w = World()
-    assert c.expected_work(w.request(cost=100 * MS), admission.MIN_ESTIMATES) == pytest.approx(2e8, rel=0.05)
+    assert expected_work(c, w.request(cost=100 * MS)) == pytest.approx(2e8, rel=0.05)
 
 
 @pytest.mark.parametrize(
@@ -457,7 +462,7 @@
     w = _with_key_held_up()
     for _ in range(40):
         FLEET_ESTIMATOR.record_slowdown(
-            w.scheduler.state, w.scheduler.state.engines["a"], w.scheduler.state.classes[0], 3.0
+            w.scheduler.state, w.scheduler.state.fleet.engines["a"], w.scheduler.state.classes[0], 3.0
         )
     w.notify(TimerFired(0), after=200 * MS)
     assert _rejected(w) == [2]
@@ -468,9 +473,9 @@
     calm = [w.ask(tables=float(i)) for i in range(8)]
     assert w.scheduler.state.queries[calm[-1].request_id].priority_weight == pytest.approx(0.1)
     assert len(w.sent) == len(calm)
-    for e in w.scheduler.state.engines.values():
+    for e in w.scheduler.state.fleet.engines.values():
         e.reported_load, e.reported_at = 1.0, w.now
-    w.scheduler.state.load_reports.add(1.0, w.now, SEC)
+    w.scheduler.state.fleet.load_reports.add(1.0, w.now, SEC)
     w.notify(TimerFired(0), after=200 * MS)
     over = w.ask()
     assert _rejected(w) == [over.request_id]
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -17,10 +17,12 @@
     ProgressNote,
     TimerFired,
 )
-from query_gateway.model.records import ClassState
+from query_gateway.model.request_classes import ClassState
 from query_gateway.model.settings import MemoryShortage
+from query_gateway.model.workload import ThreadsInUse
 from query_gateway.policy import capacity, slow_start, tenants
-from query_gateway.policy.fleet_survey import FLEET_ESTIMATOR
+from query_gateway.policy.fleet_estimator import FLEET_ESTIMATOR
+from query_gateway.policy.saturation import is_saturated
 from query_gateway.policy.scheduler import Scheduler
 from tests.world import LOAD, MS, QUICK, REPORT, SEC, SITE, World, cancels, engine
 
@@ -83,7 +85,7 @@
             for i, c in enumerate(w.scheduler.state.classes):
                 span[i] = (
                     span[i] + 200 * MS
-                    if slow_start.has_credit(w.scheduler.state, w.scheduler.state.engines["a"], c)
+                    if slow_start.has_credit(w.scheduler.state, w.scheduler.state.fleet.engines["a"], c)
                     else 0
                 )
                 longest[i] = max(longest[i], span[i])
@@ -94,20 +96,22 @@
 def test_one_among_many_learns_of_a_slow_engine_from_notes_before_anything_ends_there(instances: int) -> None:
     """Guards engines that jam: what ends first is what was quick, and one of 200 sees little else."""
     w = World(replace(SITE, instance_count=instances, classes=(QUICK, REPORT)), TWO)
-    slow = w.scheduler.state.engines["a"]
+    slow = w.scheduler.state.fleet.engines["a"]
     for _ in range(6):
         r = w.ask(1)
         sent = w.sent[-1]
         share = 0.02 if sent.endpoint == "a" else 0.9
         w.notify(ProgressNote(r.request_id, 0, sent.endpoint, ProgressKind.PROGRESS, share), after=2 * SEC)
     w.notify(TimerFired(0), after=SEC)
-    assert (w.scheduler.state.engines["b"].slowdown < slow.slowdown) == (instances == 200)
+    assert (w.scheduler.state.fleet.engines["b"].snapshot.slowdown < slow.snapshot.slowdown) == (
+        instances == 200
+    )
 
 
 def test_one_send_of_one_among_many_saturates_no_engine() -> None:
     w = World(replace(SITE, instance_count=200, classes=(QUICK, REPORT)), TEN)
     w.ask(1)
-    assert not any(e.is_saturated() for e in w.scheduler.state.engines.values())
+    assert not any(is_saturated(e) for e in w.scheduler.state.fleet.engines.values())
 
 
 def _paced(w: World, x: float, engines: tuple[EndpointInfo, ...] = TEN) -> None:
@@ -115,7 +119,10 @@
     for e in engines:
         for _ in range(60):
             FLEET_ESTIMATOR.record_slowdown(
-                w.scheduler.state, w.scheduler.state.engines[e.name], ClassState(QUICK, 0.0), math.exp(x)
+                w.scheduler.state,
+                w.scheduler.state.fleet.engines[e.name],
+                ClassState(QUICK, 0.0),
+                math.exp(x),
             )
 
 
@@ -167,15 +174,17 @@
     _restart(w)
     _paced(w, 1.2, TEN[4:])
     w.notify(TimerFired(0), after=200 * MS)
-    assert w.scheduler.state.fleet_slowdown < 0.1 and not w.scheduler.state.engines["a"].is_saturated()
+    assert w.scheduler.state.fleet.snapshot.slowdown < 0.1 and not is_saturated(
+        w.scheduler.state.fleet.engines["a"]
+    )
 
 
 def _part(w: World) -> int:
     """So many queries of ours may be out at pressed engines."""
     q = w.scheduler.state.queries[w.ask().request_id]
-    w.scheduler.state.quota_rounding.fraction = 0.0  # as the lot that gives least
+    w.scheduler.state.quota.rounding.fraction = 0.0  # as the lot that gives least
     for n in range(200):
-        w.scheduler.state.threads_in_use = [n, 0]
+        w.scheduler.state.workload.threads_in_use = ThreadsInUse(short=n)
         if not capacity.is_within_quota(w.scheduler.state, q):
             return n
     raise AssertionError("no bound")
@@ -236,7 +245,7 @@
 def test_a_message_that_says_nothing_right_is_ignored(data: str) -> None:
     w = World(replace(SITE, tenant_quotas=(40.0,), allows_gossip=True, instance_count=3), TEN)
     assert w.notify(GossipMessage(1, data)) == []
-    assert w.scheduler.state.traffic.reports == {}
+    assert w.scheduler.state.tenants.traffic.reports == {}
 
 
 def test_a_health_check_result_for_what_is_off_the_list_changes_nothing() -> None:
@@ -259,7 +268,7 @@
         AttemptOutcome(out[0].request_id, True, OutcomeCode.OK, 300 * MS, 0, done.endpoint, None, None, ()),
         after=2 * SEC,
     )
-    assert all(e.ejected_until == 0 for e in w.scheduler.state.engines.values())
+    assert all(e.ejected_until == 0 for e in w.scheduler.state.fleet.engines.values())
     assert any(isinstance(a, Forward) for a in w.last)
 
 
@@ -288,7 +297,7 @@
     r = w.ask()
     bad = w.sent[-1].endpoint
     w.end(r.request_id, OutcomeCode.ERROR)
-    assert w.scheduler.state.engines[bad].ejected_until > w.now
+    assert w.scheduler.state.fleet.engines[bad].ejected_until > w.now
 
 
 def test_little_time_left_is_rejected_at_once_and_does_not_count_as_the_first_requests_usual_timeout() -> (
@@ -341,7 +350,7 @@
         r = w.ask(cost=60 * MS)
         w.end(r.request_id, OutcomeCode.OK, took=180 * MS, after=60 * MS)
     w.notify(TimerFired(0), after=250 * MS)
-    assert not any(e.is_saturated() for e in w.scheduler.state.engines.values())
+    assert not any(is_saturated(e) for e in w.scheduler.state.fleet.engines.values())
 
 
 @pytest.mark.parametrize("field, figure", [("active", 30.0), ("cpu", 1.0), ("x0", 1.0), ("x1", 1.0)])
@@ -358,7 +367,7 @@
             )
             w.notify(done, after=50 * MS)
         w.notify(TimerFired(0), after=250 * MS)
-        assert all(e.saturated is full for e in w.scheduler.state.engines.values())
+        assert all(e.snapshot.saturated is full for e in w.scheduler.state.fleet.engines.values())
 
 
 def test_where_engines_report_that_they_are_overfull_all_together_hold_fewer_than_one_query_each() -> None:
@@ -375,8 +384,8 @@
         w = World(replace(s, memory_shortage=MemoryShortage.SHRINK), TEN)
         w.scheduler = Scheduler(w.settings, me)
         w.notify(EndpointUpdate(EndpointUpdateKind.CACHED, TEN))
-        for e in w.scheduler.state.engines.values():
-            w.scheduler.state.load_reports.add(
+        for e in w.scheduler.state.fleet.engines.values():
+            w.scheduler.state.fleet.load_reports.add(
                 FLEET_ESTIMATOR.reported_load(w.scheduler.state, e, {"active": 40.0}), w.now, 2 * SEC
             )
         w.notify(TimerFired(0), after=250 * MS)
--- a/tests/test_hot_upgrade.py
+++ b/tests/test_hot_upgrade.py
@@ -283,14 +283,14 @@
 
 def test_learned_state_is_restored_under_the_names_of_classes() -> None:
     old, new = taught(), Scheduler(config([]).settings, 2)
-    new.state.engines = {name: engine for name, engine in taught().state.engines.items()}
-    new.state.engines["e0"].warm_table_groups = []
+    new.state.fleet.engines = {name: engine for name, engine in taught().state.fleet.engines.items()}
+    new.state.fleet.engines["e0"].warm_table_groups = []
     told = json.loads(json.dumps(export_state(old, NUMBERS)))
     assert restore_state(new, {"lookup": 1, "report": 2, "load": 0}, told)
     assert new.state.classes[2].work == old.state.classes[1].work and new.state.classes[2].work.count == 1
     assert (
-        new.state.engines["e0"].warm_table_groups == [7.0]
-        and new.state.engines["e0"].log_slowdown == old.state.engines["e0"].log_slowdown
+        new.state.fleet.engines["e0"].warm_table_groups == [7.0]
+        and new.state.fleet.engines["e0"].log_slowdown == old.state.fleet.engines["e0"].log_slowdown
     )
 
 
@@ -304,5 +304,5 @@
     told["lag"] = 2.0
     assert (
         not restore_state(new, NUMBERS, told | bad if isinstance(bad, dict) else bad)
-        and new.state.lag_ratio == 1.0
+        and new.state.controller.lag_ratio == 1.0
     )
--- a/tests/test_local.py
+++ b/tests/test_local.py
@@ -158,7 +158,7 @@
         until(lambda: not process.sessions)
         module = process.planner.scheduler.state
         until(lambda: not process.owners and not module.queries)
-        assert not any(e.in_flight for e in module.engines.values())
+        assert not any(e.in_flight for e in module.fleet.engines.values())
     engine.close()
 
 
--- a/tests/test_model.py
+++ b/tests/test_model.py
@@ -8,14 +8,24 @@
 
 from query_gateway.model.averages import DecayedAverage, RunningMean
 from query_gateway.model.budgets import RetryBudget, TokenBucket
-from query_gateway.model.costs import CostTotals
+from query_gateway.model.costs import CostShares, CostTotals
 from query_gateway.model.estimates import RemainingTimeEstimator
-from query_gateway.model.forecasts import forecast_completions, index_queued_threads
+from query_gateway.model.forecasts import (
+    ExpectedEnd,
+    QueuedThreads,
+    QueuePlace,
+    forecast_completions,
+    index_queued_threads,
+)
 from query_gateway.model.gossip import TenantTraffic
 from query_gateway.model.key_queues import KeyQueues
-from query_gateway.model.records import AttemptState, ClassState, DeadlineQueue, EngineState, QueryState
+from query_gateway.model.records import AttemptKey, AttemptState, DeadlineQueue, EngineState, QueryState
+from query_gateway.model.request_classes import ClassState
 from query_gateway.model.settings import ClassSettings
 from query_gateway.model.state import EndpointWatch, PeriodicFraction
+from query_gateway.policy import admission, key_ordering
+from query_gateway.policy.retry_budget import allows_retry, record_request
+from query_gateway.policy.unresponsive import IdleHazard, idle_hazard
 from tests.world import LOAD, MS, QUICK, SEC, SITE, World, engine
 
 NOW = 100 * SEC
@@ -26,7 +36,7 @@
 ) -> QueryState:
     request = World().request(key=key)
     known = ClassState(rules, 0.0)
-    return QueryState(request, known, NOW, 1.0, 1.0 * SEC, 1.0 * SEC, due, (due, number), 4)
+    return QueryState(request, known, NOW, 1.0, 1.0 * SEC, 1.0 * SEC, due, QueuePlace(due, number), 4)
 
 
 def test_a_running_mean_is_plain_at_first_and_its_spread_is_drawn_to_the_prior() -> None:
@@ -55,25 +65,26 @@
 
 def test_a_retry_budget_counts_what_lies_within_its_window() -> None:
     budget = RetryBudget()
-    assert budget.allows_retry(SITE, NOW)  # no limit at this site
+    assert allows_retry(budget, SITE, NOW)  # no limit at this site
     site = replace(SITE, retry_allowance=0.0, retries_per_request=0.5, retry_window=SEC)
     for _ in range(2):
-        budget.record_request(site, NOW)
-    assert budget.allows_retry(site, NOW)
+        record_request(budget, site, NOW)
+    assert allows_retry(budget, site, NOW)
     budget.retries.append(NOW)
-    assert not budget.allows_retry(site, NOW)
-    assert not budget.allows_retry(site, NOW + SEC) and not budget.requests
+    assert not allows_retry(budget, site, NOW)
+    assert not allows_retry(budget, site, NOW + SEC) and not budget.requests
 
 
 def test_costs_are_shares_of_the_weight_requested() -> None:
     costs = CostTotals()
-    assert costs.shares() == (0.0, 0.0)
+    assert costs.shares() == CostShares(0.0, 0.0)
     costs.add(10.0, 1.0, 2.0, NOW, SEC)
-    assert costs.shares() == pytest.approx((0.1, 0.2))
+    shares = costs.shares()
+    assert (shares.rejected, shares.late) == pytest.approx((0.1, 0.2))
 
 
 def test_a_forecast_tells_when_enough_threads_are_free() -> None:
-    forecast = forecast_completions([(300.0, 2), (100.0, 1)], NOW, NOW + 1)
+    forecast = forecast_completions([ExpectedEnd(300.0, 2), ExpectedEnd(100.0, 1)], NOW, NOW + 1)
     assert forecast.completes_at == [NOW + 100, NOW + 300] and forecast.freed_threads == [1, 3]
     assert forecast.time_until_free(1, 3, 4.0, 50.0, NOW) == 100.0
     assert forecast.time_until_free(2, 3, 4.0, 50.0, NOW) == 300.0
@@ -82,20 +93,33 @@
 
 
 def test_an_index_sums_threads_ahead_by_length_of_class() -> None:
-    index = index_queued_threads([((1, 1), 2, False), ((2, 2), 3, True), ((3, 3), 4, False)], NOW)
-    assert index.threads_ahead((3, 0), False) == 2 and index.threads_ahead((9, 0), False) == 6
-    assert index.threads_ahead((9, 0), True) == 3
+    index = index_queued_threads(
+        [
+            QueuedThreads(QueuePlace(1, 1), 2, is_long=False),
+            QueuedThreads(QueuePlace(2, 2), 3, is_long=True),
+            QueuedThreads(QueuePlace(3, 3), 4, is_long=False),
+        ],
+        NOW,
+    )
+    assert (
+        index.threads_before(QueuePlace(3, 0), False) == 2
+        and index.threads_before(QueuePlace(9, 0), False) == 6
+    )
+    assert index.threads_before(QueuePlace(9, 0), True) == 3
 
 
 def test_a_deadline_queue_tells_the_same_whether_it_is_read_or_indexed() -> None:
     queue, queries = DeadlineQueue(), [query(i, NOW + i * SEC) for i in (3, 1, 2)]
     for each in queries:
         queue.add(each)
-    assert [order[1] for order, _ in queue.entries] == [1, 2, 3]
+    assert [entry.place.request_id for entry in queue.entries] == [1, 2, 3]
     for exact_length in (32, 0):
-        assert queue.threads_ahead(queries[0], NOW, exact_length, MS) == 2
+        assert queue.threads_before(queries[0], NOW, exact_length, MS) == 2
     queries[0].start_at = queries[0].due_at - queries[0].run_time - 5.0
-    assert queue.weight_made_late(queries[1], 5.0) == 1.0 and queue.weight_made_late(queries[1], 4.0) == 0.0
+    assert queue.queries_behind(queries[1]) == [queries[1], queries[2], queries[0]]
+    assert queue.queries_behind(queries[0]) == [queries[0]]
+    assert admission.weight_made_late(queue, queries[1], 5.0) == 1.0
+    assert admission.weight_made_late(queue, queries[1], 4.0) == 0.0
     queue.remove(queries[1])
     assert len(queue.entries) == 2
 
@@ -105,10 +129,14 @@
     queues, first, second = KeyQueues(), query(1, rules=rules, key="k"), query(2, rules=rules, key="k")
     for each in (first, second):
         queues.add("k", each)
-    assert queues.is_next(first, NOW) and not queues.is_next(second, NOW) and queues.is_next(query(3), NOW)
-    queues.quarantine(first, NOW + SEC)
+    assert (
+        key_ordering.is_next(queues, first, NOW)
+        and not key_ordering.is_next(queues, second, NOW)
+        and key_ordering.is_next(queues, query(3), NOW)
+    )
+    key_ordering.quarantine(queues, first, NOW + SEC)
     queues.remove(first)
-    assert not queues.is_next(second, NOW) and queues.is_next(second, NOW + SEC)
+    assert not key_ordering.is_next(queues, second, NOW) and key_ordering.is_next(queues, second, NOW + SEC)
     queues.remove(second)
     assert not queues.queues
 
@@ -126,20 +154,20 @@
     assert traffic.message(NOW, SEC, SEC) == "2"
 
 
-def test_silence_counts_mean_runs_over_all_attempts_in_flight() -> None:
+def test_idle_time_counts_mean_runs_over_all_attempts_in_flight() -> None:
     record, one = EngineState(engine("a"), 8, 0.0), query(1)
-    record.last_heard_at = NOW - 3 * SEC
-    record.in_flight[1, 0] = one, AttemptState(0, record, NOW - 2 * SEC, NOW, False)
-    assert record.silence_hazard(NOW) == (2.0, 2 * SEC)
+    record.last_received_at = NOW - 3 * SEC
+    record.in_flight[AttemptKey(1, 0)] = AttemptState(one, 0, record, NOW - 2 * SEC, NOW, False)
+    assert idle_hazard(record, NOW) == IdleHazard(2.0, 2 * SEC)
 
 
 def test_remaining_time_follows_progress_or_else_age() -> None:
     estimator = RemainingTimeEstimator(trusted_progress=0.1, mostly_done=0.5, overrun=0.25)
-    attempt = AttemptState(0, EngineState(engine("a"), 8, 0.0), NOW, NOW, False)
-    assert estimator.remaining_time(query(1), attempt, NOW + 400 * MS) == 600 * MS
-    assert estimator.remaining_time(query(1), attempt, NOW + 2 * SEC) == 500 * MS
+    attempt = AttemptState(query(1), 0, EngineState(engine("a"), 8, 0.0), NOW, NOW, False)
+    assert estimator.remaining_time(attempt, NOW + 400 * MS) == 600 * MS
+    assert estimator.remaining_time(attempt, NOW + 2 * SEC) == 500 * MS
     attempt.progress, attempt.progress_at = 0.5, NOW + SEC
-    assert estimator.remaining_time(query(1), attempt, NOW + SEC) == SEC
+    assert estimator.remaining_time(attempt, NOW + SEC) == SEC
 
 
 def test_a_watch_begins_once_and_again_only_after_its_backoff() -> None:
--- a/tests/test_race_engine_connections.py
+++ b/tests/test_race_engine_connections.py
@@ -89,7 +89,7 @@
         planner_state = planner_process.planner.scheduler.state
         until(lambda: not planner_process.owners and not planner_state.queries)
         assert announced and not any(
-            engine_state.in_flight for engine_state in planner_state.engines.values()
+            engine_state.in_flight for engine_state in planner_state.fleet.engines.values()
         )
     assert (engine.statements, other_engine.statements) == ([], [SQL])
     for stand_in in (engine, other_engine):
--- a/tests/test_upgrade_compatibility.py
+++ b/tests/test_upgrade_compatibility.py
@@ -154,9 +154,9 @@
             request_class = scheduler.state.classes[gate.config.classes[name].index]
             value, _, count = before["learned"]["classes"][name]["work"]
             assert request_class.work.value == value and request_class.work.count == count == counts
-        assert scheduler.state.usual_threads == before["learned"]["usual"]
-        assert scheduler.state.lag_ratio == before["learned"]["lag"]
-        assert scheduler.state.engines["e0"].warm_table_groups == [7.0]
+        assert scheduler.state.fleet.usual_threads == before["learned"]["usual"]
+        assert scheduler.state.controller.lag_ratio == before["learned"]["lag"]
+        assert scheduler.state.fleet.engines["e0"].warm_table_groups == [7.0]
         assert gate.statements
         costs = gate.statements.classifier.costs
         assert {digest.hex() for digest in costs.shapes} == set(before["statements"]["shapes"])
--- a/tests/test_web.py
+++ b/tests/test_web.py
@@ -256,7 +256,9 @@
         assert engine.wait("REQ")
         assert post(gate, "lookup", "SELECT 2", X_Txn="c" * 16)[0] == 409
         assert post(gate, "lookup", "SELECT a FROM lending_8.loans")[0] == 200
-        assert len(engine.statements) == 2 and not gate.planner.scheduler.state.engines["e0"].ejected_until
+        assert (
+            len(engine.statements) == 2 and not gate.planner.scheduler.state.fleet.engines["e0"].ejected_until
+        )
 
 
 def test_pipelined_requests_are_answered_in_order() -> None:
