--- a/tests/race_helpers.py
+++ b/tests/race_helpers.py
@@ -11,7 +11,7 @@
 from query_gateway.configuration.operator_file import OperatorSettings
 from query_gateway.gateway import Gateway
 from query_gateway.planner.process import PlannerProcess
-from tests.stand_ins import SETTINGS, Engine, config, host
+from tests.stand_ins import SETTINGS, Engine, config, host, running_gateway
 from tests.test_local import planner, until
 
 ABANDONED_SQL = "SELECT gone FROM lending_7.loans"
@@ -101,21 +101,45 @@
 @contextlib.contextmanager
 def gateway_with_planner_process(engine: Engine, **limits: Any) -> Iterator[tuple[Gateway, PlannerProcess]]:
     """A gateway whose planner runs behind IPC, on a loop of its own."""
+    configuration = config([host(engine)], settings=settings_without_timeouts(**limits))
     with planner() as planner_process:
-        configuration = config([host(engine)], settings=settings_without_timeouts(**limits))
-        gateway = Gateway(
-            configuration,
-            OperatorSettings(planner_addresses=(planner_process.listener.address,)),
-            signals=False,
-        )
-        thread = threading.Thread(target=gateway.loop.run, daemon=True)
-        thread.start()
-        until(lambda: [planner.connected for planner in gateway.forwarder.planners] == [True])
-        yield gateway, planner_process
-        gateway.loop.stop()
-        thread.join(10)
-        assert gateway.loop.faults == 0 and not thread.is_alive()
-        gateway.loop.close()
+        operator = OperatorSettings(planner_addresses=(planner_process.listener.address,))
+        with running_gateway(configuration, operator) as gateway:
+            until(lambda: [planner.connected for planner in gateway.forwarder.planners] == [True])
+            yield gateway, planner_process
+
+
+@contextlib.contextmanager
+def stalled_planner(planner_process: PlannerProcess) -> Iterator[threading.Event]:
+    """A planner whose loop does nothing until the event is set, at the latest when the block is left."""
+    stalled, resume = threading.Event(), threading.Event()
+
+    def stall() -> None:
+        stalled.set()
+        assert resume.wait(30)
+
+    planner_process.loop.call_soon(stall)
+    assert stalled.wait(10)
+    try:
+        yield resume
+    finally:
+        resume.set()
+
+
+def fill_send_buffer(gateway: Gateway, engine: Engine, unanswered: str) -> list[socket.socket]:
+    """Send requests until bytes wait unwritten for the engine `e0`; the test closes the clients' sockets.
+
+    `unanswered`: the first statement, which the engine's script leaves without an answer.
+    """
+    large = "SELECT '" + "x" * 200_000 + "' FROM lending_7.loans"
+    open_clients = [send_request(gateway, unanswered)]
+    until(lambda: engine.statements)
+    stream = gateway.engine_pool.connections["e0"][0].stream
+    stream.sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4_096)
+    while not stream.outbox:
+        open_clients.append(send_request(gateway, large))
+        until(lambda: len(gateway.engine_pool.by_client_request_id) == len(open_clients))
+    return open_clients
 
 
 def tcp_state(sock: socket.socket) -> int:
--- a/tests/stand_ins.py
+++ b/tests/stand_ins.py
@@ -5,13 +5,20 @@
 import json
 import socket
 import threading
+from collections.abc import Iterator
 from typing import Any
 from uuid import uuid4
 
+from query_gateway.composition import GatewayOptions
+from query_gateway.configuration.operator_file import OperatorSettings
 from query_gateway.configuration.platform import Configuration, parse_configuration
 from query_gateway.configuration.settings_flattening import flatten_settings
+from query_gateway.gateway import Gateway
 
-__all__ = ["SETTINGS", "Engine", "config", "flatten_settings", "host", "post"]
+__all__ = [
+    "SETTINGS", "Engine", "apply_endpoint_list", "config", "endpoint_list_answer", "flatten_settings", "host",
+    "post", "running_gateway",
+]  # fmt: skip
 
 SEC = 1_000_000_000
 SETTINGS = {
@@ -39,19 +46,61 @@
 }  # fmt: skip
 
 
-def config(hosts: list[dict[str, Any]], journal: str = "127.0.0.1:1", **more: Any) -> Configuration:
-    known = {"pos": 1, "entries": [{"pos": 1, "hosts": {"seq": 1, "whole": True, "hosts": hosts}}]}
-    raw = {"name": "n1", "listen": "127.0.0.1:0", "seed": "7", "journal": journal, "known": known}
-    return parse_configuration(raw | {"settings": SETTINGS} | more, {})
+def endpoint_list_answer(
+    position: int, hosts: list[dict[str, Any]], snapshot: bool = False
+) -> dict[str, Any]:
+    """An answer of the discovery service with one event: a delta, or a snapshot."""
+    event = {"pos": position, "hosts": {"seq": position, "whole": snapshot, "hosts": hosts}}
+    return {"pos": position, "entries": [event]}
 
 
-def host(engine: "Engine", name: str = "e0", health: str = "up", born_ms: int = 0) -> dict[str, Any]:
+def config(hosts: list[dict[str, Any]], journal: str = "127.0.0.1:1", **overrides: Any) -> Configuration:
+    raw = {
+        "name": "n1", "listen": "127.0.0.1:0", "seed": "7", "journal": journal, "settings": SETTINGS,
+        "known": endpoint_list_answer(1, hosts, snapshot=True),
+    }  # fmt: skip
+    return parse_configuration(raw | overrides, {})
+
+
+def host(engine: "Engine", name: str = "e0", health: str = "up", started_at_ms: int = 0) -> dict[str, Any]:
     return {"host": name, "dial": engine.address, "site": "hall-a", "class": "std-16", "health": health,
-            "share": 1, "born_ms": born_ms}  # fmt: skip
+            "share": 1, "born_ms": started_at_ms}  # fmt: skip
+
+
+@contextlib.contextmanager
+def running_gateway(
+    configuration: Configuration,
+    operator: OperatorSettings | None = None,
+    options: GatewayOptions | None = None,
+) -> Iterator[Gateway]:
+    """A gateway on a thread of its own; after the block it must have ended and counted no fault."""
+    gateway = Gateway(configuration, operator or OperatorSettings(), signals=False, options=options)
+    thread = threading.Thread(target=gateway.loop.run, daemon=True)
+    thread.start()
+    try:
+        yield gateway
+    finally:
+        gateway.loop.stop()
+        thread.join(10)
+        faults = gateway.loop.faults
+        gateway.loop.close()
+    assert faults == 0 and not thread.is_alive()
+
+
+def apply_endpoint_list(gateway: Gateway, answer: dict[str, Any]) -> None:
+    """Let a running gateway take an answer of the discovery service, and wait until it has."""
+    applied = threading.Event()
+
+    def take_answer() -> None:
+        gateway.endpoint_feed.take_answer(answer)
+        applied.set()
+
+    gateway.loop.call_soon(take_answer)
+    assert applied.wait(10)
 
 
 class Engine:
-    """Speaks the engines' line protocol. `script` says how each REQ of a statement goes.
+    """Speaks the engines' line protocol. `script` has a list of steps for a statement, one for each REQ.
 
     Steps: ok, error, refused, reset, mute, torn, spoilt, pageless (no page after the first), or twice (with a
     response under an unknown id ahead).
@@ -65,7 +114,7 @@
         self.pageless: set[str] = set()
         self.connections = 0
         self.socks: list[socket.socket] = []
-        self.heard = threading.Condition()
+        self.received = threading.Condition()
         self.sock = socket.create_server(("127.0.0.1", 0))
         self.address = f"127.0.0.1:{self.sock.getsockname()[1]}"
         threading.Thread(target=self._accept, daemon=True).start()
@@ -92,9 +141,9 @@
         sock.close()
 
     def _note(self, word: str) -> None:
-        with self.heard:
+        with self.received:
             self.words.append(word)
-            self.heard.notify_all()
+            self.received.notify_all()
 
     def _request(self, sock: socket.socket, words: list[str], statement: str) -> None:
         self.statements.append(statement)
@@ -121,8 +170,8 @@
         sock.sendall(f"{head} {len(body)}\r\n{body}\r\n".encode())
 
     def wait(self, word: str, times: int = 1) -> bool:
-        with self.heard:
-            return self.heard.wait_for(lambda: self.words.count(word) >= times, 10)
+        with self.received:
+            return self.received.wait_for(lambda: self.words.count(word) >= times, 10)
 
     def hang_up(self) -> None:
         """Close every connection at once, as the kernel does when a process dies."""
--- a/tests/test_bad_input.py
+++ b/tests/test_bad_input.py
@@ -1,4 +1,4 @@
-"""Each value of a configuration and of a list event malformed in turn: rejected whole, or it works."""
+"""Each value of a configuration and of a list event malformed in turn: it is rejected, or it works."""
 
 import copy
 import json
@@ -16,7 +16,7 @@
 from query_gateway.configuration.platform import Configuration, ConfigurationError, parse_configuration
 from query_gateway.gateway import Gateway
 from query_gateway.model.events import Request
-from tests.stand_ins import SETTINGS
+from tests.stand_ins import SETTINGS, endpoint_list_answer
 
 BAD_VALUES: tuple[Any, ...] = (
     None, True, -1, 0, 1.5, 1e400, -1e400, 10**30, float("nan"), 2**63, "", "x", "a b", "9" * 5000, "\ud800",
@@ -27,14 +27,14 @@
 RAW: dict[str, Any] = {
     "name": "n1", "listen": "127.0.0.1:0", "seed": "7", "journal": "127.0.0.1:1",
     "limits": {"cores": 1.0, "memory_mb": 64, "sockets": 256}, "settings": SETTINGS,
-    "known": {"pos": 1, "entries": [{"pos": 1, "hosts": {"seq": 1, "whole": True, "hosts": [HOST]}}]},
+    "known": endpoint_list_answer(1, [HOST], snapshot=True),
 }  # fmt: skip
 CHANGED_HOSTS = [
     HOST,
     HOST | {"host": "e1", "health": "draining"},
     HOST | {"host": "e2", "born_ms": int(time.time() * 1000)},
 ]
-DELTA = {"pos": 2, "entries": [{"pos": 2, "hosts": {"seq": 2, "whole": False, "hosts": CHANGED_HOSTS}}]}
+DELTA = endpoint_list_answer(2, CHANGED_HOSTS)
 
 
 def paths(value: Any, path: tuple[Any, ...] = ()) -> Iterator[tuple[Any, ...]]:
@@ -47,10 +47,10 @@
     for path in paths(raw):
         for bad in BAD_VALUES:
             malformed = copy.deepcopy({"": raw})
-            at: Any = malformed
+            parent: Any = malformed
             for step in ("", *path)[:-1]:
-                at = at[step]
-            at[("", *path)[-1]] = bad
+                parent = parent[step]
+            parent[("", *path)[-1]] = bad
             yield f"{path} {bad!r:.20}", malformed[""]
 
 
@@ -60,7 +60,7 @@
     for answer in lists:
         try:
             gateway.endpoint_feed.take_answer(answer)
-        except ValueError:  # what the watch client guards against
+        except ValueError:  # as the watch client expects
             assert list(gateway.forwarder.endpoints) == ["e0"]
     now = time.time_ns()
     for class_index in range(len(config.settings.classes)):
@@ -83,7 +83,7 @@
     line, or a gateway that starts with it decides on requests without a fault.
     """
     rejected, broken = 0, []
-    for what, raw in each_malformed(RAW):
+    for description, raw in each_malformed(RAW):
         try:
             config = parse_configuration(raw, {})
         except ConfigurationError as error:
@@ -92,7 +92,7 @@
             continue
         try:
             if not works(config):
-                broken.append(what)
+                broken.append(description)
         except OSError:  # an address that is not ours
             rejected += 1
     assert broken == [] and rejected > 500
@@ -106,7 +106,7 @@
     deciding.
     """
     config = parse_configuration(RAW, {})
-    assert [what for what, raw in each_malformed(DELTA) if not works(config, raw)] == []
+    assert [description for description, raw in each_malformed(DELTA) if not works(config, raw)] == []
 
 
 @pytest.mark.parametrize("value", ["1e400", "true", '"x"', "-1"])
--- a/tests/test_clock_steps.py
+++ b/tests/test_clock_steps.py
@@ -22,16 +22,16 @@
         monkeypatch.setattr(time, "time_ns", lambda: real() + self.offset)
 
 
-class HeldEngine(Engine):
-    """Answers nothing until `go_on` is set."""
+class PausedEngine(Engine):
+    """Answers no request until `may_answer` is set."""
 
     def __init__(self) -> None:
-        self.go_on = threading.Event()
+        self.may_answer = threading.Event()
         super().__init__()
 
     def _request(self, sock: Any, words: list[str], statement: str) -> None:
         self._note("REQ-begun")
-        assert self.go_on.wait(30)
+        assert self.may_answer.wait(30)
         super()._request(sock, words, statement)
 
 
@@ -45,7 +45,7 @@
     deadlines use the monotonic clock, so the request ends at its deadline and the gateway serves the next
     one.
     """
-    clock, engine = SteppedClock(monkeypatch), HeldEngine()
+    clock, engine = SteppedClock(monkeypatch), PausedEngine()
     with running(engine) as gateway, ThreadPoolExecutor() as executor:
         began_at = time.monotonic()
         waiting = executor.submit(post, gateway, "lookup", SQL, ttl=1_500)
@@ -53,5 +53,5 @@
         clock.offset = step
         status, _, _ = waiting.result(10)
         assert status in (429, 500) and 1.2 < time.monotonic() - began_at < 2.0
-        engine.go_on.set()
+        engine.may_answer.set()
         assert post(gateway, "lookup", SQL)[1] == {"rows": ROWS}
--- a/tests/test_momentary_errors.py
+++ b/tests/test_momentary_errors.py
@@ -1,4 +1,4 @@
-"""System calls that fail for a moment, as Linux documents them: connections and processes bear it."""
+"""System calls that fail for a moment, as Linux documents them, end no connection and no process."""
 
 import contextlib
 import errno
@@ -33,7 +33,7 @@
 
 
 class FailingSocket:
-    """A socket some of whose calls fail as often as they are told to."""
+    """A socket some of whose calls fail the given number of times."""
 
     def __init__(self, sock: socket.socket, **failures: tuple[int, int]) -> None:
         self._sock = sock
@@ -297,7 +297,7 @@
     """
     from query_gateway.flight.engines import FlightConnectionPool
 
-    loop, ends = Loop(), list[OutcomeCode]()
+    loop, outcomes = Loop(), list[OutcomeCode]()
     pool = FlightConnectionPool(loop, time.monotonic_ns, 1.0)
     info = EndpointInfo("e0", EndpointState.UP, 0, 0, 0, 0, 1.0)
     pool.update_endpoints([Endpoint(info, {"flight": "127.0.0.1:1"})], True)
@@ -308,13 +308,13 @@
         request = type("Request", (), {"is_update": False})()
 
         def on_ended(self, code: OutcomeCode) -> None:
-            ends.append(code)
+            outcomes.append(code)
 
     pool.start(Attempt())  # type: ignore[arg-type]
     for _ in range(3):
         loop.call_at(loop.now(), lambda: None)
         loop.turn()
-    assert ends == [OutcomeCode.CONNECT_FAILED]
+    assert outcomes == [OutcomeCode.CONNECT_FAILED]
     loop.close()
 
 
@@ -326,10 +326,10 @@
     A fork that failed once ended the supervisor's polling: no worker was started again, and no stop was
     seen. The supervisor goes on polling, tries again, and ends when it is stopped.
     """
-    tried = list[float]()
+    started_at = list[float]()
 
     def start(worker: supervisor.WorkerProcess) -> None:
-        tried.append(time.monotonic())
+        started_at.append(time.monotonic())
         raise OSError(errno.EAGAIN, "no process now")
 
     monkeypatch.setattr(supervisor.WorkerProcess, "start", start)
@@ -339,7 +339,7 @@
     thread = threading.Thread(target=parent.loop.run, daemon=True)
     thread.start()
     thread.join(5)
-    assert not thread.is_alive() and len(tried) >= 4
+    assert not thread.is_alive() and len(started_at) >= 4
     parent.loop.close()
 
 
@@ -390,11 +390,11 @@
     """
     loop, handled = Loop(), list[int]()
     loop.wake_writer = FailingSocket(loop.wake_writer, send=(errno.ENOBUFS, 1))  # type: ignore[assignment]
-    before = signal.signal(signal.SIGUSR1, lambda *_: loop.call_soon(lambda: handled.append(1)))
+    previous_handler = signal.signal(signal.SIGUSR1, lambda *_: loop.call_soon(lambda: handled.append(1)))
     os.kill(os.getpid(), signal.SIGUSR1)
     loop.turn()
     assert handled == [1]
-    signal.signal(signal.SIGUSR1, before)
+    signal.signal(signal.SIGUSR1, previous_handler)
     loop.close()
 
 
--- a/tests/test_race_endpoint_list.py
+++ b/tests/test_race_endpoint_list.py
@@ -1,7 +1,7 @@
 """Race conditions of the watch on the endpoint list: restarted services, lost answers and draining."""
 
 import json
-import threading
+from collections.abc import Iterable
 from typing import Any
 
 import pytest
@@ -16,13 +16,18 @@
 from query_gateway.forwarder.messages import Endpoint
 from query_gateway.gateway import Gateway
 from query_gateway.model.endpoints import EndpointInfo, EndpointState
-from tests.stand_ins import Engine, config, host, post
+from tests.stand_ins import Engine, config, endpoint_list_answer, host, post, running_gateway
 from tests.test_local import until
 from tests.test_web import SQL, JournalStandIn, news_of, steady
 
 pytestmark = pytest.mark.usefixtures("reset_log_rate_limit")
 
 
+def polls_at(answers: tuple[tuple[bytes, int], ...]) -> list[str]:
+    """The targets of polls at the position that stands beside each answer."""
+    return [f"/journal?tail={position}" for _, position in answers]
+
+
 def test_sequence_reset_gap_or_duplicate_in_the_watch_causes_a_resync(capfd: Any) -> None:
     """The discovery service restarts, leaves out events, or sends them twice.
 
@@ -30,14 +35,9 @@
     its list stayed old. Each of these anomalies is logged and followed by a poll for the complete list.
     """
     journal, first_engine, second_engine = JournalStandIn(), Engine(), Engine()
-    gateway = Gateway(config([], journal=journal.address), OperatorSettings(), signals=False)
-    thread = threading.Thread(target=gateway.loop.run, daemon=True)
-    thread.start()
-    snapshot = {"seq": 1, "whole": True, "hosts": [host(second_engine, "e2")]}
-    reset_answer = json.dumps({"pos": 1, "entries": [{"pos": 1, "hosts": snapshot}]}).encode()
-    gap_answer = json.dumps(
-        {"pos": 9, "entries": [{"pos": 9, "hosts": snapshot | {"whole": False}}]}
-    ).encode()
+    hosts = [host(second_engine, "e2")]
+    reset_answer = json.dumps(endpoint_list_answer(1, hosts, snapshot=True)).encode()
+    gap_answer = json.dumps(endpoint_list_answer(9, hosts)).encode()
     answers = (
         (news_of(first_engine), 1), (b'{"pos":1,"entries":[]}', 2), (reset_answer, 0),  # lower positions
         (b'{"pos":6,"entries":[]}', 1), (reset_answer, 0),  # a position beyond its events
@@ -45,12 +45,11 @@
         (reset_answer, 1),  # a duplicate; then the new connection polls for the last event once more
         (reset_answer, 0), (b'{"pos":1,"entries":[]}', 1), (reset_answer, 0),  # empty, but at once
     )  # fmt: skip
-    assert [journal.answer(body) for body, _ in answers] == [f"/journal?tail={tail}" for _, tail in answers]
-    assert list(gateway.forwarder.endpoints) == ["e2"] and post(gateway, "lookup", SQL, ttl=600_000)[0] == 200
-    gateway.loop.stop()
-    thread.join(10)
-    gateway.loop.close()
-    assert (len(first_engine.statements), len(second_engine.statements), gateway.loop.faults) == (0, 1, 0)
+    with running_gateway(config([], journal=journal.address)) as gateway:
+        assert [journal.answer(body) for body, _ in answers] == polls_at(answers)
+        assert list(gateway.forwarder.endpoints) == ["e2"]
+        assert post(gateway, "lookup", SQL, ttl=600_000)[0] == 200
+    assert (len(first_engine.statements), len(second_engine.statements)) == (0, 1)
     log_output = capfd.readouterr().err
     assert all(
         f"discovery {anomaly}: " in log_output for anomaly in ("sequence-reset", "sequence-gap", "duplicate")
@@ -69,34 +68,24 @@
     resync.
     """
     journal, first_engine, second_engine = JournalStandIn(), Engine(), Engine()
-    gateway = Gateway(config([], journal=journal.address), OperatorSettings(), signals=False)
-    thread = threading.Thread(target=gateway.loop.run, daemon=True)
-    thread.start()
-    assert journal.answer(news_of(first_engine)) == "/journal?tail=1"
-    journal.breaks()
-    assert journal.answer(news_of(first_engine)) == "/journal?tail=1"  # the same as before: no resync
-    journal.breaks()
-    snapshot = {
-        "pos": 1,
-        "hosts": {"seq": 1, "whole": True, "hosts": [host(second_engine, "e2", "draining")]},
-    }
+    snapshot = endpoint_list_answer(1, [host(second_engine, "e2", "draining")], snapshot=True)["entries"]
     deltas = [
-        {
-            "pos": number,
-            "hosts": {"seq": number, "whole": False, "hosts": [host(second_engine, f"e{number}")]},
-        }
+        event
         for number in (2, 3)
+        for event in endpoint_list_answer(number, [host(second_engine, f"e{number}")])["entries"]
     ]
-    assert journal.answer(json.dumps({"pos": 3, "entries": deltas}).encode()) == "/journal?tail=1"
-    assert (
-        journal.answer(json.dumps({"pos": 3, "entries": [snapshot, *deltas]}).encode()) == "/journal?tail=0"
-    )
-    assert journal.answer(b'{"pos":3,"entries":[]}') == "/journal?tail=3"
-    assert {name: endpoint.info.state for name, endpoint in gateway.forwarder.endpoints.items()} == {
-        "e2": EndpointState.UP, "e3": EndpointState.UP}  # fmt: skip
-    gateway.loop.stop()
-    thread.join(10)
-    gateway.loop.close()
+    with running_gateway(config([], journal=journal.address)) as gateway:
+        assert journal.answer(news_of(first_engine)) == "/journal?tail=1"
+        journal.breaks()
+        assert journal.answer(news_of(first_engine)) == "/journal?tail=1"  # the same as before: no resync
+        journal.breaks()
+        after_restart = json.dumps({"pos": 3, "entries": deltas}).encode()
+        assert journal.answer(after_restart) == "/journal?tail=1"
+        complete_list = json.dumps({"pos": 3, "entries": [*snapshot, *deltas]}).encode()
+        assert journal.answer(complete_list) == "/journal?tail=0"
+        assert journal.answer(b'{"pos":3,"entries":[]}') == "/journal?tail=3"
+        assert {name: endpoint.info.state for name, endpoint in gateway.forwarder.endpoints.items()} == {
+            "e2": EndpointState.UP, "e3": EndpointState.UP}  # fmt: skip
     assert capfd.readouterr().err.count("discovery sequence-reset: ") == 1
     journal.close()
     for engine in (first_engine, second_engine):
@@ -111,37 +100,29 @@
     """
     journal, engines = JournalStandIn(), [Engine() for _ in range(3)]
 
-    def answer_with(pos: int, **states: str) -> bytes:
-        """An answer with these engines; a state of two words is one of an engine that has restarted since."""
+    def answer_with(position: int, **states: str) -> bytes:
+        """An answer with these engines; `up again` is the state of one that has restarted since."""
         hosts = [
             host(engines[int(name[1])], name, state.split()[0], 5 if " " in state else 0)
             for name, state in states.items()
         ]
-        event = {"pos": pos, "hosts": {"seq": pos, "whole": pos == 1, "hosts": hosts}}
-        return json.dumps({"pos": pos, "entries": [event]}).encode()
+        return json.dumps(endpoint_list_answer(position, hosts, snapshot=position == 1)).encode()
 
     cached_list = json.loads(answer_with(1, e0="up", e1="up", e2="up"))
-    gateway = Gateway(
-        config([], journal=journal.address, known=cached_list), OperatorSettings(), signals=False
-    )
-    thread = threading.Thread(target=gateway.loop.run, daemon=True)
-    thread.start()
     answers = (
         (answer_with(2, e0="draining", e2="removed"), 1), (b'{"pos":1,"entries":[]}', 2),
         (answer_with(1, e0="up", e1="up", e2="up"), 0),
     )  # fmt: skip
-    assert [journal.answer(body) for body, _ in answers] == [f"/journal?tail={tail}" for _, tail in answers]
-    until(lambda: gateway.endpoint_feed.position == 1)
-    states = {name: endpoint.info.state for name, endpoint in gateway.forwarder.endpoints.items()}
-    assert states == {"e0": EndpointState.DRAINING, "e1": EndpointState.UP}
-    assert [post(gateway, "lookup", SQL, ttl=600_000)[0] for _ in range(8)] == [200] * 8
-    assert [len(engine.statements) for engine in engines] == [0, 8, 0]
-    assert journal.answer(answer_with(2, e0="up again")) == "/journal?tail=1"
-    until(lambda: gateway.endpoint_feed.position == 2)
-    assert gateway.forwarder.endpoints["e0"].info.state is EndpointState.UP
-    gateway.loop.stop()
-    thread.join(10)
-    gateway.loop.close()
+    with running_gateway(config([], journal=journal.address, known=cached_list)) as gateway:
+        assert [journal.answer(body) for body, _ in answers] == polls_at(answers)
+        until(lambda: gateway.endpoint_feed.position == 1)
+        states = {name: endpoint.info.state for name, endpoint in gateway.forwarder.endpoints.items()}
+        assert states == {"e0": EndpointState.DRAINING, "e1": EndpointState.UP}
+        assert [post(gateway, "lookup", SQL, ttl=600_000)[0] for _ in range(8)] == [200] * 8
+        assert [len(engine.statements) for engine in engines] == [0, 8, 0]
+        assert journal.answer(answer_with(2, e0="up again")) == "/journal?tail=1"
+        until(lambda: gateway.endpoint_feed.position == 2)
+        assert gateway.forwarder.endpoints["e0"].info.state is EndpointState.UP
     journal.close()
     for engine in engines:
         engine.close()
@@ -154,25 +135,25 @@
     engine, or by an event in the sequence of the same service.
     """
 
-    def make_endpoint(name: str, state: EndpointState, launched: int = 0) -> Endpoint:
-        return Endpoint(EndpointInfo(name, state, 0, 0, 0, launched, 1.0), {})
+    def make_endpoint(name: str, state: EndpointState, started_at: int = 0) -> Endpoint:
+        return Endpoint(EndpointInfo(name, state, 0, 0, 0, started_at, 1.0), {})
 
     up = [make_endpoint(name, EndpointState.UP, 7) for name in "abcd"]
     tombstones = EndpointTombstones()
     tombstones.record(up, True, {})
-    known = {endpoint.info.name: endpoint for endpoint in up}
+    present = {endpoint.info.name: endpoint for endpoint in up}
     tombstones.record(
         [make_endpoint("a", EndpointState.DRAINING, 7), make_endpoint("b", EndpointState.REMOVED)],
         False,
-        known,
+        present,
     )
     tombstones.record(
-        [endpoint for endpoint in up if endpoint.info.name != "c"], True, known
+        [endpoint for endpoint in up if endpoint.info.name != "c"], True, present
     )  # a and b are up again, c is left out
     tombstones.record(
         [make_endpoint("a", EndpointState.DRAINING, 7), make_endpoint("b", EndpointState.REMOVED)],
         False,
-        known,
+        present,
     )
     states = {
         endpoint.info.name: endpoint.info.state
@@ -206,22 +187,16 @@
     monkeypatch.setattr("query_gateway.discovery.watch_client.POLL_HOLD_MS", 100)
     monkeypatch.setattr("query_gateway.discovery.watch_client.ANSWER_GRACE_SECONDS", 0.1)
     journal, engine = JournalStandIn(), Engine()
-    gateway = Gateway(config([host(engine)], journal=journal.address), OperatorSettings(), signals=False)
-    thread = threading.Thread(target=gateway.loop.run, daemon=True)
-    thread.start()
-    broken_watch = journal.server.accept()[0]
-    if failure == "breaks":
-        assert broken_watch.recv(4096)
-        broken_watch.close()
-    hosts = {"seq": 2, "whole": False, "hosts": [host(engine, "e0", "draining")]}
-    drain_answer = json.dumps({"pos": 2, "entries": [{"pos": 2, "hosts": hosts}]}).encode()
-    assert [journal.answer(body) for body in (drain_answer, b'{"pos":2,"entries":[]}')] == [
-        "/journal?tail=1", "/journal?tail=2"]  # fmt: skip
-    assert gateway.forwarder.endpoints["e0"].info.state is EndpointState.DRAINING
-    assert post(gateway, "lookup", SQL, ttl=400)[0] == 429 and not engine.statements
-    gateway.loop.stop()
-    thread.join(10)
-    gateway.loop.close()
+    drain_answer = json.dumps(endpoint_list_answer(2, [host(engine, "e0", "draining")])).encode()
+    with running_gateway(config([host(engine)], journal=journal.address)) as gateway:
+        broken_watch = journal.server.accept()[0]
+        if failure == "breaks":
+            assert broken_watch.recv(4096)
+            broken_watch.close()
+        assert [journal.answer(body) for body in (drain_answer, b'{"pos":2,"entries":[]}')] == [
+            "/journal?tail=1", "/journal?tail=2"]  # fmt: skip
+        assert gateway.forwarder.endpoints["e0"].info.state is EndpointState.DRAINING
+        assert post(gateway, "lookup", SQL, ttl=400)[0] == 429 and not engine.statements
     code = "unresponsive" if failure == "unresponsive" else "peer-closed"
     assert f"end discovery {journal.address} {code}" in capfd.readouterr().err
     broken_watch.close()
@@ -251,23 +226,25 @@
     )
 
 
-EVENTS = 12
-HOW = st.sampled_from(["good", "empty", "gap", "twice", "anew"])
+LAST_POSITION = 12
+ANSWER_KINDS = st.sampled_from(["good", "empty", "gap", "duplicate", "reset"])
 
 
-def _event(number: int) -> EndpointListEvent:
-    """Each event starts one engine and drains an earlier one; the first holds the whole list."""
-    names = [(number, EndpointState.UP)] + [(number // 2, EndpointState.DRAINING)] * (number > 1)
-    endpoints = [Endpoint(EndpointInfo(str(n), s, 0, 0, 0, 0, 1.0), {}) for n, s in names]
-    return EndpointListEvent(number, number == 1, tuple(endpoints))
+def _event(position: int) -> EndpointListEvent:
+    """Each event starts one engine and drains an earlier one; the first is a snapshot."""
+    states = {str(position): EndpointState.UP}
+    if position > 1:
+        states[str(position // 2)] = EndpointState.DRAINING
+    endpoints = [Endpoint(EndpointInfo(name, state, 0, 0, 0, 0, 1.0), {}) for name, state in states.items()]
+    return EndpointListEvent(position, position == 1, tuple(endpoints))
 
 
-def _list_at(last: int) -> dict[str, EndpointState]:
-    return {t.info.name: t.info.state for n in range(1, last + 1) for t in _event(n).endpoints}
+def _states(endpoints: Iterable[Endpoint]) -> dict[str, EndpointState]:
+    return {endpoint.info.name: endpoint.info.state for endpoint in endpoints}
 
 
 @steady
-@given(st.lists(st.tuples(st.integers(1, EVENTS), HOW)))
+@given(st.lists(st.tuples(st.integers(1, LAST_POSITION), ANSWER_KINDS)))
 def test_whatever_a_watch_does_its_next_good_answers_tell_the_whole_list(
     steps: list[tuple[int, str]],
 ) -> None:
@@ -276,19 +253,21 @@
     After one that it handles wrongly, its list would differ from the service's for good. Whatever came
     before, two good answers bring the complete list: the first may only show that a resync is needed.
     """
-    held, known = 0, dict[str, EndpointState]()
-
-    def take(last: int, events: list[EndpointListEvent]) -> None:
-        nonlocal held, known
-        news = reconcile(held, EndpointListAnswer(last, tuple(events)))
-        known = {} if news.is_snapshot else known
-        known |= {t.info.name: t.info.state for t in news.endpoints}
-        held = news.position
-
-    for last, how in steps:
-        events = [_event(n) for n in range(held + 1, last + 1)]
-        spoilt = {"empty": [], "gap": events[1:], "twice": [*events, *events], "anew": []}
-        take(1 if how == "anew" else last, spoilt.get(how, events))
-    for _ in range(2):  # the second where the first shows that all must be asked for
-        take(EVENTS, [_event(n) for n in range(held + 1, EVENTS + 1)])
-    assert held == EVENTS and known == _list_at(EVENTS)
+    position, states = 0, dict[str, EndpointState]()
+
+    def take(last_position: int, events: list[EndpointListEvent]) -> None:
+        nonlocal position, states
+        update = reconcile(position, EndpointListAnswer(last_position, tuple(events)))
+        states = {} if update.is_snapshot else states
+        states |= _states(update.endpoints)
+        position = update.position
+
+    for last_position, kind in steps:
+        events = [_event(number) for number in range(position + 1, last_position + 1)]
+        faulty = {"empty": [], "gap": events[1:], "duplicate": [*events, *events], "reset": []}
+        take(1 if kind == "reset" else last_position, faulty.get(kind, events))
+    for _ in range(2):  # the first may only show that the complete list is needed
+        take(LAST_POSITION, [_event(number) for number in range(position + 1, LAST_POSITION + 1)])
+    all_events = [_event(number) for number in range(1, LAST_POSITION + 1)]
+    assert position == LAST_POSITION
+    assert states == _states(endpoint for event in all_events for endpoint in event.endpoints)
--- a/tests/test_race_shutdown.py
+++ b/tests/test_race_shutdown.py
@@ -6,7 +6,6 @@
 import os
 import signal
 import socket
-import threading
 from collections.abc import Callable, Iterator
 from concurrent.futures import ThreadPoolExecutor
 from pathlib import Path
@@ -30,7 +29,7 @@
     settings_with_timeout,
     settings_without_timeouts,
 )
-from tests.stand_ins import SETTINGS, Engine, config, host, post
+from tests.stand_ins import SETTINGS, Engine, config, host, post, running_gateway
 from tests.test_hot_upgrade import Site, site
 from tests.test_local import until
 from tests.test_web import LOAD, ROWS, SQL, running
@@ -38,6 +37,15 @@
 pytestmark = pytest.mark.usefixtures("reset_log_rate_limit")
 
 
+def abort_delays(gateway: Gateway) -> list[float]:
+    """Seconds until the shutdown aborts open requests, one for each timer that does so."""
+    return [
+        due_at - gateway.loop.now()
+        for due_at, _, timer in gateway.loop.timers
+        if timer.callback == gateway.shutdown.give_up
+    ]
+
+
 def test_shutdown_aborts_open_requests_before_the_process_is_killed() -> None:
     """A request is still open when the platform is about to send SIGKILL.
 
@@ -48,12 +56,8 @@
         gateway = Gateway(config([], settings=settings), OperatorSettings(), signals=False)
         gateway.begin_shutdown()
         gateway.begin_shutdown()  # a second SIGTERM starts no second shutdown
-        abort_delays = [
-            when - gateway.loop.now()
-            for when, _, timer in gateway.loop.timers
-            if timer.callback == gateway.shutdown.give_up
-        ]
-        assert len(abort_delays) == 1 and longest_deadline < abort_delays[0] < longest_deadline + 0.7
+        [abort_delay] = abort_delays(gateway)
+        assert longest_deadline < abort_delay < longest_deadline + 0.7
         gateway.loop.close()
 
 
@@ -69,12 +73,8 @@
     gateway = Gateway(config([]), OperatorSettings(), signals=False, options=GatewayOptions(sources=sources))
     gateway.reload()
     gateway.begin_shutdown()
-    abort_delays = [
-        when - gateway.loop.now()
-        for when, _, timer in gateway.loop.timers
-        if timer.callback == gateway.shutdown.give_up
-    ]
-    assert len(abort_delays) == 1 and 1.0 < abort_delays[0] < 1.7
+    [abort_delay] = abort_delays(gateway)
+    assert 1.0 < abort_delay < 1.7
     gateway.loop.close()
 
 
@@ -178,10 +178,10 @@
     """A gateway, and its link to a successor that the test plays."""
     configuration = config([host(engine)], settings=settings_without_timeouts())
     options = GatewayOptions(upgrade_path=str(folder / "upgrade.sock"))
-    gateway = Gateway(configuration, OperatorSettings(), signals=False, options=options)
-    thread = threading.Thread(target=gateway.loop.run, daemon=True)
-    thread.start()
-    with socket.socket(socket.AF_UNIX, socket.SOCK_SEQPACKET) as link:
+    with (
+        running_gateway(configuration, options=options) as gateway,
+        socket.socket(socket.AF_UNIX, socket.SOCK_SEQPACKET) as link,
+    ):
         link.settimeout(10)
         link.connect(str(folder / "upgrade.sock"))
         link.send(json.dumps({"hello": PROTOCOL_VERSION}).encode())
@@ -189,10 +189,6 @@
         for message in messages:
             link.send(json.dumps({message: True}).encode())
         yield gateway, link
-        gateway.loop.stop()
-        thread.join(10)
-        assert gateway.loop.faults == 0
-        gateway.loop.close()
     for descriptor in descriptors:
         os.close(descriptor)
     engine.close()
@@ -279,20 +275,14 @@
         inherited = inheriting.result(10)
         assert (inherited is None) is (step == "connected")
     options = GatewayOptions(upgrade_path=path, inherited=inherited)
-    gateway = Gateway(config([host(engine)]), OperatorSettings(), signals=False, options=options)
-    thread = threading.Thread(target=gateway.loop.run, daemon=True)
-    thread.start()
-    if step in ("ready", "leaving"):
-        assert json.loads(link.recv(MAX_PACKET_BYTES)) == {"ready": True}
-    if step == "leaving":
-        link.send(json.dumps({"leaving": True}).encode())
-    link.close()
-    until(lambda: gateway.hot_upgrade and not gateway.hot_upgrade.predecessor and gateway.readiness.ready)
-    assert post(gateway, "lookup", SQL, ttl=5_000)[0] == 200
-    gateway.loop.stop()
-    thread.join(10)
-    assert gateway.loop.faults == 0
-    gateway.loop.close()
+    with running_gateway(config([host(engine)]), options=options) as gateway:
+        if step in ("ready", "leaving"):
+            assert json.loads(link.recv(MAX_PACKET_BYTES)) == {"ready": True}
+        if step == "leaving":
+            link.send(json.dumps({"leaving": True}).encode())
+        link.close()
+        until(lambda: gateway.hot_upgrade and not gateway.hot_upgrade.predecessor and gateway.readiness.ready)
+        assert post(gateway, "lookup", SQL, ttl=5_000)[0] == 200
     http_listener.close()
     engine.close()
 
--- a/tests/test_upgrade_compatibility.py
+++ b/tests/test_upgrade_compatibility.py
@@ -127,7 +127,7 @@
     statements = StatementSettings(Rules(lookup="lookup", report="report", load="load"), covers_http=True)
     operator = OperatorSettings(flight_address=("127.0.0.1", 0), statements=statements)
     options = GatewayOptions(upgrade_path=str(folder / "successor"), inherited=inherited)
-    site = config([host(engine, born_ms=1_700_000_000_000)])
+    site = config([host(engine, started_at_ms=1_700_000_000_000)])
     gate = Gateway(site, operator, signals=False, options=options)
     yield gate
     assert gate.statements
