--- a/query_gateway/cli.py
+++ b/query_gateway/cli.py
@@ -196,7 +196,7 @@
 def _classify_line(service: "StatementService", text: str) -> dict[str, Any]:
     """What becomes of one line of input, as it is printed."""
     from query_gateway.statements.classifier import classification_line, rejected_decision
-    from query_gateway.statements.lexer import UnsupportedStatementError
+    from query_gateway.statements.errors import UnsupportedStatementError
 
     classifier = service.classifier
     try:
--- a/query_gateway/parsing/service.py
+++ b/query_gateway/parsing/service.py
@@ -12,7 +12,7 @@
 from query_gateway.parsing.snapshot_store import SnapshotStore
 from query_gateway.parsing.supervisor import ParserSupervisor
 from query_gateway.statements.classifier import MAX_SHAPES, CachedStatement, Classifier, rejected_decision
-from query_gateway.statements.lexer import UnsupportedStatementError
+from query_gateway.statements.errors import UnsupportedStatementError
 from query_gateway.statements.messages import Decision, ParseResult, Rules
 from query_gateway.statements.normalizer import NormalizedStatement
 
--- a/query_gateway/statements/__init__.py
+++ b/query_gateway/statements/__init__.py
@@ -1,6 +1,6 @@
 """Bare SQL: whether it writes, its class, its key, its cost and how many of its shape may run at once.
 
-Owns the shapes seen, what was learned of each and the limits on those that did harm. Knows no socket, clock
-or process: time is handed in, and a full parse is asked for and answered by whoever holds it
-(`query_gateway.parsing`). Imported by the fronts only where an operator's file has the table `statements`.
+Owns the shapes seen, what was learned of each and the limits on those that did harm. Free of I/O: callers
+pass the time, and `query_gateway.parsing` runs the full parses. Imported by the fronts only where an
+operator's file has the table `statements`.
 """
--- a/query_gateway/statements/cache.py
+++ b/query_gateway/statements/cache.py
@@ -1,8 +1,9 @@
-"""A bounded cache that a flood of things seen once cannot flush: W-TinyLFU.
+"""A bounded cache that a flood of entries used once cannot flush: W-TinyLFU.
 
-New entries come into a small window kept by recency. What falls out of it has to be seen more often, by a
-count-min sketch, than the entry that would leave for it. The main part is kept by recency in two segments:
-what is used again in probation is protected.
+New entries come into a small window in least-recently-used order. An entry that leaves the window enters the
+main part only if it was seen more often, by a count-min sketch, than the entry that would be evicted for it.
+The main part has two segments in least-recently-used order: an entry on probation that is used again is
+protected.
 """
 
 from typing import Generic, TypeVar
@@ -20,7 +21,10 @@
     """
 
     def __init__(self, capacity: int, window_share: float = 0.01, protected_share: float = 0.8) -> None:
-        """Shares are of the whole and of the main part. Raises ValueError below MIN_CAPACITY."""
+        """`window_share` is of `capacity`, `protected_share` of the main part.
+
+        Raises ValueError for a capacity below MIN_CAPACITY.
+        """
         if capacity < MIN_CAPACITY:
             raise ValueError(f"a cache needs a capacity of {MIN_CAPACITY} at least, not {capacity}")
         self.capacity = capacity
@@ -74,7 +78,7 @@
         return self._evict_from_window()
 
     def _evict_from_window(self) -> bytes | None:
-        """The least recent entry of the window goes into the main part or out; returns what was evicted."""
+        """Move the window's oldest entry to the main part, or evict one; returns the evicted digest."""
         candidate = next(iter(self.window))
         value = self.window.pop(candidate)
         if len(self.probation) + len(self.protected) < self.main_capacity:
@@ -89,5 +93,5 @@
         return victim
 
     def clear(self) -> None:
-        """Forget the entries, not how often they were seen."""
+        """Remove all entries; how often they were seen stays counted."""
         self.window, self.probation, self.protected = {}, {}, {}
--- a/query_gateway/statements/classifier.py
+++ b/query_gateway/statements/classifier.py
@@ -1,5 +1,6 @@
-"""From a statement to what is decided about it: normalized statements seen before by cache, all others by a
-parse that the caller runs.
+"""From a statement to the decision about it.
+
+The parse result of a shape is cached; a statement of a new shape needs a parse, which the caller runs.
 """
 
 from collections.abc import Collection, Sequence
@@ -9,7 +10,7 @@
 from query_gateway.forwarder.table_group import table_group
 from query_gateway.statements.cache import Cache
 from query_gateway.statements.costs import CostEstimates
-from query_gateway.statements.lexer import UnsupportedStatementError
+from query_gateway.statements.errors import UndeterminedKeyError, UnsupportedStatementError
 from query_gateway.statements.limits import ShapeLimits
 from query_gateway.statements.messages import Decision, ParseResult, Rules
 from query_gateway.statements.normalizer import NormalizedStatement, normalize
@@ -20,7 +21,7 @@
 
 @dataclass(slots=True, frozen=True)
 class CachedStatement:
-    """What is cached of a normalized statement."""
+    """What is cached for a normalized statement."""
 
     parse_result: ParseResult
     table_group: int | None
@@ -43,7 +44,7 @@
         self.shapes: Cache[CachedStatement] = Cache(capacity)
         self.costs = CostEstimates(capacity)
         self.limits = ShapeLimits()
-        # Guards the memory: thousands of shapes share few results
+        # Thousands of shapes share few results; one object for equal results keeps the memory small
         self._distinct_results: dict[ParseResult, ParseResult] = {}
 
     def normalize(self, text: str) -> NormalizedStatement:
@@ -51,11 +52,11 @@
         return normalize(text, self.rules.sort_rows, self.rules.most_length)
 
     def cached(self, statement: NormalizedStatement) -> CachedStatement | None:
-        """What is known of it, which counts as a use; None: it has to be parsed."""
+        """The cached parse result, which counts as a use; None: the statement has to be parsed."""
         return self.shapes.get(statement.fingerprint)
 
     def learn(self, statement: NormalizedStatement, parse_result: ParseResult) -> CachedStatement:
-        """Cache what the parse found."""
+        """Cache a parse result."""
         if len(self._distinct_results) > MAX_DISTINCT_RESULTS:
             self._distinct_results.clear()
         shared = self._distinct_results.setdefault(parse_result, parse_result)
@@ -71,7 +72,11 @@
         requested_key: str | None = None,
         parameters: Sequence[object] = (),
     ) -> Decision:
-        """The decision about one text. Class and key are those that its client names, if any."""
+        """The decision about one text.
+
+        `requested_class` and `requested_key`: as its client names them, if it does. `parameters`: the values
+        bound to the parameters of the text.
+        """
         parse_result, rules = cached.parse_result, self.rules
         if not parse_result.is_write:
             name = requested_class or (rules.report if parse_result.is_report else rules.lookup)
@@ -112,7 +117,7 @@
         class_name: str,
         parameters: Sequence[object],
     ) -> Decision:
-        from query_gateway.statements.values import UndeterminedKeyError, key_of
+        from query_gateway.statements.values import key_of
 
         key_rule = self.rules.keys[parse_result.key_rule_index]
         try:
@@ -122,7 +127,7 @@
         return Decision(class_name, True, False, key, parse_result.verb, True)
 
     def update_rules(self, rules: Rules, idempotent_classes: Collection[str]) -> None:
-        """New rules: what was parsed by the old ones is forgotten; what was learned of costs stays."""
+        """Use new rules from now on. Results of parses by the old rules are dropped; cost estimates stay."""
         self.idempotent_classes = frozenset(idempotent_classes)
         if rules != self.rules:
             self.rules = rules
@@ -145,7 +150,7 @@
 
 
 def rejected_decision(error: UnsupportedStatementError) -> Decision:
-    """The decision about a text that cannot even be split into tokens with certainty."""
+    """The decision about a text that is unsupported."""
     return _rejected(str(error))
 
 
@@ -156,7 +161,7 @@
     costs: CostEstimates,
     was_cached: bool,
 ) -> dict[str, Any]:
-    """What `query-gateway statements classify` prints of one statement."""
+    """What `query-gateway statements classify` prints for one statement."""
     cost_ns = None
     if cached and statement and decision.class_name:
         cost_ns = costs.cost_ns(statement.fingerprint, decision.class_name, cached.table_group)
--- a/query_gateway/statements/costs.py
+++ b/query_gateway/statements/costs.py
@@ -1,8 +1,7 @@
 """Cost estimates, learned from outcomes: by shape, else by table group and class, else by class.
 
-Each is a histogram of few bytes with buckets in equal ratios, whose counts halve when they pass a bound: so
-old outcomes fade as new ones come, and a shape that turns slow is followed within that bound's number of
-outcomes.
+Each is a small histogram with buckets in equal ratios. Its counts are halved when their sum reaches
+MAX_TOTAL, so old outcomes fade, and a shape that becomes slow is followed within that number of outcomes.
 """
 
 import math
@@ -11,34 +10,34 @@
 
 from query_gateway.statements.sketch import CountMin
 
-BUCKET_RATIO = 1.35  # between the bounds of a bucket: an estimate is off by its root at most, within a bucket
+BUCKET_RATIO = 1.35  # between the bounds of a bucket
 FIRST_BOUND_NS = 1e5  # lower bound of the first bucket
 BUCKETS = 64  # the upper bound of the last one is 6 hours
 MAX_TOTAL = 48  # outcomes after which the counts halve
-MIN_OUTCOMES = 5  # that make a histogram worth using
-JUMP_LENGTH = 6  # outcomes in a row on one side, far from the estimate: what was learned before is forgotten
-JUMP_FACTOR = 2.0  # times the estimate, or its inverse: what counts as far
-JUMP_DIVISOR = 8  # of the counts, when it jumps
-MEMORY_QUANTILE = 0.8  # memory is estimated on the high side
+MIN_OUTCOMES = 5  # until a histogram is used
+JUMP_LENGTH = 6  # outcomes in a row on one side, far from the estimate, after which earlier ones count less
+JUMP_FACTOR = 2.0  # times the estimate, or the estimate divided by it: far
+JUMP_DIVISOR = 8  # of the counts after such a jump
+MEMORY_QUANTILE = 0.8  # above the median: too little memory makes a query spill
 FINGERPRINT_BYTES = 16
 MAX_SNAPSHOT_ENTRIES = 2_048  # of each table
-MAX_CLASS_NAME_LENGTH = 200  # characters that are kept of a name from a snapshot
+MAX_CLASS_NAME_LENGTH = 200  # characters of a name from a snapshot; longer ones are cut
 _LOG_RATIO = math.log(BUCKET_RATIO)
 _LOG_FIRST = math.log(FIRST_BOUND_NS)
 _halved = bytes(count >> 1 for count in range(256))
 
-# The words of the stored snapshot, which other versions read and write as well
+# Keys of the stored snapshot, which other versions read and write as well
 VERSION = 1
 VERSION_KEY, SHAPES_KEY, MEMORY_KEY, FALLBACKS_KEY = "version", "shapes", "needs", "coarse"
 
 
 class Histogram:
-    """Counts of values by bucket, fading. Takes some 180 bytes."""
+    """Counts of values by bucket; old ones fade."""
 
     __slots__ = ("counts", "total", "streak")
 
     def __init__(self, counts: bytes = bytes(BUCKETS)) -> None:
-        """`counts`: one byte a bucket."""
+        """`counts`: one byte for each bucket."""
         self.counts = bytearray(counts)
         self.total = sum(counts)
         self.streak = 0  # outcomes in a row above (+) or below (-) the estimate by JUMP_FACTOR
@@ -54,7 +53,7 @@
             self.total = sum(self.counts)
 
     def _follow_jump(self, value: float) -> None:
-        """Forget most of what was learned once the values have moved far away and stay there."""
+        """Reduce the counts once values have moved far from the estimate and stay there."""
         usual = self.quantile(0.5)
         if usual and value > usual * JUMP_FACTOR:
             self.streak = max(1, self.streak + 1)
@@ -62,20 +61,20 @@
             self.streak = min(-1, self.streak - 1)
         else:
             self.streak = 0
-        if abs(self.streak) >= JUMP_LENGTH:  # a mix of slow and fast ones is hardly so long on one side
+        if abs(self.streak) >= JUMP_LENGTH:  # a mix of slow and fast outcomes changes sides earlier
             self.counts = bytearray(count // JUMP_DIVISOR for count in self.counts)
             self.total = sum(self.counts)
             self.streak = 0
 
     def quantile(self, share: float) -> float:
-        """The value below which that share lies, interpolated within its bucket; 0 if nothing is known."""
+        """The value below which that share lies, interpolated within its bucket; 0.0 without outcomes."""
         if not self.total:
             return 0.0
-        left = share * self.total
+        remaining = share * self.total
         for bucket, count in enumerate(self.counts):
-            if count and left < count:
-                return math.exp(_LOG_FIRST + _LOG_RATIO * (bucket + left / count))
-            left -= count
+            if count and remaining < count:
+                return math.exp(_LOG_FIRST + _LOG_RATIO * (bucket + remaining / count))
+            remaining -= count
         return math.exp(_LOG_FIRST + _LOG_RATIO * BUCKETS)
 
 
@@ -83,13 +82,13 @@
 
 
 class CostEstimates:
-    """Estimates of run time and memory, for `capacity` shapes and as many groups as `max_groups`.
+    """Estimates of run time and memory for `capacity` shapes and `max_groups` pairs of class and table group.
 
-    When it is full, the shape that goes is the one used longest ago, unless the new one is rarer yet.
+    A full table drops the least recently used shape, unless the new one was seen less often.
     """
 
     def __init__(self, capacity: int = 10_000, max_groups: int = 1_024) -> None:
-        """`capacity`: shapes; `max_groups`: pairs of class and table group."""
+        """Begin without estimates."""
         self.capacity, self.max_groups = capacity, max_groups
         self.shapes: dict[bytes, Histogram] = {}
         self.memory: dict[bytes, Histogram] = {}
@@ -118,21 +117,21 @@
             del self.fallbacks[next(iter(self.fallbacks))]
 
     def _histogram_of(self, table: dict[bytes, Histogram], fingerprint: bytes) -> Histogram | None:
-        """The shape's histogram, new if need be; None if the table is full of shapes that are used more."""
+        """The shape's histogram, new if there is none; None if a full table's oldest shape is seen more."""
         if histogram := table.pop(fingerprint, None):
             table[fingerprint] = histogram
             return histogram
         if len(table) >= self.capacity:
             oldest = next(iter(table))
             if self.seen.count(oldest) > self.seen.count(fingerprint):
-                table[oldest] = table.pop(oldest)  # moved to the end: the next one is compared then
+                table[oldest] = table.pop(oldest)  # to the end: the next shape is compared with another one
                 return None
             del table[oldest]
         table[fingerprint] = Histogram()
         return table[fingerprint]
 
     def cost_ns(self, fingerprint: bytes, class_name: str, table_group: int | None) -> int | None:
-        """The usual run time; None if nothing like it has run."""
+        """The usual run time; None if there are too few outcomes of its shape, group and class."""
         candidates = (
             self.shapes.get(fingerprint),
             self.fallbacks.get((class_name, table_group)),
@@ -144,7 +143,7 @@
         return None
 
     def memory_mb(self, fingerprint: bytes) -> float:
-        """Memory that most of its queries needed; 0 if nothing is known."""
+        """Memory that most of its queries needed; 0.0 if there are too few outcomes."""
         histogram = self.memory.get(fingerprint)
         if histogram is None or histogram.total < MIN_OUTCOMES:
             return 0.0
@@ -153,7 +152,7 @@
     # ---- for a restart or a successor
 
     def snapshot(self, max_entries: int = MAX_SNAPSHOT_ENTRIES) -> dict[str, Any]:
-        """The shapes used last, as plain values; `max_entries` of each table."""
+        """The most recently used shapes as JSON values; `max_entries` of each table."""
         fallbacks = [
             [class_name, table_group, bytes(histogram.counts).hex()]
             for (class_name, table_group), histogram in list(self.fallbacks.items())[-max_entries:]
@@ -166,7 +165,7 @@
         }
 
     def restore(self, raw: Any) -> bool:
-        """Take over a snapshot, all of it or, if anything in it is unusable, nothing."""
+        """Replace the estimates by a snapshot's. Returns False and changes nothing if any part is invalid."""
         try:
             if raw[VERSION_KEY] != VERSION:
                 return False
--- a/query_gateway/statements/keys.py
+++ b/query_gateway/statements/keys.py
@@ -1,8 +1,8 @@
 """Which rows a load may touch: where the value of its key stands in the tree.
 
-Only what is certain counts: a load is keyed if every row it may insert, change or remove carries one value
-in the rule's column. What is not certain raises UndeterminedKeyError with the reason, which reaches the
-client. Trees are those of sqlglot.
+A load is keyed only if every row that it may insert, change or remove certainly has one value in the rule's
+column. Otherwise UndeterminedKeyError is raised; its message is a reason that reaches the client. Trees are
+those of sqlglot.
 """
 
 import re
@@ -12,18 +12,14 @@
 
 from sqlglot import expressions as exp
 
+from query_gateway.statements.errors import NoKeyRuleError, UndeterminedKeyError
 from query_gateway.statements.messages import KeyRule, LiteralReference
 from query_gateway.statements.normalizer import FIRST_NUMBER
-from query_gateway.statements.values import UndeterminedKeyError
 
 INTEGERS, TEXTS = ("INT", "BIGINT"), ("TEXT", "VARCHAR")
 MAX_SHOWN_NAME = 80  # characters of a table's name in a reason
 STRING_SLOT, PARAMETER_SLOT = re.compile(r"s(\d+)"), re.compile(r"p(\d+)")
-SourceColumns = dict[str, list[LiteralReference]]  # by qualified name, those that hold literals alone
-
-
-class NoKeyRuleError(UndeterminedKeyError):
-    """No rule covers the table that is written."""
+SourceColumns = dict[str, list[LiteralReference]]  # by qualified name, columns that hold only literals
 
 
 # ---- rules by table
@@ -36,10 +32,10 @@
 
 
 def key_rule_index(table: Any, rules: Sequence[KeyRule]) -> int:
-    """The rule of a table. Parts that either side leaves out match: a bare name may be any schema's.
+    """The index of a table's rule. A name without its schema matches a rule for any schema, and the reverse.
 
-    One for whole tables takes precedence over those by column. Raises NoKeyRuleError if none matches and
-    UndeterminedKeyError if several do.
+    A rule with a single key for a table takes precedence over rules by column. Raises NoKeyRuleError if no
+    rule matches and UndeterminedKeyError if several do.
     """
     name = qualified_name(table)
     matching = [index for index, rule in enumerate(rules) if _matches(name, rule)]
@@ -58,11 +54,11 @@
     return all(fnmatchcase(part, pattern) for part, pattern in pairs)
 
 
-# ---- places in the tree
+# ---- literals and columns in the tree
 
 
 def literal_reference(node: Any) -> LiteralReference | None:
-    """The place of a literal, signed or cast in a way that keeps its value; None if it is none."""
+    """The reference to a literal with a sign or a cast that keeps its value; None for any other node."""
     negative, cast = False, ""
     while True:
         if isinstance(node, (exp.Paren, exp.Alias)):
@@ -93,7 +89,7 @@
 
 
 def _slot_of(node: Any) -> int:
-    """The slot that a literal of the canonical text tells; -1 if it tells none."""
+    """The slot that a literal of the canonical text holds; -1 for any other node."""
     if isinstance(node, exp.Literal) and not node.is_string:
         return int(node.this) - FIRST_NUMBER if node.this.isdigit() else -1
     found = None
@@ -105,33 +101,34 @@
 
 
 def is_column(node: Any, column: str) -> bool:
-    """Whether it may be the column, however it is written: for what must not be touched."""
+    """Whether a node may be the column, in any spelling: used where the column must not be touched."""
     return isinstance(node, (exp.Column, exp.Identifier)) and node.name.casefold() == column.casefold()
 
 
 class TargetScope(NamedTuple):
-    """What may stand before the target's columns: its alias, which hides its name, or its name."""
+    """How predicates may qualify the columns of a load's target: by its alias, else by its name."""
 
     name: str
-    schema: str  # empty behind an alias
-    others: frozenset[str]  # names of what else its predicates may refer to
+    schema: str  # empty if the target has an alias
+    other_sources: frozenset[str]  # names of the other tables that its predicates may refer to
 
 
 def _target_scope(tree: Any, target: Any) -> TargetScope:
-    others: set[str] = set()
+    other_sources: set[str] = set()
     for argument in ("from_", "from", "using"):
         sources = tree.args.get(argument)
         for source in sources if isinstance(sources, list) else [sources]:
             if isinstance(source, exp.Expression):
                 tables = source.find_all(exp.Table, exp.Subquery)
-                others |= {table.alias_or_name.casefold() for table in tables}
-                others.add(source.alias_or_name.casefold())  # VALUES and the like, named or not
+                other_sources |= {table.alias_or_name.casefold() for table in tables}
+                # VALUES and similar sources are no tables and may have no name
+                other_sources.add(source.alias_or_name.casefold())
     schema = "" if target.alias else target.db.casefold()
-    return TargetScope((target.alias or target.name).casefold(), schema, frozenset(others))
+    return TargetScope((target.alias or target.name).casefold(), schema, frozenset(other_sources))
 
 
 def _is_certainly_column(node: Any, column: str, scope: TargetScope) -> bool:
-    """Whether it is certainly that column of the target."""
+    """Whether a node is certainly that column of the target."""
     if not isinstance(node, exp.Column):
         return False
     name = node.this
@@ -139,11 +136,11 @@
         return False
     is_same = name.name == column if name.quoted else name.name.casefold() == column.casefold()
     if not node.table:
-        return is_same and not scope.others
+        return is_same and not scope.other_sources
     schema = node.args.get("db")
     if schema is not None and schema.name.casefold() != scope.schema:
         return False
-    return is_same and node.table.casefold() == scope.name and scope.name not in scope.others
+    return is_same and node.table.casefold() == scope.name and scope.name not in scope.other_sources
 
 
 def conjuncts(node: Any) -> Iterator[Any]:
@@ -159,9 +156,11 @@
             yield part
 
 
-def _selected(where: Any, column: str, scope: TargetScope, source: SourceColumns) -> list[LiteralReference]:
-    """The references of one conjunct that fixes the column; conjuncts beside it only narrow the rows."""
-    for part in conjuncts(where):
+def _selected(
+    predicate: Any, column: str, scope: TargetScope, source: SourceColumns
+) -> list[LiteralReference]:
+    """The references of one conjunct that fixes the column; further conjuncts only narrow the rows."""
+    for part in conjuncts(predicate):
         references: list[LiteralReference] = []
         if isinstance(part, exp.EQ):
             references = _equated(part, column, scope, source)
@@ -174,14 +173,14 @@
 
 def _equated(equality: Any, column: str, scope: TargetScope, source: SourceColumns) -> list[LiteralReference]:
     sides = (equality.this, equality.expression)
-    for one, other in (sides, sides[::-1]):
-        if _is_certainly_column(one, column, scope) and (references := _values(other, source)):
+    for side, opposite in (sides, sides[::-1]):
+        if _is_certainly_column(side, column, scope) and (references := _values(opposite, source)):
             return references
     return []
 
 
 def _listed(membership: Any) -> list[LiteralReference]:
-    """The literals of an IN; empty if it holds anything else."""
+    """The literals of an IN; empty if it has any other member."""
     if membership.args.get("query") or membership.args.get("unnest"):
         return []
     return _all_literals(membership.expressions)
@@ -208,35 +207,42 @@
 
 
 def _source_columns(source: Any) -> SourceColumns:
-    """Of a MERGE's source, the columns that hold literals alone, by qualified name."""
+    """The columns of a MERGE's source that hold only literals, by qualified name."""
     alias = source.args.get("alias")
     if alias is None or not alias.name:
         return {}
-    names, rows = _source_rows(source, [column.name for column in alias.args.get("columns") or ()])
-    folded = [name.casefold() for name in names]
+    source_rows = _source_rows(source, [column.name for column in alias.args.get("columns") or ()])
+    folded = [name.casefold() for name in source_rows.names]
     columns: SourceColumns = {}
     for index, name in enumerate(folded):
-        references = _all_literals(row[index] if index < len(row) else None for row in rows)
+        references = _all_literals(row[index] if index < len(row) else None for row in source_rows.rows)
         if references and folded.count(name) == 1:
             columns[f"{alias.name.casefold()}.{name}"] = references
     return columns
 
 
-def _source_rows(source: Any, names: list[str]) -> tuple[list[str], list[list[Any]]]:
-    """The columns' names and the rows of VALUES or of a plain SELECT; none of what is neither."""
+class SourceRows(NamedTuple):
+    """The names of a source's columns and its rows, as nodes of the tree."""
+
+    names: list[str]
+    rows: list[list[Any]]
+
+
+def _source_rows(source: Any, names: list[str]) -> SourceRows:
+    """The rows of VALUES or of a plain SELECT; no rows for any other source."""
     if isinstance(source, exp.Subquery):
         source = source.this
     if isinstance(source, exp.Values):
         rows = [list(row.expressions) for row in source.expressions if isinstance(row, exp.Tuple)]
-        return names, rows if len(rows) == len(source.expressions) else []
+        return SourceRows(names, rows if len(rows) == len(source.expressions) else [])
     if isinstance(source, exp.Select) and not source.args.get("with_"):
         names = names or [node.alias_or_name for node in source.expressions]
-        return names, [list(source.expressions)]
-    return names, []
+        return SourceRows(names, [list(source.expressions)])
+    return SourceRows(names, [])
 
 
 def _assigned(assignments: Iterable[Any], column: str, source: SourceColumns) -> list[LiteralReference]:
-    """The references of what is assigned to the column; whatever else it is given makes it unknown."""
+    """The references of the values that are assigned to the column, all of which must be literals."""
     references: list[LiteralReference] = []
     for assignment in assignments:
         is_plain = isinstance(assignment, exp.EQ)
@@ -269,7 +275,7 @@
 
 
 def _inserted_index(schema: Any, column: str) -> int:
-    """The place of the column among those that are inserted."""
+    """The position of the column among those that are inserted."""
     names = [node.name.casefold() for node in schema.expressions]
     if names.count(column.casefold()) != 1:
         raise UndeterminedKeyError(f"the insert does not give {column}")
@@ -299,7 +305,8 @@
 
 def _inserted_value(row: list[Any], index: int, width: int, column: str) -> LiteralReference:
     reference = literal_reference(row[index]) if len(row) == width else None
-    # Guards against a star before the value, which moves it to another column
+    # A star before the value stands for several columns, so the value goes to another one than its position
+    # shows; the load would get a wrong key. Such a row has no reference.
     if any(isinstance(node, exp.Star) or node.find(exp.Star) for node in row[: index + 1] if node):
         reference = None
     if reference is None:
@@ -311,7 +318,8 @@
     action = conflict.args.get("action")
     if action is not None and "NOTHING" in action.name.upper() and not conflict.expressions:
         return []
-    # Guards rows of other keys: a conflict on another column changes a row whose key we do not know
+    # A conflict on another column changes the row that is there, whose key is not known; it would run beside
+    # loads of that key. Only a conflict on the key's own column keeps the key.
     conflict_keys = conflict.args.get("conflict_keys") or ()
     columns = [node.this if isinstance(node, exp.Ordered) else node for node in conflict_keys]
     if conflict.args.get("duplicate") or not any(is_column(node, column) for node in columns):
@@ -355,7 +363,7 @@
     return references
 
 
-# ---- a load as a whole
+# ---- a complete load
 
 
 def target_of(tree: Any) -> Any:
@@ -380,10 +388,10 @@
     elif isinstance(tree, exp.Merge):
         references = _merged(tree, column)
     else:
-        where = tree.args.get("where")
-        if where is None:
+        where_clause = tree.args.get("where")
+        if where_clause is None:
             raise UndeterminedKeyError("all rows of the table are touched")
-        references = _selected(where.this, column, _target_scope(tree, target), {})
+        references = _selected(where_clause.this, column, _target_scope(tree, target), {})
         if isinstance(tree, exp.Update):
             references += _assigned(tree.expressions, column, {})
     return tuple(dict.fromkeys(references))
--- a/query_gateway/statements/lexer.py
+++ b/query_gateway/statements/lexer.py
@@ -1,12 +1,14 @@
 """Split a statement into tokens that every supported dialect splits alike; any other text is unsupported.
 
-Being strict is the point: a text is only ever proven to be a read if no engine's lexer can see other words
-in it than we do. So backslashes in quotes, `#`, dollar quotes, executable and nested comments, `--` without
-a space after it, odd white space and letters outside ASCII (unquoted) are all rejected here.
+A text counts as a read only if no engine's lexer can find other words in it than this one does. So
+backslashes in quotes, `#`, dollar quotes, executable and nested comments, `--` without a space after it,
+unusual white space and unquoted letters outside ASCII are all rejected here.
 """
 
 import re
 
+from query_gateway.statements.errors import UnsupportedStatementError
+
 MAX_LENGTH = 16_384  # characters of a statement
 MAX_TOKENS = 2_000
 MAX_DEPTH = 32  # parentheses, brackets and CASEs within each other
@@ -28,19 +30,19 @@
   | (?<![\w'"`$])\$\d++(?![\w$])
 """
 FLAGS = re.VERBOSE | re.DOTALL | re.ASCII
-# The last alternative takes all that follows, so what is unsupported is always the last token
+# The last alternative matches the remaining text, so unsupported text is always the last token
 TOKEN = re.compile(f"{SKIP}({ATOM} | .++ | \\Z)", FLAGS)
 SUPPORTED = re.compile(ATOM, FLAGS)
-# The same for a text that has neither "--" nor "/*", which is nearly every one: it takes half the time
+# The same without comments, for texts that have neither "--" nor "/*": nearly all, and matched faster
 NO_COMMENT = r"(?!--|/\*)"
 assert NO_COMMENT in ATOM
 UNCOMMENTED_TOKEN = re.compile(f"{SPACE}({ATOM.replace(NO_COMMENT, '')} | .++ | \\Z)", FLAGS)
 
-# Runs of operator characters and what they mean everywhere; a run that is not here may be an operator of
-# a user's own, or be split otherwise by another lexer
-_EVERYWHERE = "= < > <= >= <> != || :: -> ->> + - * / % ^ & | ~ << >> => :"
+# Runs of operator characters that mean the same in every dialect; any other run may be an operator that a
+# user has defined, or be split otherwise by another lexer
+_COMMON_OPERATORS = "= < > <= >= <> != || :: -> ->> + - * / % ^ & | ~ << >> => :"
 _BEFORE_PARAMETER = "= < > <= >= <> != + - * / || =>"
-OPERATORS: dict[str, tuple[str, ...]] = {op: (op,) for op in _EVERYWHERE.split()}
+OPERATORS: dict[str, tuple[str, ...]] = {op: (op,) for op in _COMMON_OPERATORS.split()}
 OPERATORS |= {
     f"{op}{prefix}": (op, prefix) for op in ["=", "<", ">", "<=", ">=", "<>", "!="] for prefix in "+-"
 }
@@ -50,10 +52,6 @@
 MARKS = frozenset("(),.;[]")
 
 
-class UnsupportedStatementError(Exception):
-    """A text that two lexers may read differently, or that is beyond the bounds; its message says which."""
-
-
 def tokenize(text: str, max_length: int = MAX_LENGTH) -> list[str]:
     """The tokens as written, without comments and white space; `max_length` in characters.
 
@@ -76,23 +74,27 @@
 
 
 def check_depth(text: str, tokens: list[str]) -> None:
-    """Guards the parser's stack. Raises UnsupportedStatementError where it nests deeper than MAX_DEPTH."""
+    """Raises UnsupportedStatementError for a statement that nests deeper than MAX_DEPTH.
+
+    The parser recurses at each level, so deep nesting exhausts its stack, which shows as a failed parse or a
+    lost parser process. The depth is checked here, before any statement is sent to a parser.
+    """
     if len(tokens) <= MAX_DEPTH:
         return
     if text.count("(") + text.count("[") + text.count("case") + text.count("CASE") <= MAX_DEPTH // 2:
-        return  # nearly all texts: no need to walk the tokens; counting what is within quotes does no harm
+        return  # as for nearly all texts; brackets within quotes are counted too, which only costs time
     depth = 0
     for token in tokens:
-        word = token.lower() if len(token) < 5 else ""
-        if token in ("(", "[") or word == "case":
+        keyword = token.lower() if len(token) < 5 else ""
+        if token in ("(", "[") or keyword == "case":
             depth += 1
             if depth > MAX_DEPTH:
                 raise UnsupportedStatementError(f"nested deeper than {MAX_DEPTH}")
-        elif token in (")", "]") or word == "end":
+        elif token in (")", "]") or keyword == "end":
             depth -= 1
 
 
-# What the first token that is not supported begins with, and why; the first that matches counts
+# By the start of the first unsupported token; the first entry that matches counts
 _REASONS_BY_START = (
     (("--",), "a -- without a space after it: a comment to some, an operator to others"),
     (("/*",), "a comment that nests, is never closed or may be executed"),
@@ -102,7 +104,7 @@
 
 
 def unsupported_reason(remainder: str) -> str:
-    """In words, for the rest of a text from the first token on that is not supported."""
+    """Why a text is unsupported; `remainder` begins with its first unsupported token."""
     for starts, reason in _REASONS_BY_START:
         if remainder.startswith(starts):
             return reason
--- a/query_gateway/statements/limits.py
+++ b/query_gateway/statements/limits.py
@@ -1,26 +1,30 @@
-"""How many queries of a shape may run at once, once it has done harm; which engine runs them stays the
-scheduler's to decide.
+"""How many queries of a shape may run at once after it has done harm.
 
-A shape is unlimited until it does harm: an attempt spilled, ran many times longer than usual, or failed on
-several engines in a row. Then it is limited: few at once, fewer each time harm comes again, and one more as
-attempts succeed. Harm that one engine alone does is not the shape's, so failures count once for an engine.
+    unlimited --harm--> limited to INITIAL_LIMIT --harm--> half as many, 1 at least
+    limited --SUCCESSES_PER_STEP successes in a row--> one more --UNLIMITED_FROM reached--> unlimited
+    limited --FORGET_AFTER_NS without harm--> unlimited
+
+Harm is an attempt that spilled, ran many times longer than usual, or was the last of failures on several
+engines in a row. An engine may fail by itself, so its failures count once. The scheduler alone chooses
+engines.
 """
 
 from dataclasses import dataclass, field
+from typing import NamedTuple
 
 SECOND_NS = 1_000_000_000
-ENGINES = 3  # that a shape fails on in a row, before it is limited
+ENGINES = 3  # different ones that a shape fails on in a row before it is limited
 RUNAWAY_FACTOR = 8.0  # times its usual run time
 MIN_RUNAWAY_NS = SECOND_NS  # a shorter attempt is no runaway
 INITIAL_LIMIT = 4  # at once, at first
 SUCCESSES_PER_STEP = 5  # attempts in a row that succeed, for one more at once
 UNLIMITED_FROM = 16  # at once: from here on it is unlimited again
-FORGET_AFTER_NS = 300 * SECOND_NS  # without harm, after which the limit is lifted
+FORGET_AFTER_NS = 300 * SECOND_NS  # without harm until the limit is lifted
 MAX_RECORDS = 512  # shapes limited or watched
 
 
 @dataclass(slots=True)
-class Record:
+class ShapeRecord:
     """What is remembered of a shape that failed or did harm."""
 
     failed_engines: set[str] = field(default_factory=set)  # since its last success
@@ -30,17 +34,23 @@
     reason: str = ""
 
 
+class EvictionOrder(NamedTuple):
+    """Records of shapes that are not limited are dropped first, then those whose harm is oldest."""
+
+    is_limited: bool
+    last_harm_at: int
+
+
 class ShapeLimits:
-    """Limits by fingerprint. Bounded by the open queries, and by `capacity` records.
+    """Limits by fingerprint, for at most `capacity` shapes.
 
-    When it is full, the record that goes is of the shape whose harm is oldest. Times are clock times in
-    nanoseconds.
+    A full table drops the record of the shape whose harm is oldest. Times are clock times in nanoseconds.
     """
 
     def __init__(self, capacity: int = MAX_RECORDS) -> None:
         """`capacity`: records at most."""
         self.capacity = capacity
-        self.records: dict[bytes, Record] = {}
+        self.records: dict[bytes, ShapeRecord] = {}
         self.running: dict[bytes, int] = {}  # open queries by fingerprint
         self.rejected_count = 0
 
@@ -63,13 +73,13 @@
 
     def query_ended(self, fingerprint: bytes) -> None:
         """A query that was started has its answer."""
-        left = self.running.get(fingerprint, 0) - 1
-        if left > 0:
-            self.running[fingerprint] = left
+        still_running = self.running.get(fingerprint, 0) - 1
+        if still_running > 0:
+            self.running[fingerprint] = still_running
         else:
             self.running.pop(fingerprint, None)
 
-    # ---- what its attempts did
+    # ---- outcomes of attempts
 
     def attempt_succeeded(self, fingerprint: bytes, run_time_ns: int, usual_ns: int | None, now: int) -> None:
         """`usual_ns`: the estimate before this attempt; None if there was none."""
@@ -93,7 +103,7 @@
         self._harm(fingerprint, now, "one spilled")
 
     def attempt_failed(self, fingerprint: bytes, engine: str, now: int) -> None:
-        """An attempt failed in a way that may be the statement's own doing."""
+        """An attempt failed in a way that the statement itself may have caused."""
         record = self._record(fingerprint)
         record.failed_engines.add(engine)
         record.successes = 0
@@ -107,18 +117,17 @@
         record.max_concurrent = max(1, record.max_concurrent // 2) if record.max_concurrent else INITIAL_LIMIT
         record.successes, record.last_harm_at, record.reason = 0, now, reason
 
-    def _record(self, fingerprint: bytes) -> Record:
+    def _record(self, fingerprint: bytes) -> ShapeRecord:
         record = self.records.get(fingerprint)
         if record is None:
             if len(self.records) >= self.capacity:
                 del self.records[min(self.records, key=self._eviction_order)]
-            record = self.records[fingerprint] = Record()
+            record = self.records[fingerprint] = ShapeRecord()
         return record
 
-    def _eviction_order(self, fingerprint: bytes) -> tuple[bool, int]:
-        """Shapes that are only watched go first, then by the age of their harm."""
+    def _eviction_order(self, fingerprint: bytes) -> EvictionOrder:
         record = self.records[fingerprint]
-        return record.max_concurrent > 0, record.last_harm_at
+        return EvictionOrder(record.max_concurrent > 0, record.last_harm_at)
 
     @property
     def limited_count(self) -> int:
--- a/query_gateway/statements/messages.py
+++ b/query_gateway/statements/messages.py
@@ -1,4 +1,4 @@
-"""The values of this package: what the rules say, what a parse found, what is decided about a statement."""
+"""The values of this package: rules, parse results and decisions."""
 
 from typing import Literal
 
@@ -19,7 +19,7 @@
 
     @property
     def key_namespace(self) -> str:
-        """What separates its keys from those of other rules; the same on every gateway."""
+        """Separates its keys from those of other rules; the same on every gateway."""
         return f"{self.table.casefold()}\0{self.column.casefold()}"
 
 
@@ -31,18 +31,18 @@
     report: str = "report"
     load: str | None = "load"  # None: writes are rejected
     aggregates: bool = True  # a read with one is a report
-    windows: bool = True
-    unselective: bool = True  # and one whose predicates select no rows by equality or IN
-    sort_rows: int = 1_000  # a sort of no more rows, by its LIMIT, makes no report
-    joins: int = 3  # nor do so many joins
+    windows: bool = True  # so is one with a window function
+    unselective: bool = True  # so is one whose predicates select no rows by equality or IN
+    sort_rows: int = 1_000  # a sort with a LIMIT up to this makes no report
+    joins: int = 3  # a read with more joins is a report
     pure: tuple[str, ...] = ()  # functions known to write nothing, beside the built-in ones
     keys: tuple[KeyRule, ...] = ()
-    mismatch: Literal["refuse", "load"] = "refuse"  # of a write that its client calls a read
+    mismatch: Literal["refuse", "load"] = "refuse"  # for a write that its client labels as a read
     most_length: int = 16_384  # characters of a statement
 
 
 class LiteralReference(msgspec.Struct, frozen=True, array_like=True):
-    """Where a value of the key stands: the slot of its literal, its sign, and what it is cast to."""
+    """Where a value of the key stands: the slot of its literal, and the sign and cast before it."""
 
     slot: int  # index into the literals of the normalized statement
     negative: bool = False
@@ -50,7 +50,7 @@
 
 
 class ParseResult(msgspec.Struct, frozen=True, array_like=True):
-    """What a full parse found of a normalized statement; it holds for every text that normalizes to it."""
+    """What a full parse found in a normalized statement; it holds for every text that normalizes to it."""
 
     is_write: bool
     is_report: bool = False
@@ -63,7 +63,7 @@
 
 
 class Decision(msgspec.Struct, frozen=True):
-    """What is decided about one statement. `reason` says why it is rejected or counts as a write."""
+    """What is decided about one statement. `reason`: why it is rejected or counts as a write."""
 
     class_name: str | None  # None: it is rejected
     is_write: bool
--- a/query_gateway/statements/normalizer.py
+++ b/query_gateway/statements/normalizer.py
@@ -1,39 +1,39 @@
 """Normalized statements: a statement's tokens with the literals replaced, and those literals in order.
 
 Two texts normalize to one statement only if they differ in literals, in the length of lists of literals, in
-rows of VALUES of one form, in white space, comments or the case of unquoted words. Numbers that are no
-values stay: those that stand for a column after BY, and after LIMIT whether they are above `sort_rows`,
-which the rules ask for.
+rows of VALUES of one form, in white space, comments or the case of unquoted words. Two kinds of numbers are
+kept, as they are no values: numbers of columns after BY, and whether a number after LIMIT is above
+`sort_rows`, on which a rule depends.
 
 The parser reads the normalized statement, never the text (`NormalizedStatement.canonical`), so a decision
-cannot depend on what was replaced. This is the path of every statement; it is written for speed.
+cannot depend on what was replaced. Every statement passes here, so the code is written for speed.
 """
 
 from hashlib import blake2b
 from typing import NamedTuple
 
+from query_gateway.statements.errors import UnsupportedStatementError
 from query_gateway.statements.lexer import (
     MARKS,
     MAX_LENGTH,
     OPERATORS,
-    UnsupportedStatementError,
     check_depth,
     tokenize,
     unsupported_reason,
 )
 
 DIGITS = frozenset("0123456789")
-NUMBER, STRING, PARAMETER = "#", "$", "?"  # what stands for a literal; no token of a text looks so
+NUMBER, STRING, PARAMETER = "#", "$", "?"  # in place of a literal; no token of a text looks like these
 SLOTS = frozenset((NUMBER, STRING, PARAMETER))
-FIRST_NUMBER = 7_000_000  # the literal of slot n is written as the number n above this, for the parser
+FIRST_NUMBER = 7_000_000  # the parser reads the number of slot n as FIRST_NUMBER + n
 ROW_LIMIT_WORDS = frozenset(("limit", "first", "next", "top"))  # before a number of rows
 BY_LIST_TERMINATORS = frozenset((
     "by", "having", "limit", "offset", "fetch", "order", "group", "window", "union", "except", "intersect",
     "select", "qualify", "rows", "range", "for", "from", "where",
 ))  # fmt: skip
-CONSTANT_WORDS = frozenset(("null", "true", "false", "default"))  # plain values of a row that are no literals
+CONSTANT_WORDS = frozenset(("null", "true", "false", "default"))  # values of a row, but no literals
 FINGERPRINT_BYTES = 16
-# Tokens that stand for themselves; words are added as they come, as many as this before all are dropped
+# Tokens with their normalized form; words are added as they come, and all words are dropped at this number
 MAX_CACHED_TOKENS = 8_192
 MAX_CACHED_TOKEN_LENGTH = 40  # characters
 _FIXED_TOKENS = {mark: mark for mark in MARKS} | {op: one[0] for op, one in OPERATORS.items() if one == (op,)}
@@ -60,7 +60,7 @@
         return self.fingerprint.hex()
 
     def canonical(self) -> str:
-        """The text that is parsed: each literal replaced by one that tells its slot."""
+        """The text that is parsed: each literal replaced by one that holds its slot."""
         parts, slot = [], 0
         for token in self.tokens:
             if token in SLOTS:
@@ -88,19 +88,20 @@
     if not tokens:
         raise UnsupportedStatementError("empty")
     check_depth(text, tokens)
-    out, literals = _fold(tokens, sort_rows)
+    literals: list[Literal] = []
+    out = _fold(tokens, sort_rows, literals)
     fingerprint = blake2b(" ".join(out).encode(), digest_size=FINGERPRINT_BYTES).digest()
     return NormalizedStatement(fingerprint, out, literals)
 
 
-def _fold(tokens: list[str], sort_rows: int) -> tuple[list[str], list[Literal]]:
-    """Replace the literals. "" in `out` stands for what is left out.
+def _fold(tokens: list[str], sort_rows: int, literals: list[Literal]) -> list[str]:
+    """The tokens with the literals replaced, which are appended to `literals`.
 
-    Cached tokens are taken in one pass of the interpreter's own; only the rest are visited one by one.
+    `map` looks all tokens up at C speed; only tokens that are not cached are visited one by one. An empty
+    text in `out` stands for a token that is left out.
     """
     out: list[str | None] = list(map(_cached_tokens.get, tokens))
-    literals: list[Literal] = []
-    needs_split = False  # something is left out, or a place holds several pieces
+    needs_split = False  # a token is left out, or an element holds several pieces
     index, append = out.index, literals.append
     position = -1
     while True:
@@ -109,14 +110,14 @@
         except ValueError:
             break
         token = tokens[position]
-        first = token[0]
-        if first in DIGITS:
+        initial = token[0]
+        if initial in DIGITS:
             append(token)
             out[position] = NUMBER
-        elif first == "'":
+        elif initial == "'":
             append(token)
             out[position] = STRING
-        elif first.isalpha() or first == "_":
+        elif initial.isalpha() or initial == "_":
             needs_split = _fold_word(tokens, position, out, literals, sort_rows) or needs_split
         else:
             needs_split = _fold_symbol(tokens, position, out, literals) or needs_split
@@ -124,47 +125,48 @@
         _number_parameters(literals)
     if needs_split:
         out = [piece for token in out if token for piece in token.split(SEPARATOR)]
-    return out, literals  # type: ignore[return-value]  # no place is left without a token
+    return out  # type: ignore[return-value]  # no element is None any more
 
 
 def _fold_word(
     tokens: list[str], position: int, out: list[str | None], literals: list[Literal], sort_rows: int
 ) -> bool:
-    """An unquoted word, with the literals that it governs; returns whether something is left out."""
+    """An unquoted word, with the literals that it governs; returns whether tokens are left out."""
     token = tokens[position]
     if token[-1] == "'":  # e'...' and n'...': without a backslash the same as '...'
         literals.append(token[1:])
         out[position] = STRING
         return False
-    word = out[position] = token.lower()
-    if word == "values":
+    normalized = out[position] = token.lower()
+    if normalized == "values":
         return _fold_rows(tokens, position + 1, out, literals)
-    if word == "in":
+    if normalized == "in":
         return _fold_members(tokens, position + 1, out, literals)
-    if word == "by":
+    if normalized == "by":
         _keep_ordinals(tokens, position + 1, out)
-    elif word in ROW_LIMIT_WORDS:
+    elif normalized in ROW_LIMIT_WORDS:
         _classify_row_limits(tokens, position + 1, out, sort_rows)
     elif len(token) < MAX_CACHED_TOKEN_LENGTH:
-        _cache_token(token, word)
+        _cache_token(token, normalized)
     return False
 
 
-def _cache_token(token: str, word: str) -> None:
-    if len(_cached_tokens) >= MAX_CACHED_TOKENS:  # guards the memory
+def _cache_token(token: str, normalized: str) -> None:
+    # Clients that send ever new names would fill the memory; the words in use are soon cached again
+    if len(_cached_tokens) >= MAX_CACHED_TOKENS:
         _cached_tokens.clear()
         _cached_tokens.update(_FIXED_TOKENS)
-    _cached_tokens[token] = word
+    _cached_tokens[token] = normalized
 
 
 def _fold_symbol(tokens: list[str], position: int, out: list[str | None], literals: list[Literal]) -> bool:
     """A quoted name, a parameter or a run of operators; returns whether it holds several pieces."""
     token = tokens[position]
-    first = token[0]
-    if first in '"`':
+    initial = token[0]
+    if initial in '"`':
         out[position] = token
         return False
-    if first == "$":
+    if initial == "$":
         literals.append(token)
         out[position] = PARAMETER
         return False
@@ -218,7 +220,7 @@
 
 
 def _classify_row_limits(tokens: list[str], position: int, out: list[str | None], sort_rows: int) -> None:
-    """After LIMIT and its like only whether a number is within the rules' bound matters."""
+    """After LIMIT and similar words only whether a number is within `sort_rows` matters."""
     while position < len(tokens) and tokens[position][0].isdigit():
         out[position] = "1" if float(tokens[position]) <= sort_rows else str(sort_rows + 1)
         if position + 1 >= len(tokens) or tokens[position + 1] != ",":
@@ -250,24 +252,24 @@
 
     literals: list[str]
     form: list[str]  # its tokens with the literals replaced
-    end: int  # the position behind it
+    end: int  # the position after it
 
 
 def _fold_rows(tokens: list[str], start: int, out: list[str | None], literals: list[Literal]) -> bool:
     """Fold rows of VALUES that have one form: (1, 'a'), (2, 'b') is one row with two literals each."""
-    first = _read_row(tokens, start)
-    if first is None:
+    first_row = _read_row(tokens, start)
+    if first_row is None:
         return False
-    slots: list[list[str]] = [[value] for value in first.literals]
-    end = first.end
+    slots: list[list[str]] = [[value] for value in first_row.literals]
+    end = first_row.end
     while end < len(tokens) and tokens[end] == ",":
         row = _read_row(tokens, end + 1)
-        if row is None or row.form != first.form:
+        if row is None or row.form != first_row.form:
             break
         for slot, value in zip(slots, row.literals, strict=True):
             slot.append(value)
         end = row.end
-    out[start:end] = [*first.form, *[""] * (end - start - len(first.form))]
+    out[start:end] = [*first_row.form, *[""] * (end - start - len(first_row.form))]
     literals.extend(slots)
     return True
 
@@ -287,16 +289,16 @@
             form.append(token)
         elif token == ")":
             return _Row(values, [*form, ")"], position + 1)
-        elif (word := token.lower()) in CONSTANT_WORDS:
-            form.append(word)
+        elif (constant := token.lower()) in CONSTANT_WORDS:
+            form.append(constant)
         else:
             break
     return None
 
 
 def _literal_kind(token: str) -> str:
-    """The kind of a plain string or number, else nothing; parameters go by place, so they do not fold."""
-    first = token[0]
-    if first.isdigit():
+    """NUMBER or STRING; empty for anything else. Parameters depend on their position, so they do not fold."""
+    initial = token[0]
+    if initial.isdigit():
         return NUMBER
-    return STRING if first == "'" else ""
+    return STRING if initial == "'" else ""
--- a/query_gateway/statements/purity.py
+++ b/query_gateway/statements/purity.py
@@ -1,8 +1,8 @@
-"""What is known to write nothing: kinds of tree nodes by their names in sqlglot, and functions by theirs.
+"""Node kinds and functions that are known to write nothing, by their names in sqlglot and in SQL.
 
-Both lists are closed: what is not on them is not proven. Pure means here that running it twice does no harm
-to anything stored, in the session or outside; `random()` and `now()` are pure in that sense, `nextval` is
-not.
+The lists are closed: a node or function that is not on them counts as a write. Pure means here that running
+it twice changes nothing stored, neither in the session nor outside; `random()` and `now()` are pure in that
+sense, `nextval` is not.
 """
 
 
@@ -74,13 +74,14 @@
     from_base64 to_base64 to_unixtime at_timezone lengthb
 """)
 
-# In a load these change nothing but a counter that no key depends on
+# In a load these change only a counter that no key depends on
 LOAD_FUNCTIONS = words("""
     nextval currval lastval uuid_generate_v4 last_insert_rowid newid sysdate
 """)
 
 # Names that write wherever they stand, even without parentheses or as a row's attribute, and words of
-# statements that write. A second check beside the tree: a parser that overlooks one does not make it a read
+# statements that write. Checked beside the tree, so that one that the parser overlooks still counts as a
+# write
 HARMFUL_NAMES = words("""
     nextval setval currval lastval pg_sleep dblink dblink_exec lo_import lo_export lo_unlink pg_notify
     set_config pg_terminate_backend pg_cancel_backend pg_reload_conf query_to_xml sleep benchmark
@@ -102,7 +103,7 @@
     flush optimize rename table explain replace security reassign abort end release upsert put get
 """)
 
-# Words before an opening parenthesis that call nothing
+# Words that call no function though an opening parenthesis follows
 NO_CALLS = words("""
     in values and or not on using as from join select where when then else case over filter group within
     by any some all exists union except intersect distinct having limit between like ilike is lateral
--- a/query_gateway/statements/reader.py
+++ b/query_gateway/statements/reader.py
@@ -1,9 +1,8 @@
-"""The full parse of a normalized statement: a read only where every node of its tree is known to write
-nothing.
+"""The full parse of a normalized statement: a read only if every node of its tree is known to write nothing.
 
-Three checks, each enough by itself to make a statement a write: words and names that write, wherever they
-stand; functions called, by name; and the kinds of the tree's nodes. What does not parse is rejected. Reasons
-reach the client.
+Three checks, each of which makes a statement a write by itself: words and names that write, wherever they
+stand; functions called, by name; and the kinds of the tree's nodes. A statement that does not parse is
+rejected. The messages of errors are reasons that reach the client.
 """
 
 import logging
@@ -14,11 +13,16 @@
 from sqlglot.errors import SqlglotError
 
 from query_gateway.statements import keys, purity
+from query_gateway.statements.errors import (
+    NoKeyRuleError,
+    NotReadOnlyError,
+    UndeterminedKeyError,
+    UnparsedStatementError,
+)
 from query_gateway.statements.messages import ParseResult, Rules
 from query_gateway.statements.normalizer import SLOTS, NormalizedStatement
-from query_gateway.statements.values import UndeterminedKeyError
 
-logging.getLogger("sqlglot").setLevel(logging.CRITICAL)  # it logs each statement that it falls back on
+logging.getLogger("sqlglot").setLevel(logging.CRITICAL)  # it logs each statement that it cannot parse fully
 
 DIALECTS = ("postgres", "mysql", "duckdb", "sqlite", "trino", "ansi")
 EXPLAIN_OPTIONS = purity.words("""
@@ -33,19 +37,11 @@
 MAX_SHOWN_WORD = 20
 
 
-class NotReadOnlyError(Exception):
-    """A statement cannot be shown to write nothing; the message says why, in words."""
-
-
-class UnparsedStatementError(Exception):
-    """A statement cannot be parsed as one; the message says why, in words."""
-
-
 class Reader:
-    """Parses normalized statements by one set of rules. Holds no state between statements."""
+    """Parses normalized statements by one set of rules. Keeps no state between statements."""
 
     def __init__(self, rules: Rules) -> None:
-        """Takes the dialect, the further pure functions, the key rules and the bounds of reports."""
+        """Uses the dialect, the additional pure functions, the key rules and the bounds of reports."""
         self.rules = rules
         self.dialect = "" if rules.dialect == "ansi" else rules.dialect
         pure = {name.casefold() for name in rules.pure}
@@ -83,10 +79,11 @@
         kind = type(tree).__name__
         if kind in DML:
             return self._read_load(tree, kind.lower(), tokens)
-        # Guards against words that the parser takes for an expression: DO 'x' is one to it
+        # sqlglot parses statements that it does not know, such as DO 'x', as an expression. One that writes
+        # would then count as a read. Only a query that begins with a word of a query is taken for one.
         if tokens[0] not in READ_STARTS or not isinstance(tree, QUERIES):
-            word = tokens[0].strip(QUOTES)[:MAX_SHOWN_WORD].upper()
-            raise NotReadOnlyError(f"{word} begins no known read")
+            shown_word = tokens[0].strip(QUOTES)[:MAX_SHOWN_WORD].upper()
+            raise NotReadOnlyError(f"{shown_word} begins no known read")
         self._prove(tree, tokens, False)
         return ParseResult(False, self._is_report(tree))
 
@@ -114,7 +111,9 @@
         self._check_words(tree, tokens, is_load)
         written = {token.strip(QUOTES).casefold() for token in tokens}
         for table in tree.find_all(exp.Table):
-            # Guards against a text that the parser takes for a name: some engines read the file of that name
+            # sqlglot takes a text in quotes after FROM for a table's name, and some engines read the file of
+            # that name. The statement would count as a read of a table. A name that stands nowhere as a word
+            # is no table.
             if isinstance(table.this, exp.Identifier) and table.name.casefold() not in written:
                 raise NotReadOnlyError("a table that is no name")
         for node in tree.walk():
@@ -158,11 +157,11 @@
         """The tokens alone: words that write, and each name before a parenthesis."""
         column_owners = _names_with_columns(tree, is_load)
         for position, token in enumerate(tokens):
-            first = token[0]
-            is_quoted = first in QUOTES
+            initial = token[0]
+            is_quoted = initial in QUOTES
             if is_quoted:
-                name = token[1:-1].replace(first * 2, first).casefold()
-            elif first.isalpha() or first == "_":
+                name = token[1:-1].replace(initial * 2, initial).casefold()
+            elif initial.isalpha() or initial == "_":
                 name = token
             else:
                 continue
@@ -191,13 +190,14 @@
         try:
             target = keys.target_of(tree)
             _check_single_write(tree, verb)
-            # Guards the key: a function that is not known may touch rows of any key
+            # A function that is not known may change rows of other keys, which would then run out of order
+            # with their own loads. A load is keyed only if its other parts are proven to write nothing.
             self._prove(tree, tokens, True)
             is_proven = True
             index = keys.key_rule_index(target, rules)
             references = keys.key_references(tree, rules[index])
             return ParseResult(True, key_rule_index=index, key_references=references, verb=verb)
-        except keys.NoKeyRuleError as error:
+        except NoKeyRuleError as error:
             return ParseResult(True, reason=str(error), verb=verb, lacks_key_rule=is_proven)
         except (UndeterminedKeyError, NotReadOnlyError) as error:
             return ParseResult(True, reason=str(error), verb=verb)
@@ -227,7 +227,7 @@
 
 
 def _end_of_explain_options(tokens: list[str]) -> int:
-    """The position behind EXPLAIN and its options, in parentheses or without."""
+    """The position after EXPLAIN and its options, with or without parentheses."""
     start = 1
     while start < len(tokens) and tokens[start] in EXPLAIN_OPTIONS and tokens[start] != "(":
         start += 1
@@ -235,7 +235,7 @@
     if not is_list:
         return start
     end = tokens.index(")", start) if ")" in tokens[start:] else start
-    if all(word in EXPLAIN_OPTIONS for word in tokens[start:end]):
+    if all(token in EXPLAIN_OPTIONS for token in tokens[start:end]):
         return end + 1
     return start
 
@@ -250,12 +250,13 @@
         return
     is_join = isinstance(node.this, exp.Table) and node.this.args.get("joins")
     if not is_join and not isinstance(node.this, QUERIES):
-        # Guards against words that the parser takes for an expression there: (SAVEPOINT a) is one to it
+        # sqlglot parses (SAVEPOINT a) as an expression with an alias. A statement in parentheses that writes
+        # would then count as a read. Only a query, or a join of tables, may stand in parentheses.
         raise NotReadOnlyError("something in parentheses that is no query")
 
 
 def _check_plain_node(node: Any) -> None:
-    """Raises NotReadOnlyError at names, types and tuples that may be more than they look."""
+    """Raises NotReadOnlyError at names, types and tuples that may call code or hide a statement."""
     if isinstance(node, exp.Table) and not isinstance(node.this, (exp.Identifier, exp.Func)):
         raise NotReadOnlyError("a table that is no name")
     if isinstance(node, exp.Tuple) and not node.expressions and not node.find_ancestor(exp.Group):
@@ -281,13 +282,13 @@
 
 def _check_unquoted_word(tokens: list[str], position: int, is_load: bool) -> None:
     """Raises NotReadOnlyError at a word that writes, or that begins a statement of another kind."""
-    word = tokens[position]
-    before = tokens[position - 1] if position else ""
-    behind = tokens[position + 1] if position + 1 < len(tokens) else ""
-    if not is_load and word in purity.HARMFUL_WORDS and before != "." and behind != ".":
-        raise NotReadOnlyError(f"{word.upper()} writes")
-    if before == "(" and word in purity.STARTERS and behind[:1].isalpha():
-        raise NotReadOnlyError(f"{word.upper()} begins no known read")
+    token = tokens[position]
+    previous_token = tokens[position - 1] if position else ""
+    next_token = tokens[position + 1] if position + 1 < len(tokens) else ""
+    if not is_load and token in purity.HARMFUL_WORDS and previous_token != "." and next_token != ".":
+        raise NotReadOnlyError(f"{token.upper()} writes")
+    if previous_token == "(" and token in purity.STARTERS and next_token[:1].isalpha():
+        raise NotReadOnlyError(f"{token.upper()} begins no known read")
 
 
 def _check_single_write(tree: Any, verb: str) -> None:
@@ -321,7 +322,7 @@
 
 
 def _is_bounded(tree: Any, max_rows: int) -> bool:
-    """Whether a LIMIT within the rules' bound, which normalizing writes as 1, bounds its result."""
+    """Whether a LIMIT up to `max_rows`, which the normalized statement has as 1, bounds its result."""
     limit = tree.args.get("limit")
     if limit is None:
         return False
@@ -329,16 +330,17 @@
     return isinstance(count, exp.Literal) and count.is_number and float(count.this) <= max_rows
 
 
-def _is_selective(where: Any) -> bool:
+def _is_selective(predicate: Any) -> bool:
     """Whether a predicate selects rows: a column that equals one value, or is one of a list."""
-    return any(_is_selective_part(part) for part in keys.conjuncts(where))
+    return any(_is_selective_part(part) for part in keys.conjuncts(predicate))
 
 
 def _is_selective_part(part: Any) -> bool:
     if isinstance(part, exp.EQ):
         sides = (part.this, part.expression)
         return any(
-            isinstance(one, exp.Column) and not other.find(exp.Column) for one, other in (sides, sides[::-1])
+            isinstance(side, exp.Column) and not opposite.find(exp.Column)
+            for side, opposite in (sides, sides[::-1])
         )
     if isinstance(part, exp.In):
         return isinstance(part.this, exp.Column)
--- a/query_gateway/statements/values.py
+++ b/query_gateway/statements/values.py
@@ -1,8 +1,8 @@
 """The key of a load from the literals that its parse result refers to.
 
-Two texts that mean one value get one key, so comparison is coarse: 42, '42', 042 and 42.0 are one, and so
-are two spellings that some collation holds to be equal. Where an engine might read another value,
-UndeterminedKeyError is raised; its messages reach the client.
+Two texts that mean one value get one key, so comparison is coarse: 42, '42', 042 and 42.0 are equal, and so
+are two spellings that any collation treats as equal. Where an engine might read another value,
+UndeterminedKeyError is raised.
 """
 
 import re
@@ -11,6 +11,7 @@
 from decimal import Decimal
 from hashlib import blake2b
 
+from query_gateway.statements.errors import UndeterminedKeyError
 from query_gateway.statements.messages import KeyRule, LiteralReference
 from query_gateway.statements.normalizer import Literal
 
@@ -21,10 +22,6 @@
 NOT_AN_INTEGER = "a key that is no whole number may be rounded"
 
 
-class UndeterminedKeyError(Exception):
-    """No key can be given; the message says why, in words."""
-
-
 def normalize_value(raw: str, reference: LiteralReference, key_type: str) -> str:
     """A literal's value in one spelling, for a key of `key_type` as in `KeyRule.type`.
 
@@ -71,7 +68,7 @@
 
 
 def _without_collation(text: str) -> str:
-    """One spelling for all that some collation holds to be equal: case and accents go, and space around."""
+    """One spelling of texts that any collation treats as equal: no case, accents or outer white space."""
     decomposed = unicodedata.normalize("NFKD", text.casefold())
     plain = "".join(character for character in decomposed if _is_significant(character))
     return unicodedata.normalize("NFKC", plain).casefold().strip()
--- a/tests/statements.py
+++ b/tests/statements.py
@@ -4,7 +4,7 @@
 from pathlib import Path
 
 from query_gateway.statements.classifier import Classifier, rejected_decision
-from query_gateway.statements.lexer import UnsupportedStatementError
+from query_gateway.statements.errors import UnsupportedStatementError
 from query_gateway.statements.messages import Decision, KeyRule, Rules
 from query_gateway.statements.reader import DIALECTS, Reader
 
--- a/tests/test_statements_corpus.py
+++ b/tests/test_statements_corpus.py
@@ -6,7 +6,8 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from query_gateway.statements.lexer import UnsupportedStatementError, tokenize
+from query_gateway.statements.errors import UnsupportedStatementError
+from query_gateway.statements.lexer import tokenize
 from query_gateway.statements.normalizer import normalize
 from tests.statements import LocalClassifier, corpus, in_dialects
 
