--- a/query_gateway/model/actions.py
+++ b/query_gateway/model/actions.py
@@ -1,18 +1,18 @@
-"""What the decision module asks for. Durations are in nanoseconds."""
+"""Actions: what the scheduler has others do. Durations are in nanoseconds."""
 
 from dataclasses import dataclass, field
 from enum import Enum
 
 
 class EndReason(Enum):
-    """Why a planner ends a request; for the trace alone. The values stand there."""
+    """Why a planner ends a request; the values stand in the trace, and nothing else depends on them."""
 
     UNKNOWN = "unknown"
     LATE = "late"  # it could only be answered after its objective
     CLIENT_TIMEOUT = "client-timeout"  # its client is about to give up
     TOO_MANY_QUEUED = "too-many-queued"  # the queue would keep new clients out
-    OVER_QUOTA = "over-quota"  # its tenant is beyond its share and the engine is saturated
-    ENDANGERS_OTHERS = "endangers-others"  # more weight behind it would come late
+    OVER_QUOTA = "over-quota"  # it is beyond its tenant's quota, and the engine is saturated
+    ENDANGERS_OTHERS = "endangers-others"  # it would make more priority weight behind it late than its own
     NO_FURTHER_ATTEMPT = (
         "no-further-attempt"  # the last one failed, and another is not allowed or not in time
     )
--- a/query_gateway/model/endpoints.py
+++ b/query_gateway/model/endpoints.py
@@ -1,4 +1,4 @@
-"""What the endpoint list says of a query engine. Times are clock times in nanoseconds."""
+"""Entries and updates of the endpoint list. Times are clock times in nanoseconds."""
 
 from dataclasses import dataclass
 from enum import Enum
--- a/query_gateway/model/estimates.py
+++ b/query_gateway/model/estimates.py
@@ -13,7 +13,7 @@
     """Estimates the remaining time of an attempt from its last progress note or from its age."""
 
     trusted_progress: float  # share of the work from which progress predicts the end
-    mostly_done: float  # share of the expected run time up to which the rest of it remains
+    mostly_done: float  # share of the expected run time up to which the difference remains
     overrun: float  # beyond that, this share of its age remains
 
     def remaining_time(self, attempt: AttemptState, now: int) -> float:
--- a/query_gateway/model/events.py
+++ b/query_gateway/model/events.py
@@ -23,7 +23,7 @@
 
 
 class ProgressKind(Enum):
-    """What a progress note says."""
+    """What a progress note reports."""
 
     PROGRESS = 1
     SPILLING = 2
@@ -40,7 +40,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Request:
-    """A client asks for the answer to a query."""
+    """A client has sent a query."""
 
     request_id: int
     class_index: int
@@ -63,7 +63,7 @@
 
 @dataclass(slots=True, frozen=True)
 class AttemptStarted:
-    """A streamed answer has begun; the request is the client's from here on."""
+    """A streamed answer has begun: no other attempt can serve the request from here on."""
 
     request_id: int
     attempt_number: int
@@ -87,7 +87,7 @@
 
 @dataclass(slots=True, frozen=True)
 class ProgressNote:
-    """An engine tells of an attempt in flight."""
+    """An engine reports the progress of an attempt in flight."""
 
     request_id: int
     attempt_number: int
--- a/query_gateway/model/learning.py
+++ b/query_gateway/model/learning.py
@@ -58,7 +58,7 @@
         """
         request_class = query.request_class
         # Where no answer has the true work, run times on engines that are not full stand in for it: otherwise
-        # estimates that are too low for a whole class would show as slowdown, and its engines as saturated
+        # estimates that are too low for all of a class would show as slowdown, and its engines as saturated
         infers_work = engine.snapshot.load <= self.full_load
         uncontended = not is_saturated or request_class.work.count < self.learned_samples
         slowdown = self._learn_class(query, outcome, infers_work, uncontended)
--- a/query_gateway/model/settings.py
+++ b/query_gateway/model/settings.py
@@ -1,4 +1,4 @@
-"""The settings of a site, as the decision module is given them.
+"""The settings of a site, as the scheduler gets them.
 
 Times and durations are in nanoseconds unless a name says otherwise."""
 
@@ -52,7 +52,10 @@
 
 @dataclass(slots=True, frozen=True)
 class Settings:
-    """What a site states at start; `None` stands for a rule or limit that it does not have."""
+    """The rules and limits of a site; `None` stands for one that it does not have.
+
+    No decision uses those marked as validated: they are read so that a malformed value is rejected.
+    """
 
     instance_index: int
     instance_count: int
@@ -70,29 +73,28 @@
     reports_cost: bool
     load_report_fields: tuple[str, ...]
     polls_endpoint_list: bool
-    allows_health_checks: bool
+    allows_health_checks: bool  # validated, but health comes from answers alone
     allows_gossip: bool
     allows_cancellation: bool
     allows_hedging: bool
     allows_retry_after: bool
     max_retry_after: int  # nanoseconds
     max_attempts: int
-    marks_retry: bool
+    marks_retry: bool  # validated; each request has its own mark, `Request.is_retry`
     cross_zone_cost: float
     cold_capacity: float  # share of its capacity that an engine starts with
     slow_start_window: int  # nanoseconds
     cold_overload_factor: float  # over the capacity, within the window; 0: no slow start
     cold_overload_window: int  # nanoseconds
     key_quarantine: int  # nanoseconds
-    max_poll_interval: int  # nanoseconds
+    max_poll_interval: int  # nanoseconds; validated; the watch of the endpoint list is left open
     retry_allowance: float | None
     retries_per_request: float
     retry_window: int  # nanoseconds
-    slow_start_share: float = 1.0  # our part of what one instance may send to a cold engine
+    slow_start_share: float = 1.0  # this process's part of what one instance may send in slow start
     max_client_connections: int = 0  # connections that clients may hold; 0: no such limit is known
-    extra_run_time: int = (
-        0  # beyond what a run may take before it counts as odd: a wire's own connects and pauses
-    )
+    # Nanoseconds added to the run time from which an attempt is overdue: the wire's own connects and pauses
+    extra_run_time: int = 0
 
     def check(self) -> None:
         """Raise ValueError, naming the setting, where they contradict themselves or one another."""
--- a/query_gateway/model/state.py
+++ b/query_gateway/model/state.py
@@ -93,7 +93,7 @@
     gossip_sent_at: int = 0
 
     def restart(self, tenant_count: int) -> None:
-        """Count and limit anew, as the quotas have changed."""
+        """Start counting and limiting again, as the quotas have changed."""
         self.traffic.counts = [DecayedAverage() for _ in range(tenant_count)]
         self.buckets = [TokenBucket() for _ in range(tenant_count)]
 
@@ -122,7 +122,7 @@
         self.classes = RequestClasses(prior_work)
         self.queries: dict[int, QueryState] = {}  # by request id
         self.workload = Workload()
-        self.last_full_release_at = 0  # when the whole queue was last looked over
+        self.last_full_release_at = 0  # when the queue was last looked over in full
         self.key_queues = KeyQueues()
         self.retry_budget = RetryBudget()
         self.fleet = Fleet()
@@ -169,7 +169,7 @@
         return engine
 
     def forget(self, query: QueryState) -> None:
-        """Forget a query that has ended everywhere; the next of its key may run."""
+        """Forget a query without an attempt in flight; the next of its key may run."""
         self.queries.pop(query.request.request_id, None)
         self.key_queues.remove(query)
 
--- a/query_gateway/policy/answers.py
+++ b/query_gateway/policy/answers.py
@@ -35,7 +35,7 @@
 
 
 def retry_after(state: SchedulerState, start_delay: float) -> int:
-    """How long a rejected client is told to wait, in nanoseconds; 0: the site gives no such advice.
+    """Retry-After: how long a rejected client should wait, in nanoseconds; 0: the site sends none.
 
     The expected start delay, between `MIN_RETRY_AFTER_NS` and the site's `max_retry_after`.
     """
--- a/query_gateway/policy/capacity.py
+++ b/query_gateway/policy/capacity.py
@@ -1,4 +1,4 @@
-"""Concurrency limits: how many threads of an engine, and of the whole fleet, one gateway may use.
+"""Concurrency limits: how many threads of an engine, and of the fleet, one gateway may use.
 
     engine on probation with a query in flight     no capacity (`probation`)
     engine not saturated, or query next of its key capacity, without a limit
@@ -49,8 +49,8 @@
     """Whether this gateway's quota of the fleet allows one more query of a class.
 
     With many gateways "at least one query" at each engine adds up to several times what the fleet can do. The
-    quota is rounded to whole queries at random, up or down, so that a share under one query is kept on
-    average.
+    quota is rounded to an integer of queries at random, up or down, so that a share under one query is kept
+    on average.
     """
     if state.settings.memory_shortage is MemoryShortage.WAIT:  # engines let queries wait: no need of it
         return True
--- a/query_gateway/policy/fault_rate.py
+++ b/query_gateway/policy/fault_rate.py
@@ -15,7 +15,7 @@
 from query_gateway.model.state import SchedulerState
 
 FAULT_WEIGHT: Final = 0.15  # least weight of a new outcome in the fault rate
-TOLERATED_SLOWDOWN: Final = 0.25  # log slowdown over the peers' median that is no sign of a fault
+TOLERATED_SLOWDOWN: Final = 0.25  # log slowdown over the peers' median that is not taken for a fault
 MIN_SUCCESS_RATE: Final = 0.1  # bounds the penalty of an engine that only fails
 
 
@@ -23,7 +23,7 @@
     """Count an answer in the fault rate of its engine, or clear the engine that failed the query before.
 
     A client may send a query that no engine can serve. Counted against each engine that tries it, such
-    queries would get the whole fleet ejected; the second engine that fails shows that the first was not to
+    queries would get all engines ejected; the second engine that fails shows that the first was not to
     blame.
     """
     # Where answers are few, each counts for more
--- a/query_gateway/policy/load_placement.py
+++ b/query_gateway/policy/load_placement.py
@@ -1,7 +1,7 @@
 """Load placement: which engines take the loads of a table group, the same ones at all gateways.
 
 Loads lock tables, and readers wait for them. No gateway knows of another's loads. Placed by a hash of the
-engine's name and the table group, the loads of all gateways meet at the same engines, one in `LOAD_ENGINES`,
+engine's name and the table group, the loads of all gateways go to the same engines, one in `LOAD_ENGINES`,
 and readers prefer the other engines (`routing`).
 """
 
--- a/query_gateway/policy/placement.py
+++ b/query_gateway/policy/placement.py
@@ -30,8 +30,9 @@
         return False
     if settings.idempotency is not Idempotency.KEYED or not query.executed:
         return True
-    first = query.executed[0].engine
-    return may_run_again(query, now) and repetition.recognises_duplicate(settings, first.info, engine.info)
+    first_engine = query.executed[0].engine
+    recognised = repetition.recognises_duplicate(settings, first_engine.info, engine.info)
+    return recognised and may_run_again(query, now)
 
 
 def is_usable(state: SchedulerState, engine: EngineState, query: QueryState) -> bool:
--- a/query_gateway/policy/saturation.py
+++ b/query_gateway/policy/saturation.py
@@ -43,7 +43,7 @@
     """Refresh the congestion of the fleet; slowdowns and loads have been refreshed before.
 
     Each gateway may always have one query at an engine, so many gateways can keep a fleet congested by that
-    alone: queries run slowly everywhere, and no engine recovers. Dividing every gateway's capacity by the
+    alone: queries run slowly at every engine, and none recovers. Dividing every gateway's capacity by the
     congestion ends this. Where engines report no load, the median slowdown stands in for it; where a
     gateway's share is under one core, a low slowdown lets the share grow, as the other gateways leave theirs
     unused.
--- a/query_gateway/policy/scheduler.py
+++ b/query_gateway/policy/scheduler.py
@@ -9,7 +9,7 @@
 
 The algorithm is that of UNIT (2.3, 3.2, 3.3): queued queries leave by earliest deadline; a query is admitted
 if `lag ratio * earliest start + mean run time` is before it is due, and if it makes no more weight late than
-its own. Each decision in the order in which a request meets it: `docs/decisions.md`.
+its own. All decisions in the order of a request's way: `docs/decisions.md`.
 """
 
 from collections.abc import Callable
--- a/query_gateway/simulator_adapter.py
+++ b/query_gateway/simulator_adapter.py
@@ -6,7 +6,7 @@
 import base64
 import sys
 from collections.abc import Callable
-from typing import TextIO
+from typing import Any, TextIO
 
 from query_gateway.configuration.settings_parser import SettingsError, parse_settings
 from query_gateway.model.actions import (
@@ -61,8 +61,8 @@
 }
 PROGRESS_NUMBERS = {1: ProgressKind.PROGRESS, 2: ProgressKind.SPILLING, 3: ProgressKind.WAITING}
 HAS_ESTIMATE, IS_RETRY = 1, 2  # bits of an arrival's options
-# A completion's note holds work in milliseconds above and memory in units of 4 MB below
-NOTE_MEMORY_UNITS, NOTE_MEMORY_MB, NOTE_WORK_NS = 4096, 4.0, 1_000_000
+# The cost in a completion is one number: work in ms times 4096, plus memory in units of 4 MB
+COST_MEMORY_UNITS, COST_MEMORY_UNIT_MB, COST_WORK_UNIT_NS = 4096, 4.0, 1_000_000
 MAX_SHOWN = 200  # characters of a malformed line that are shown
 
 
@@ -75,63 +75,63 @@
     return EndpointInfo(
         name=fields[5],
         state=STATE_LETTERS[fields[1]],
-        zone=whole_number(fields, 6),
-        kind=whole_number(fields, 4),
-        group=whole_number(fields, 2),
-        started_at=whole_number(fields, 3),
+        zone=integer(fields, 6),
+        kind=integer(fields, 4),
+        group=integer(fields, 2),
+        started_at=integer(fields, 3),
         size=1.0 if fields[0] == "-" else float(fields[0]),
     )
 
 
-def whole_number(fields: list[str], index: int) -> int:
-    """A whole number that may be marked absent or left off the end: 0 then."""
+def integer(fields: list[str], index: int) -> int:
+    """An integer that may be marked absent or left off the end: 0 then."""
     return int(fields[index]) if len(fields) > index and fields[index] != "-" else 0
 
 
-def real_number(fields: list[str], index: int) -> float | None:
+def optional_float(fields: list[str], index: int) -> float | None:
     """A number that may be absent in the same way."""
     return float(fields[index]) if len(fields) > index and fields[index] != "-" else None
 
 
-def word(fields: list[str], index: int) -> str | None:
+def optional_word(fields: list[str], index: int) -> str | None:
     """A word that may be absent in the same way."""
     return fields[index] if len(fields) > index and fields[index] != "-" else None
 
 
 def load_report(fields: list[str], index: int) -> tuple[float, ...]:
     """Numbers separated by commas; none if absent."""
-    text = word(fields, index)
+    text = optional_word(fields, index)
     return tuple(float(part) for part in text.split(",")) if text else ()
 
 
 def _arrival(fields: list[str], _: bool) -> Event:
-    options = whole_number(fields, 6)
-    has_estimate = options & HAS_ESTIMATE and word(fields, 2)
+    options = integer(fields, 6)
+    has_estimate = options & HAS_ESTIMATE and optional_word(fields, 2)
     return Request(
         request_id=int(fields[1]),
         class_index=int(fields[5]),
         deadline=int(fields[7]),
-        tenant=whole_number(fields, 8),
-        table_group=real_number(fields, 4),
-        key=word(fields, 3),
-        estimated_work=whole_number(fields, 2) if has_estimate else None,
-        estimated_memory_mb=real_number(fields, 9) or 0.0,
+        tenant=integer(fields, 8),
+        table_group=optional_float(fields, 4),
+        key=optional_word(fields, 3),
+        estimated_work=integer(fields, 2) if has_estimate else None,
+        estimated_memory_mb=optional_float(fields, 9) or 0.0,
         is_retry=bool(options & IS_RETRY),
     )
 
 
 def _completed(fields: list[str], reports_cost: bool) -> Event:
-    note = whole_number(fields, 7)
-    has_cost = reports_cost and note > 0 and fields[3] == "pass"
+    cost = integer(fields, 7)
+    has_cost = reports_cost and cost > 0 and fields[3] == "pass"
     return AttemptOutcome(
         request_id=int(fields[1]),
         final=fields[2] == "1",
         code=OUTCOME_WORDS[fields[3]],
-        duration=whole_number(fields, 4),
+        duration=integer(fields, 4),
         attempt_number=int(fields[5]),
         endpoint=fields[6],
-        work=note // NOTE_MEMORY_UNITS * NOTE_WORK_NS if has_cost else None,
-        memory_mb=note % NOTE_MEMORY_UNITS * NOTE_MEMORY_MB if has_cost else None,
+        work=cost // COST_MEMORY_UNITS * COST_WORK_UNIT_NS if has_cost else None,
+        memory_mb=cost % COST_MEMORY_UNITS * COST_MEMORY_UNIT_MB if has_cost else None,
         load_report=load_report(fields, 8),
     )
 
@@ -154,11 +154,11 @@
 
 
 def _probed(fields: list[str], _: bool) -> Event:
-    return HealthCheckResult(fields[1], fields[2] == "pass", whole_number(fields, 3), load_report(fields, 4))
+    return HealthCheckResult(fields[1], fields[2] == "pass", integer(fields, 3), load_report(fields, 4))
 
 
 def _message(fields: list[str], _: bool) -> Event:
-    data = base64.b64decode(word(fields, 2) or "", validate=True)
+    data = base64.b64decode(optional_word(fields, 2) or "", validate=True)
     return GossipMessage(int(fields[1]), data.decode("latin-1"))
 
 
@@ -183,36 +183,36 @@
     return decoder(fields, reports_cost)
 
 
-def _post(instance: int, action: SendGossip) -> str:
+def _encode_gossip(instance: int, action: SendGossip) -> str:
     receiver = "all" if action.peer is None else action.peer
     return f"post {instance} {receiver} {base64.b64encode(action.data.encode()).decode()}"
 
 
-def encode_action(instance: int, action: Action) -> str:  # noqa: C901, PLR0911, PLR0912 - a table of the wire
+def _encode_terms(instance: int, action: SetTerms) -> str:
+    return f"assign_terms {instance} {action.request_id} {action.memory_mb:g} {action.priority}"
+
+
+# By the type of an action; each takes the number of the instance and the action
+ACTION_ENCODERS: dict[type[Action], Callable[[int, Any], str]] = {
+    Forward: lambda instance, action: (
+        f"place {instance} {action.request_id} {action.timeout} {action.endpoint}"
+    ),
+    Reject: lambda instance, action: f"busy {instance} {action.request_id} {action.retry_after}",
+    Fail: lambda instance, action: f"end_failed {instance} {action.request_id}",
+    Cancel: lambda instance, action: f"retract {instance} {action.request_id} {action.attempt_number}",
+    SetTerms: _encode_terms,
+    SetTimer: lambda instance, action: f"timer {instance} {action.delay} {action.context}",
+    HealthCheck: lambda instance, action: f"ping {instance} {action.endpoint}",
+    WatchEndpoints: lambda instance, action: f"listen {instance} {int(action.enabled)}",
+    FetchEndpoints: lambda instance, action: f"fetch {instance}",
+    SendGossip: _encode_gossip,
+    Log: lambda instance, action: f"debug {instance} {action.text}",
+}
+
+
+def encode_action(instance: int, action: Action) -> str:
     """The line of an action."""
-    match action:
-        case Forward(request_id, endpoint, timeout):
-            return f"place {instance} {request_id} {timeout} {endpoint}"
-        case Reject(request_id, retry_after):
-            return f"busy {instance} {request_id} {retry_after}"
-        case Fail(request_id):
-            return f"end_failed {instance} {request_id}"
-        case Cancel(request_id, attempt_number):
-            return f"retract {instance} {request_id} {attempt_number}"
-        case SetTerms(request_id, memory_mb, priority):
-            return f"assign_terms {instance} {request_id} {memory_mb:g} {priority}"
-        case SetTimer(delay, context):
-            return f"timer {instance} {delay} {context}"
-        case HealthCheck(endpoint):
-            return f"ping {instance} {endpoint}"
-        case WatchEndpoints(enabled):
-            return f"listen {instance} {int(enabled)}"
-        case FetchEndpoints():
-            return f"fetch {instance}"
-        case SendGossip():
-            return _post(instance, action)
-        case Log(text):
-            return f"debug {instance} {text}"
+    return ACTION_ENCODERS[type(action)](instance, action)
 
 
 class Instance:
--- a/tests/test_model.py
+++ b/tests/test_model.py
@@ -35,8 +35,9 @@
     number: int, due: int = NOW + SEC, rules: ClassSettings = QUICK, key: str | None = None
 ) -> QueryState:
     request = World().request(key=key)
-    known = ClassState(rules, 0.0)
-    return QueryState(request, known, NOW, 1.0, 1.0 * SEC, 1.0 * SEC, due, QueuePlace(due, number), 4)
+    return QueryState(
+        request, ClassState(rules, 0.0), NOW, 1.0, 1.0 * SEC, 1.0 * SEC, due, QueuePlace(due, number), 4
+    )
 
 
 def test_a_running_mean_is_plain_at_first_and_its_spread_is_drawn_to_the_prior() -> None:
@@ -92,7 +93,7 @@
     assert forecast_completions([], NOW, NOW).time_until_free(4, 0, 4.0, 50.0, NOW) == 50.0
 
 
-def test_an_index_sums_threads_ahead_by_length_of_class() -> None:
+def test_an_index_sums_threads_before_a_place_by_length_of_class() -> None:
     index = index_queued_threads(
         [
             QueuedThreads(QueuePlace(1, 1), 2, is_long=False),
@@ -108,7 +109,7 @@
     assert index.threads_before(QueuePlace(9, 0), True) == 3
 
 
-def test_a_deadline_queue_tells_the_same_whether_it_is_read_or_indexed() -> None:
+def test_a_deadline_queue_counts_the_same_whether_it_is_read_or_indexed() -> None:
     queue, queries = DeadlineQueue(), [query(i, NOW + i * SEC) for i in (3, 1, 2)]
     for each in queries:
         queue.add(each)
--- a/tests/world.py
+++ b/tests/world.py
@@ -87,58 +87,76 @@
 
 
 class World:
-    """One gateway with its clock."""
+    """One gateway's scheduler with its clock; it notes what was sent."""
 
     def __init__(
-        self, settings: Settings = SITE, engines: tuple[EndpointInfo, ...] = (), at: int = 100 * SEC
+        self, settings: Settings = SITE, engines: tuple[EndpointInfo, ...] = (), now: int = 100 * SEC
     ) -> None:
         self.scheduler = Scheduler(settings, 7)
         self.settings = settings
-        self.now = at
-        self.next = 0
+        self.now = now
+        self.next_request_id = 0
         self.sent: list[Forward] = []
-        self.copies: dict[int, int] = {}
-        self.last: list[Action] = []
+        self.attempt_numbers: dict[int, int] = {}  # of the last attempt, by request
+        self.last_actions: list[Action] = []
         self.notify(EndpointUpdate(EndpointUpdateKind.CACHED, engines))
 
     def notify(self, *events: Event, after: int = 0) -> list[Action]:
+        """Hand events to the scheduler, so many nanoseconds later; its actions."""
         self.now += after
-        self.last = self.scheduler.handle(self.now, list(events))
-        for action in self.last:
+        self.last_actions = self.scheduler.handle(self.now, list(events))
+        for action in self.last_actions:
             if isinstance(action, Forward):
                 self.sent.append(action)
-                self.copies[action.request_id] = self.copies.get(action.request_id, -1) + 1
-        return self.last
+                number = self.attempt_numbers.get(action.request_id, -1) + 1
+                self.attempt_numbers[action.request_id] = number
+        return self.last_actions
 
     def request(  # noqa: PLR0913, PLR0917 - every field of a request may matter to a test
         self,
-        cls: int = 0,
+        class_index: int = 0,
         key: str | None = None,
-        left: int | None = None,
-        tables: float = 1.0,
-        retry: bool = False,
-        cost: int | None = None,
+        time_left: int | None = None,
+        table_group: float = 1.0,
+        is_retry: bool = False,
+        estimated_work: int | None = None,
     ) -> Request:
-        self.next += 1
-        span = self.settings.classes[cls].timeout if left is None else left
-        return Request(self.next, cls, self.now + span, 0, tables, key, cost, 0.0, retry)
-
-    def ask(self, cls: int = 0, **more: object) -> Request:
-        r = self.request(cls, **more)  # type: ignore[arg-type]
-        self.notify(r)
-        return r
-
-    def end(
-        self, xid: int, code: OutcomeCode, took: int = 200 * MS, after: int = 0, final: bool | None = None
+        """A new request, which is not sent yet; its client gives up after `time_left`."""
+        self.next_request_id += 1
+        timeout = self.settings.classes[class_index].timeout if time_left is None else time_left
+        deadline = self.now + timeout
+        return Request(
+            self.next_request_id, class_index, deadline, 0, table_group, key, estimated_work, 0.0, is_retry
+        )
+
+    def send_request(self, class_index: int = 0, **fields: object) -> Request:
+        """Send a new request."""
+        request = self.request(class_index, **fields)  # type: ignore[arg-type]
+        self.notify(request)
+        return request
+
+    def end_attempt(
+        self,
+        request_id: int,
+        code: OutcomeCode,
+        duration: int = 200 * MS,
+        after: int = 0,
+        final: bool | None = None,
     ) -> list[Action]:
-        send = next(s for s in reversed(self.sent) if s.request_id == xid)
-        done = code is OutcomeCode.OK if final is None else final
-        o = AttemptOutcome(xid, done, code, took, self.copies[xid], send.endpoint, None, None, ())
-        return self.notify(o, after=after)
+        """End the last attempt of a request; an OK answers the request unless `final` says otherwise."""
+        forward = next(forward for forward in reversed(self.sent) if forward.request_id == request_id)
+        is_final = code is OutcomeCode.OK if final is None else final
+        number = self.attempt_numbers[request_id]
+        return self.notify(
+            AttemptOutcome(request_id, is_final, code, duration, number, forward.endpoint, None, None, ()),
+            after=after,
+        )
 
-    def of(self, kind: type) -> list[Action]:
-        return [a for a in self.last if isinstance(a, kind)]
+    def last_of(self, kind: type) -> list[Action]:
+        """Those of the last actions that are of a kind."""
+        return [action for action in self.last_actions if isinstance(action, kind)]
 
 
 def cancels(actions: list[Action]) -> list[tuple[int, int]]:
-    return [(a.request_id, a.attempt_number) for a in actions if isinstance(a, Cancel)]
+    """Request and attempt number of each cancellation."""
+    return [(action.request_id, action.attempt_number) for action in actions if isinstance(action, Cancel)]
