--- a/query_gateway/composition.py
+++ b/query_gateway/composition.py
@@ -17,12 +17,12 @@
     max_exchanges,
 )
 from query_gateway.lifecycle.client_fronts import max_connections_per_front
-from query_gateway.lifecycle.overlap import FLIGHT_FRONT, HTTP_FRONT
+from query_gateway.lifecycle.inherited_state import InheritedState
 from query_gateway.lifecycle.planner_links import PlannerLinks
 from query_gateway.lifecycle.planner_settings import planner_settings
 from query_gateway.lifecycle.reload import ConfigurationSources
 from query_gateway.lifecycle.request_trace import open_request_trace
-from query_gateway.lifecycle.upgrade_socket import InheritedState
+from query_gateway.lifecycle.upgrade_messages import FLIGHT_FRONT, HTTP_FRONT
 from query_gateway.net.log import log
 from query_gateway.net.loop import Loop, Timer
 from query_gateway.net.steady_clock import loop_time_of, steady_now_ns
--- a/query_gateway/lifecycle/active_configuration.py
+++ b/query_gateway/lifecycle/active_configuration.py
@@ -1,4 +1,7 @@
-"""The configuration in force, and the limits that follow from it."""
+"""The configuration in force, and the limits that follow from it.
+
+It is lost with the process: each process reads the files itself, also a successor.
+"""
 
 from dataclasses import dataclass
 
@@ -7,14 +10,14 @@
 from query_gateway.engine_protocol.pool import ConnectionLimits
 from query_gateway.forwarder.messages import RequestClasses
 
-MAX_OPEN_REQUESTS = 4_000  # whatever the settings allow: what the memory bears
+MAX_OPEN_REQUESTS = 4_000  # whatever the settings allow: more would not fit into the memory
 
 
 @dataclass(slots=True)
 class ActiveConfiguration:
-    """What the process runs under. Only a reload changes it; every part reads it here when it needs it.
+    """The configuration of the process. Only a reload changes it; every part reads it here when it needs it.
 
-    `classes` holds each class by name, under the number that it has in this process: after a reload that may
+    `classes` holds each class by name, with the number that it has in this process: after a reload that may
     be another number than the position in the file.
     """
 
@@ -24,7 +27,7 @@
 
     @property
     def longest_timeout(self) -> float:
-        """Seconds until the last deadline of a request taken now; a retired class counts no more."""
+        """Seconds until the last deadline of a request accepted now; retired classes do not count."""
         return max(settings.timeout for settings in self.config.settings.classes) / 1e9
 
 
@@ -34,7 +37,7 @@
 
 
 def connection_limits(config: Configuration) -> ConnectionLimits:
-    """What the configuration says of connections to engines."""
+    """The limits of connections to engines."""
     return ConnectionLimits(
         streams_per_connection=config.streams_per_connection,
         dial_timeout=config.dial_timeout,
--- a/query_gateway/lifecycle/client_fronts.py
+++ b/query_gateway/lifecycle/client_fronts.py
@@ -1,4 +1,4 @@
-"""The servers that clients reach, as one: HTTP, and Flight SQL where it is on."""
+"""The servers that clients reach, taken together: HTTP, and Flight SQL where it is on."""
 
 from typing import TYPE_CHECKING
 
@@ -15,14 +15,15 @@
     from query_gateway.flight.server import FlightServer
     from query_gateway.parsing.service import StatementService
 
-MIN_OTHER_DESCRIPTORS = 64  # kept for engines, the discovery service and the loop, if there are twice as many
+# Descriptors for engines, the discovery service and the loop; with fewer than twice as many, half of them are
+MIN_OTHER_DESCRIPTORS = 64
 
 
 def max_connections_per_front(config: Configuration, operator: OperatorSettings) -> int:
-    """How many clients each front may serve at once.
+    """How many client connections each front may have at once.
 
-    Engines, the discovery service and the loop keep a part of the descriptors, and so does the second
-    address; a second front halves the rest.
+    Some descriptors are reserved for engines, the discovery service, the loop and the admin server; two
+    fronts divide the rest.
     """
     descriptors = config.max_descriptors // max(1, operator.forwarder_count)
     reserved = min(descriptors // 2, max(MIN_OTHER_DESCRIPTORS, descriptors // 4))
@@ -32,7 +33,7 @@
 
 
 class ClientFronts:
-    """Joins the fronts and the reader of statements behind them; it owns their listeners until `close`."""
+    """The fronts and the statement service behind them; owns their listeners until `close`."""
 
     def __init__(
         self,
@@ -53,7 +54,7 @@
 
     @property
     def is_idle(self) -> bool:
-        """Whether no client is connected any more, and none waits to be accepted."""
+        """Whether no client is connected, and none can be accepted any more."""
         if not all(listener.closed for listener in self.listeners):
             return False
         return self.http_server.is_idle and (not self.flight_server or self.flight_server.is_idle)
@@ -65,7 +66,7 @@
             self.flight_server.max_connections = max_connections
 
     def set_classes(self, classes: RequestClasses) -> None:
-        """Take requests of these classes, and no others, under the settings that the forwarder has now."""
+        """Accept requests of these classes, and no others, under the settings that the forwarder has now."""
         self.http_server.classes = classes
         settings = self.forwarder.settings
         if self.statements:
@@ -81,7 +82,7 @@
             self.flight_server.classes = build_flight_classes(classes, settings)
 
     def close(self) -> None:
-        """Take what waits to be accepted and no more; connections end as they become idle."""
+        """Accept the clients in the accept queue and no more; connections end as they become idle."""
         self.http_server.close()
         self.close_flight()
 
--- a/query_gateway/lifecycle/hot_upgrade.py
+++ b/query_gateway/lifecycle/hot_upgrade.py
@@ -1,19 +1,50 @@
-"""The protocol of a hot upgrade: a predecessor passes its listeners and idle connections to its successor.
+"""The protocol of a hot upgrade: a running process, the predecessor, is followed by a new one, the successor.
 
-Both run side by side for a while. The order of the steps keeps every client served:
+For a while both serve the same addresses; that time is the overlap. They talk over one Unix socket
+connection:
 
-1. The successor says hello; the predecessor answers with its listeners and its learned state, and both share
-   the descriptors of one gateway from then on, and the slow-start budget once the successor is ready.
-2. The successor says ready once it takes requests, and listens for a successor of its own.
-3. The predecessor, at SIGTERM, says that it leaves, transfers every idle connection, and answers what is
-   open. If either process dies, the other end of the connection shows it, and the survivor goes on alone.
+    step                                      accepts clients        answers requests
+    1  the successor starts and sends hello   predecessor            predecessor
+    2  the predecessor sends its offer        predecessor            predecessor
+    3  the successor sends ready              both, from one queue   whichever process accepted the client
+    4  SIGTERM to the predecessor, which      successor              successor; the predecessor those that it
+       sends draining                                                has open
+    5  the predecessor transfers its idle     successor              the same
+       connections, and exits when all its
+       requests are answered
+
+The offer holds the listening sockets, so from step 2 on both processes have the same accept queue. If SIGTERM
+comes before step 3, nobody accepts until the successor is ready: clients wait in that queue.
+
+If the predecessor dies, its open requests die with it: their clients see a reset connection. The successor
+sees the end of the connection and serves alone; one that is not ready yet begins to accept at once, so
+clients in the accept queue are served. If it dies before step 2, the successor starts as if there had been
+none, with nothing learned.
+
+If the successor dies, its open requests and the connections transferred to it die with it. The predecessor
+serves alone and waits for another successor; after SIGTERM it goes on with a plain shutdown.
+
+The states of the successor as its predecessor sees them:
+
+    ABSENT --connects--> CONNECTED --hello, offer sent--> STARTING --ready--> READY
+       ^                     |                               |                  |
+       +---------------------+-------- connection ends ------+------------------+
+
+The predecessor as its successor sees it is a connection (`predecessor`) or None. The state here ends with the
+process; the predecessor's socket file outlives a process that is killed, and the next one replaces it.
 """
 
-import contextlib
-import os
 import socket
+from dataclasses import dataclass
+from enum import Enum
 from typing import Protocol
 
+from query_gateway.lifecycle.inherited_state import InheritedState
+from query_gateway.lifecycle.upgrade_connection import (
+    ConnectionHandler,
+    UpgradeConnection,
+    close_descriptors,
+)
 from query_gateway.lifecycle.upgrade_messages import (
     ClientTransfer,
     Draining,
@@ -25,25 +56,33 @@
     decode_from_predecessor,
     decode_from_successor,
 )
-from query_gateway.lifecycle.upgrade_socket import (
-    ConnectionHandler,
-    InheritedState,
-    UpgradeConnection,
-    close_descriptors,
-    listen_beside,
-    private_path,
-)
+from query_gateway.lifecycle.upgrade_socket import UpgradeListener
 from query_gateway.net.log import log
-from query_gateway.net.loop import IN, Loop
+from query_gateway.net.loop import Loop
 
-SocketIdentity = tuple[int, int]  # device and inode
+
+class SuccessorState(Enum):
+    """How far a process has come that follows this one; see the drawing above."""
+
+    ABSENT = "absent"  # no process is connected
+    CONNECTED = "connected"  # it has not requested its offer yet
+    STARTING = "starting"  # it has the listening sockets, and accepts nothing yet
+    READY = "ready"  # it accepts clients
+
+
+@dataclass(slots=True, frozen=True)
+class OfferWithListeners:
+    """An offer, and the listening sockets that go with it in the order of its fronts."""
+
+    message: Offer
+    listeners: tuple[socket.socket, ...]
 
 
 class UpgradeHost(Protocol):
     """What the protocol needs from the gateway."""
 
-    def offer(self) -> tuple[Offer, list[socket.socket]]:
-        """What a successor inherits, and the listeners; these stay the gateway's."""
+    def offer(self) -> OfferWithListeners:
+        """What a successor inherits; the listening sockets stay the gateway's."""
 
     def begin_overlap(self) -> None:
         """Another process of this gateway runs."""
@@ -52,31 +91,38 @@
         """The other process has ended."""
 
     def receive_connection(self, sock: socket.socket, peer: str, has_sent_request: bool) -> None:
-        """A client's connection comes over, and is the gateway's from now on."""
+        """A client's connection was transferred, and is the gateway's from now on."""
 
     def on_successor_ready(self) -> None:
-        """The successor takes requests."""
+        """The successor accepts clients."""
 
     def on_predecessor_draining(self) -> None:
-        """The predecessor takes no more requests."""
+        """The predecessor accepts no more clients."""
 
 
 class HotUpgrade:
-    """This process's part: successor at its start, later perhaps the predecessor of another."""
+    """This process's part: successor at its start, later perhaps the predecessor of another.
+
+    Owns the connections to both, and the listening socket by which a successor finds this process.
+    """
 
     host: UpgradeHost
 
     def __init__(self, loop: Loop, path: str) -> None:
         """`path`: the socket where the two meet. Nothing is opened before `start` and `announce_ready`."""
-        self.loop, self.path = loop, path
-        self.listener: socket.socket | None = None
-        self.socket_identity: SocketIdentity | None = None  # of the listener's file
+        self.loop = loop
+        self.listener = UpgradeListener(loop, path, self._on_successor_connects)
         self.predecessor: UpgradeConnection[FromPredecessor] | None = None
         self.successor: UpgradeConnection[FromSuccessor] | None = None
-        self.successor_ready = False
+        self.successor_state = SuccessorState.ABSENT
+
+    @property
+    def successor_ready(self) -> bool:
+        """Whether a successor accepts clients."""
+        return self.successor_state is SuccessorState.READY
 
     def start(self, host: UpgradeHost, inherited: InheritedState | None) -> None:
-        """Join the gateway; with an inherited state listen to the predecessor."""
+        """Join the gateway; with an inherited state wait for messages of the predecessor."""
         self.host = host
         if inherited:
             handler = ConnectionHandler(
@@ -85,94 +131,80 @@
             self.predecessor = UpgradeConnection(self.loop, inherited.connection, handler)
 
     def announce_ready(self) -> None:
-        """Notify the predecessor that this process takes requests, and listen for a successor."""
+        """Notify the predecessor that this process accepts clients, and listen for a successor."""
         if self.predecessor:
             self.predecessor.send(Ready())
-        self._claim_path()
+        self.listener.claim_path()
 
     def notify_draining(self) -> None:
-        """Tell the successor that this process takes no more requests."""
+        """Notify the successor that this process accepts no more clients."""
         if self.successor:
             self.successor.send(Draining())
 
     def transfer(self, sock: socket.socket, peer: str, has_sent_request: bool) -> bool:
-        """Pass an idle connection on; False if that cannot be done now, and the connection stays here."""
+        """Transfer an idle connection; False if that cannot be done now, and the connection stays here."""
         connection = self.successor if self.successor_ready else None
         return connection is not None and connection.send(
             ClientTransfer(peer, has_sent_request), [sock.fileno()]
         )
 
     def close(self) -> None:
-        """The end of this process: the socket's file goes, unless it is another's by now."""
-        if self.socket_identity and self._identity_at_path() == self.socket_identity:
-            with contextlib.suppress(OSError):
-                os.unlink(self.path)
-
-    # ---- the place where a successor looks
-
-    def _claim_path(self) -> None:
-        try:
-            if self.listener is None:
-                self.listener = listen_beside(self.path)
-                self.loop.watch(self.listener, IN, self._on_successor_connects)
-                found = os.stat(private_path(self.path))
-                self.socket_identity = found.st_dev, found.st_ino
-                os.rename(private_path(self.path), self.path)
-            elif self._identity_at_path() != self.socket_identity:  # a successor that died had the place
-                self.loop.dispose(self.listener)
-                self.listener = None
-                self._claim_path()
-        except OSError as error:
-            log("upgrade", f"cannot be found by a successor: {error.strerror}")
-
-    def _identity_at_path(self) -> SocketIdentity | None:
-        with contextlib.suppress(OSError):
-            found = os.stat(self.path)
-            return found.st_dev, found.st_ino
-        return None
+        """Remove the socket's file at the end of this process, unless another process has replaced it."""
+        self.listener.close()
 
     # ---- as the predecessor
 
-    def _on_successor_connects(self) -> None:
-        assert self.listener
-        with contextlib.suppress(OSError):
-            sock, _ = self.listener.accept()
-            sock.setblocking(False)
-            if self.successor:  # one at a time; the other finds the clients' address in use and ends
-                sock.close()
-                return
-            handler = ConnectionHandler(
-                decode_from_successor, self._on_successor_message, self._on_successor_ended
-            )
-            self.successor = UpgradeConnection(self.loop, sock, handler)
+    def _on_successor_connects(self, sock: socket.socket) -> None:
+        if self.successor:  # one at a time; the other cannot listen at the clients' address and exits
+            sock.close()
+            return
+        self._absent_to_connected(sock)
+
+    def _absent_to_connected(self, sock: socket.socket) -> None:
+        handler = ConnectionHandler(
+            decode_from_successor, self._on_successor_message, self._on_successor_ended
+        )
+        self.successor = UpgradeConnection(self.loop, sock, handler)
+        self.successor_state = SuccessorState.CONNECTED
 
     def _on_successor_message(self, message: FromSuccessor, descriptors: list[int]) -> None:
-        close_descriptors(descriptors)  # a successor has none to pass
+        close_descriptors(descriptors)  # a successor has none to send
         if self.successor is None:
             return
         match message:
             case Hello():
-                self._send_offer(self.successor)
+                self._connected_to_starting(self.successor)
             case Ready():
-                log("upgrade", "the successor is ready")
-                self.successor_ready = True
-                self.host.on_successor_ready()
+                self._starting_to_ready()
             case _:
                 self.successor.close()
 
-    def _send_offer(self, successor: UpgradeConnection[FromSuccessor]) -> None:
-        offer, listeners = self.host.offer()
-        if not successor.send(offer, [listener.fileno() for listener in listeners]):
+    def _connected_to_starting(self, successor: UpgradeConnection[FromSuccessor]) -> None:
+        """Send the offer; a successor that cannot receive it is disconnected.
+
+        A repeated hello gets another offer and changes no state.
+        """
+        offer = self.host.offer()
+        if not successor.send(offer.message, [listener.fileno() for listener in offer.listeners]):
             successor.close()
             return
         log("upgrade", "a successor starts")
+        if self.successor_state is SuccessorState.CONNECTED:
+            self.successor_state = SuccessorState.STARTING
         self.host.begin_overlap()
 
+    def _starting_to_ready(self) -> None:
+        log("upgrade", "the successor is ready")
+        self.successor_state = SuccessorState.READY
+        self.host.on_successor_ready()
+
     def _on_successor_ended(self) -> None:
+        """Any state to ABSENT."""
         log("upgrade", "the successor has ended")
-        self.successor, self.successor_ready = None, False
+        self.successor, self.successor_state = None, SuccessorState.ABSENT
         self.host.end_overlap()
-        self._claim_path()
+        # A successor that was ready had put its own socket in the place of ours
+        self.listener.claim_path()
 
     # ---- as the successor
 
--- a/query_gateway/lifecycle/overlap.py
+++ b/query_gateway/lifecycle/overlap.py
@@ -1,7 +1,16 @@
-"""The overlap of a hot upgrade: two processes are one gateway, and share its budgets.
+"""The overlap of a hot upgrade: two processes are one gateway, and divide its budgets.
 
-Each uses half of the descriptors until the other has ended. The slow-start budget goes over in steps: all of
-it is the predecessor's until the successor is ready, then half of it, and a tenth once it leaves.
+`hot_upgrade` says which process accepts and answers at each step. The budgets at the same steps:
+
+    step                       client connections   slow-start share (`slow_start_share`)
+                               of each process      predecessor   successor
+    offer sent                 half                 1.0           0.5, of which it uses nothing yet
+    successor ready            half                 0.5           0.5
+    predecessor draining       half                 0.1           0.9, after the overload window
+    one of the two has ended   all for the other    1.0 for the other, after the overload window
+
+The successor also inherits what the predecessor's scheduler and statement classifier have learned, as it was
+when the offer was sent. What the predecessor learns later is lost with it.
 """
 
 import socket
@@ -9,6 +18,7 @@
 
 from query_gateway.lifecycle.active_configuration import ActiveConfiguration
 from query_gateway.lifecycle.client_fronts import ClientFronts
+from query_gateway.lifecycle.hot_upgrade import OfferWithListeners
 from query_gateway.lifecycle.planner_links import PlannerLinks
 from query_gateway.lifecycle.route_announcer import RouteAnnouncer
 from query_gateway.lifecycle.shutdown import Shutdown, ShutdownState
@@ -19,14 +29,13 @@
     SlowStartShare,
 )
 from query_gateway.lifecycle.startup import Startup
-from query_gateway.lifecycle.upgrade_messages import Offer
+from query_gateway.lifecycle.upgrade_messages import FLIGHT_FRONT, HTTP_FRONT, Offer
 from query_gateway.net.log import log
 from query_gateway.net.steady_clock import wall_clock_offset_ns
 from query_gateway.planner.learned_state import export_state, restore_state
 
-DESCRIPTOR_SHARE = 0.5  # of each process during the overlap
-MAX_OFFERED_SHAPES = 256  # of statements, whose costs a successor inherits
-HTTP_FRONT, FLIGHT_FRONT = "web", "flight"  # names of the fronts in an offer: a stored form
+OVERLAP_CONNECTION_SHARE = 0.5  # of the client connections, for each process during the overlap
+MAX_OFFERED_SHAPES = 256  # normalized statements whose costs a successor inherits
 
 
 @dataclass(slots=True, frozen=True)
@@ -49,10 +58,10 @@
         """`max_connections`: how many clients each front may serve while there is no overlap."""
         self.parts, self.max_connections = parts, max_connections
 
-    # ---- what goes over
+    # ---- what is transferred
 
-    def offer(self) -> tuple[Offer, list[socket.socket]]:
-        """What a successor inherits, and the listeners in the order of the offer's fronts."""
+    def offer(self) -> OfferWithListeners:
+        """What a successor inherits; the listening sockets stay this process's as well."""
         fronts = self.parts.fronts
         listeners = {HTTP_FRONT: fronts.http_server.listener.socket}
         if fronts.flight_server:
@@ -63,10 +72,11 @@
         scheduler_state = export_state(
             self.parts.planners.planner.scheduler, self._class_numbers(), wall_clock_offset_ns()
         )
-        return Offer(tuple(listeners), scheduler_state, statement_costs), list(listeners.values())
+        message = Offer(tuple(listeners), scheduler_state, statement_costs)
+        return OfferWithListeners(message, tuple(listeners.values()))
 
     def restore_scheduler(self, scheduler_state: object) -> None:
-        """Take over what the predecessor's scheduler learned, all of it or nothing; None: there is none."""
+        """Restore what the predecessor's scheduler learned, all of it or nothing; None: there is none."""
         if scheduler_state is not None and not restore_state(
             self.parts.planners.planner.scheduler,
             self._class_numbers(),
@@ -79,33 +89,37 @@
         return {name: request_class.index for name, request_class in self.parts.active.classes.items()}
 
     def receive_connection(self, sock: socket.socket, peer: str, has_sent_request: bool) -> None:
-        """Serve a client whose idle connection the predecessor has passed on."""
+        """Serve a client whose idle connection the predecessor has transferred."""
         self.parts.fronts.http_server.add_connection(sock, peer, has_sent_request)
 
-    # ---- who takes what
+    # ---- who uses which budget
 
     def begin_overlap(self) -> None:
-        """Another process of this gateway runs: the two share the descriptors."""
-        self.parts.fronts.set_max_connections(max(1, int(self.max_connections * DESCRIPTOR_SHARE)))
+        """Another process of this gateway runs: the two divide the client connections."""
+        max_connections = max(1, int(self.max_connections * OVERLAP_CONNECTION_SHARE))
+        self.parts.fronts.set_max_connections(max_connections)
 
     def on_successor_ready(self) -> None:
-        """The successor takes requests as well; a shutdown that has begun here goes on at once."""
+        """The successor accepts clients as well; a shutdown that waited for that goes on at once."""
         self.parts.slow_start_share.change(OVERLAP_SHARE)
         if self.parts.shutdown.state is not ShutdownState.SERVING:
             self.parts.shutdown.transfer_to_successor()
 
     def on_predecessor_draining(self) -> None:
-        """The predecessor takes no more requests: the rest of its share is ours."""
+        """The predecessor accepts no more clients: all but its last share is ours."""
         self.parts.slow_start_share.change_after_window(FULL_SHARE - DRAINING_SHARE)
 
     def end_overlap(self) -> None:
-        """The other process has ended: this one goes on with all, whichever of the two it was."""
+        """The other process has ended: this one has all budgets again, whichever of the two it was."""
         self.parts.fronts.set_max_connections(self.max_connections)
         self.parts.slow_start_share.change_after_window(FULL_SHARE)
-        # A successor whose predecessor died before it was ready: nobody else takes requests now
+        # A predecessor may die before its successor is ready: then nobody accepts clients, and those in the
+        # accept queue time out. The successor begins at once; where this process serves already, `begin`
+        # changes nothing.
         self.parts.startup.begin()
         if self.parts.shutdown.state is not ShutdownState.SERVING:
             self.parts.shutdown.continue_without_successor()
         else:
-            # Only now: two sessions under one identifier would collide, so a successor's waited
+            # Two BGP sessions under one identifier collide and the router drops both, so a successor's begins
+            # only now
             self.parts.announcer.start_and_update()
--- a/query_gateway/lifecycle/planner_links.py
+++ b/query_gateway/lifecycle/planner_links.py
@@ -1,4 +1,16 @@
-"""The planners of one gateway: one in this process, or several that are processes of their own."""
+"""The planners of one gateway: one in this process, or several that are processes of their own.
+
+The states of a planner as this process sees it; the one in this process is always CONNECTED:
+
+    LOST --connection up--> CONNECTED --connection ended, or the module raised an error--> LOST
+
+When a planner is lost, its queues, its view of the engines and what it learned are lost with it; of its open
+requests it knows nothing any more. The forwarder ends them all at once (`Forwarder.on_planner_lost`): each is
+rejected where its client may safely send it again, else it fails. Requests with a key then wait for a while
+(`KeyQuarantine`), since an engine may still run an earlier one of the same key. New requests for that planner
+are rejected until it is connected again; without any planner the gateway is not ready. A planner that
+connects gets its settings and the endpoint list.
+"""
 
 from collections.abc import Callable
 from typing import Any
@@ -16,26 +28,26 @@
 
 
 class PlannerLinks:
-    """Joins planners to the forwarder and carries out what they decide; owns the connections to them."""
+    """Joins planners to the forwarder and carries out their actions; owns the connections to them."""
 
     planner: Planner  # only where it shares this process
 
     def __init__(self, loop: Loop, forwarder: Forwarder, readiness: Readiness) -> None:
-        """No planner is there before `add_local` or `add_remote`."""
+        """There is no planner before `add_local` or `add_remote`."""
         self.loop, self.forwarder, self.readiness = loop, forwarder, readiness
         self.clients: list[PlannerClient] = []
-        self._ejected_by_planner: dict[int, tuple[str, ...]] = {}  # where they are processes of their own
+        self._ejected_by_planner: dict[int, tuple[str, ...]] = {}  # of planner processes, by planner index
 
     # ---- a planner in this process
 
     def add_local(self, planner: Planner) -> None:
-        """Let this planner decide, once in every turn of the loop."""
+        """Let this planner decide at the end of every turn of the loop."""
         self.planner = planner
         self.forwarder.add_planner(planner.notify, True)
         self.loop.turn_hooks.append(self.run_local)
 
     def run_local(self) -> bool:
-        """Let the planner decide on what has come; True if there is more at once."""
+        """Let the planner decide on all pending events; True if there are more already."""
         try:
             actions = self.planner.decide()
         except Exception as error:
@@ -47,8 +59,10 @@
         return bool(self.planner.pending_events)
 
     def _restart_local(self) -> None:
+        """Replace the instance of the decision module that raised an error, and end its open requests."""
         self.planner.restart()
-        # The requests of the broken one are settled; the events about that mean nothing to the new one
+        # Ending them notifies the planner of requests that the new instance has never seen; those events are
+        # dropped
         self.forwarder.on_planner_lost(LOCAL_PLANNER_INDEX)
         self.planner.pending_events.clear()
         self.forwarder.on_planner_connected(LOCAL_PLANNER_INDEX)
@@ -56,7 +70,7 @@
     # ---- planners in processes of their own
 
     def add_remote(self, address: tuple[str, int], settings: Settings | None) -> None:
-        """Connect to a planner process, again and again; `settings`: what it gets from us at each connect."""
+        """Keep connected to a planner process; `settings`, if any, are sent to it at each connect."""
         planner_index = len(self.clients)
         client = PlannerClient(
             self.loop,
@@ -70,7 +84,7 @@
 
     def _action_handler(self, planner_index: int) -> Callable[[Any], None]:
         def on_action(action: Any) -> None:
-            """Carry out what this planner has decided."""
+            """Carry out an action of this planner."""
             if isinstance(action, EjectedEndpoints):
                 self._ejected_by_planner[planner_index] = action.names
             else:
@@ -94,7 +108,7 @@
         self.readiness.set_planner_available(self.forwarder.any_planner_connected)
 
     def ejected_endpoints(self) -> set[str]:
-        """The engines that at least one planner gives nothing for now."""
+        """The engines that at least one planner has ejected."""
         ejected = {name for names in self._ejected_by_planner.values() for name in names}
         if not self.clients:
             ejected |= set(self.planner.ejected_endpoints())
--- a/query_gateway/lifecycle/planner_settings.py
+++ b/query_gateway/lifecycle/planner_settings.py
@@ -8,16 +8,18 @@
 from query_gateway.lifecycle.active_configuration import ActiveConfiguration
 from query_gateway.model.settings import Settings
 
-FLIGHT_EXTRA_RUN_TIME_NS = 500_000_000  # that an attempt on the Flight wire may take beyond its run
-DESCRIPTORS_PER_CLIENT = 3  # of the descriptors, clients hold at most one in so many
+FLIGHT_EXTRA_RUN_TIME_NS = 500_000_000  # that an attempt on the Flight wire may take beyond its run time
+DESCRIPTORS_PER_CLIENT = 3  # at most a third of the descriptors are client connections
 
 
 def planner_settings(config: Configuration, operator: OperatorSettings, planner_index: int = 0) -> Settings:
-    """The settings of one planner: each of several counts as an instance of its own."""
+    """The settings of one planner; of several planners each counts as a gateway instance of its own."""
     settings, planner_count = config.settings, max(1, len(operator.planner_addresses))
-    # The Flight wire brings no progress notes, so with it their absence must not count as a fault
+    # Engines send no progress notes on the Flight wire. With an interval set, the scheduler would take their
+    # absence for a fault and eject healthy engines; 0 means that none are expected.
     progress_interval = 0 if operator.flight_address else settings.progress_interval
-    # A call on that wire may take some 50 ms for a connect alone, which is no sign of a bad run
+    # A call on that wire may take some 50 ms for a connect alone. Without extra run time the scheduler would
+    # take that for a slow run.
     extra_run_time = FLIGHT_EXTRA_RUN_TIME_NS if operator.flight_address else settings.extra_run_time
     return replace(
         settings,
@@ -30,15 +32,15 @@
 
 
 class PlannerSettingsPublisher:
-    """Gives the forwarder and its planners new settings, with this process's share of slow-start budgets."""
+    """Puts new settings in force at forwarder and planners, with this process's slow-start share."""
 
     def __init__(self, forwarder: Forwarder, active: ActiveConfiguration, slow_start_share: float) -> None:
-        """`slow_start_share`: the part of every slow-start budget that this process may use, 0 to 1."""
+        """`slow_start_share`: the part, 0 to 1, of every slow-start budget that this process may use."""
         self.forwarder, self.active = forwarder, active
         self.slow_start_share = forwarder.slow_start_budgets.share = slow_start_share
 
     def publish(self, settings: Settings, new_classes: tuple[int, ...] = ()) -> None:
-        """Put `settings` in force; `new_classes` are the numbers that stand for another class from now on."""
+        """Put `settings` in force; `new_classes`: numbers that stand for another class from now on."""
         config = replace(self.active.config, settings=settings)
         by_planner = [
             replace(
--- a/query_gateway/lifecycle/process.py
+++ b/query_gateway/lifecycle/process.py
@@ -1,4 +1,9 @@
-"""The entry of a process: reads the configuration, starts this process's part, and runs it to its end."""
+"""The entry of a process: reads the configuration, starts this process's part, and runs it to its end.
+
+no worker, no [processes] in the operator's file   the whole gateway, which may follow a predecessor
+no worker, [processes]                             the supervisor of worker processes
+a worker named by the supervisor                   one planner, or one forwarder
+"""
 
 import contextlib
 import gc
@@ -12,23 +17,24 @@
 from query_gateway.configuration.operator_file import OperatorSettings, read_operator_settings
 from query_gateway.configuration.platform import Configuration, ConfigurationError, read_configuration
 from query_gateway.gateway import Gateway
+from query_gateway.lifecycle.inherited_state import request_inherited_state
 from query_gateway.lifecycle.planner_settings import planner_settings
-from query_gateway.lifecycle.upgrade_socket import (
-    claim,
-    is_served,
-    request_inherited_state,
-    upgrade_socket_path,
-)
+from query_gateway.lifecycle.upgrade_socket import is_served, reserve_path, upgrade_socket_path
 from query_gateway.net.log import log
+from query_gateway.planner.process_part import (
+    PROCESS_PART_VARIABLE,
+    ProcessKind,
+    ProcessPart,
+    parse_process_part,
+)
 
 EXIT_CANNOT_START = 2
-PART_VARIABLE = "QUERY_GATEWAY_PART"  # what the supervisor names: "planner N" or "forwarder N"
 
 
 def serve() -> None:
     """Start and end the process; whatever keeps it from starting is one plain line and code 2."""
     try:
-        sys.exit(start(os.environ.get(PART_VARIABLE, "")))
+        sys.exit(start(os.environ.get(PROCESS_PART_VARIABLE, "")))
     except ConfigurationError as error:
         _exit_with(f"query-gateway: configuration: {error}")
     except OSError as error:
@@ -42,19 +48,20 @@
     sys.exit(EXIT_CANNOT_START)
 
 
-def start(part: str) -> int:
-    """Run this process's part, all of it if `part` is empty, and return its exit code."""
-    hangups: list[int] = []
-    # Before the configuration is read: a SIGHUP meanwhile means that what is read may be old already
-    signal.signal(signal.SIGHUP, lambda *_: hangups.append(1))
+def start(part_name: str) -> int:
+    """Run this process's part and return its exit code; `part_name` is empty if no supervisor started it."""
+    early_hangups: list[int] = []
+    # A SIGHUP while the configuration is read means that the files read may be old already: they are read
+    # again once the gateway runs. So the handler is set before.
+    signal.signal(signal.SIGHUP, lambda *_: early_hangups.append(1))
     config = read_configuration(os.environ)
     operator = read_operator_settings(os.environ, config)
-    kind, _, number = part.partition(" ")
+    part = parse_process_part(part_name)
     if operator.planner_addresses and not part:
         return _run_supervisor(config, operator)
-    if kind == "planner":
-        return _run_planner(config, operator, int(number))
-    return _run_gateway(config, operator, part, hangups)
+    if part and part.kind is ProcessKind.PLANNER:
+        return _run_planner(config, operator, part.index)
+    return _run_gateway(config, operator, part, early_hangups)
 
 
 def _run_supervisor(config: Configuration, operator: OperatorSettings) -> int:
@@ -65,17 +72,17 @@
         raise ConfigurationError(
             "a gateway serves here, and several processes cannot follow it; stop it first"
         )
-    claimed = _claim(path) if path else None  # stays claimed until this process ends
+    reserved = _reserve_path(path) if path else None
     code = Supervisor(len(operator.planner_addresses), operator.forwarder_count).run()
-    if claimed:
-        claimed.close()
+    if reserved:
+        reserved.close()
     return code
 
 
-def _claim(path: str) -> socket.socket | None:
-    """Claim the place of upgrades; where its folder fails the gateway starts all the same."""
+def _reserve_path(path: str) -> socket.socket | None:
+    """Reserve the socket path of hot upgrades; a gateway that cannot do so starts all the same."""
     try:
-        return claim(path)
+        return reserve_path(path)
     except OSError as error:
         log("upgrade", f"cannot keep other gateways from this address: {error.strerror}")
         return None
@@ -95,20 +102,21 @@
     return 0
 
 
-def _run_gateway(config: Configuration, operator: OperatorSettings, part: str, hangups: list[int]) -> int:
-    number = int(part.partition(" ")[2] or 0)
+def _run_gateway(
+    config: Configuration, operator: OperatorSettings, part: ProcessPart | None, early_hangups: list[int]
+) -> int:
     # One of several processes cannot be upgraded
     path = None if part else upgrade_socket_path(os.environ, config.listen_address)
-    # Before our listeners are made: what a predecessor listens at is taken over, not bound again
+    # A predecessor's listening sockets are inherited: its addresses could not be bound a second time
     inherited = request_inherited_state(path) if path else None
-    options = GatewayOptions(number=number, upgrade_path=path, inherited=inherited)
+    options = GatewayOptions(number=part.index if part else 0, upgrade_path=path, inherited=inherited)
     gateway = Gateway(config, operator, options=options)
     if part:
         from query_gateway.planner.supervisor import stop_with_supervisor
 
         stop_with_supervisor(gateway.loop, gateway.begin_shutdown)
-    if hangups:
+    if early_hangups:
         gateway.loop.call_soon(gateway.reload)
-    gc.freeze()  # what the start made stays; later collections pass it over
+    gc.freeze()  # objects of the start stay to the end, so later collections skip them
     gateway.run()
     return 0
--- a/query_gateway/lifecycle/reload.py
+++ b/query_gateway/lifecycle/reload.py
@@ -1,4 +1,12 @@
-"""The configuration reload at SIGHUP: read and check the complete new file, then apply it in one step."""
+"""The configuration reload at SIGHUP.
+
+    SIGHUP --> read --> check --> apply, in one step
+                 |        |
+                 +--------+--> rejected: one log line, and the old configuration stays in force
+
+Nothing is changed before both files have been read and checked as a whole. Open requests keep the settings
+that they were accepted under. What needs a restart keeps its old value, and the log line says so.
+"""
 
 import os
 from collections.abc import Callable
@@ -29,7 +37,10 @@
     from query_gateway.flight.engines import FlightConnectionPool
     from query_gateway.statements.messages import Rules
 
-MAX_COUNTED_CLASSES = 256  # that the figures have lines for
+MAX_COUNTED_CLASSES = 256  # classes since the start of the process: each has lines in the figures
+
+
+NEEDS_RESTART = "; what it says of name, addresses, sockets and zones needs a restart"
 
 
 @dataclass(slots=True)
@@ -56,7 +67,7 @@
 
 
 class ConfigurationReload:
-    """Replaces the configuration in force; a bad file leaves the old one in force."""
+    """Replaces the configuration in force; a file with a fault leaves the old one in force."""
 
     def __init__(self, parts: ReloadParts, sources: ConfigurationSources) -> None:
         """Nothing is read before `reload`."""
@@ -78,7 +89,7 @@
         self._apply(config, rules)
 
     def _read_rules(self, config: Configuration) -> "Rules | None":
-        """How statements are to be read from now on; the rest of the operator's file needs a restart."""
+        """The rules for statements from now on; the rest of the operator's file needs a restart."""
         statements = self.parts.fronts.statements
         if statements is None:
             return None
@@ -88,7 +99,7 @@
     # ---- the check
 
     def _check_usable(self, config: Configuration, rules: "Rules | None") -> None:
-        """Raise ConfigurationError if this process could not work under the configuration."""
+        """Raise ConfigurationError if this process cannot work under the configuration."""
         active = self.parts.active
         if active.operator.forwarder_count > 1 and config.settings != active.config.settings:
             raise ConfigurationError(
@@ -115,13 +126,8 @@
 
     def _apply(self, config: Configuration, rules: "Rules | None") -> None:
         active, old = self.parts.active, self.parts.active.config
-        restart = "" if _fixed_part(config) == _fixed_part(old) else (
-            "; what it says of name, addresses, sockets and zones needs a restart"
-        )  # fmt: skip
-        log(
-            "reload",
-            f"journal {config.discovery_address}, classes {' '.join(config.classes)}{restart}",
-        )
+        restart = NEEDS_RESTART if _needs_restart(old, config) else ""
+        log("reload", f"journal {config.discovery_address}, classes {' '.join(config.classes)}{restart}")
         active.config = replace(
             config,
             name=old.name,
@@ -135,11 +141,11 @@
             self.parts.request_classes.update(rules)
         elif statements and rules:
             statements.update_rules(rules, idempotent_classes(config))
-        # Last: answers of a discovery service at a new address are taken under the new settings
+        # The address changes last, so that answers from a new one are decoded under the new settings
         self.parts.watch_client.set_address(config.discovery_address)
 
     def _update_limits(self) -> None:
-        """The limits that the forwarder and the engine clients keep, not the scheduler."""
+        """Apply the limits that forwarder and engine clients enforce; the scheduler's are in its settings."""
         config = self.parts.active.config
         self.parts.forwarder.max_exchanges = max_exchanges(config)
         self.parts.engine_pool.update_limits(connection_limits(config))
@@ -159,13 +165,13 @@
         raise ConfigurationError(f"writes run as {rules.load!r}, whose requests could run twice then")
 
 
-def _fixed_part(config: Configuration) -> tuple[object, ...]:
-    """What a reload cannot change."""
+def _needs_restart(old: Configuration, new: Configuration) -> bool:
+    """Whether the new configuration differs in something that a reload cannot change."""
     return (
-        config.name,
-        config.listen_address,
-        config.admin_address,
-        config.max_descriptors,
-        config.zones_and_kinds.zones,
-        config.zones_and_kinds.kinds,
+        new.name != old.name
+        or new.listen_address != old.listen_address
+        or new.admin_address != old.admin_address
+        or new.max_descriptors != old.max_descriptors
+        or new.zones_and_kinds.zones != old.zones_and_kinds.zones
+        or new.zones_and_kinds.kinds != old.zones_and_kinds.kinds
     )
--- a/query_gateway/lifecycle/request_trace.py
+++ b/query_gateway/lifecycle/request_trace.py
@@ -1,7 +1,7 @@
-"""A file with every step of every request, for finding out what happened; named by an environment variable.
+"""The request trace: a file with every step of every request, named by an environment variable.
 
 A line is `CLOCK PID REQUEST CLIENT-ID STEP DETAILS`, the clock in seconds of the machine's monotonic clock.
-Off without the variable. Not a log: nothing is left out, up to a limit of bytes.
+Off without the variable. Unlike the log it leaves nothing out, up to a limit of bytes.
 """
 
 import os
@@ -16,7 +16,10 @@
 
 
 class RequestTraceFile:
-    """Appends to a file that processes of one gateway may share; a disk that fails ends the trace alone."""
+    """Appends to a file that the processes of one gateway may share; owns its descriptor.
+
+    A disk that fails ends the trace, and nothing else.
+    """
 
     def __init__(self, path: str) -> None:
         """Open the file; raises OSError."""
@@ -24,7 +27,7 @@
         self._bytes_left = MAX_TRACE_BYTES
 
     def record(self, at: int, request_id: int, client_request_id: str, step: TraceStep, details: str) -> None:
-        """Write one step as a line."""
+        """Write one step as a line; `at` is clock time in nanoseconds."""
         if self._bytes_left <= 0:
             return
         line = (
--- a/query_gateway/lifecycle/route_announcer.py
+++ b/query_gateway/lifecycle/route_announcer.py
@@ -1,4 +1,10 @@
-"""When the gateway's addresses are announced over BGP."""
+"""When the gateway's addresses are announced over BGP.
+
+    WITHDRAWN --ready--> ANNOUNCED --draining, stopping or no planner--> WITHDRAWN
+
+A process that stops while a ready successor serves at the same addresses stays ANNOUNCED to its end: the
+successor begins its own session only then. The session and its routes are lost with the process.
+"""
 
 from typing import TYPE_CHECKING
 
@@ -12,7 +18,7 @@
 
 
 class RouteAnnouncer:
-    """Owns the BGP session, if there is to be one, and announces while the gateway takes requests."""
+    """Owns the BGP session, if BGP is on, and announces while the gateway accepts requests."""
 
     def __init__(
         self,
@@ -21,7 +27,7 @@
         readiness: Readiness,
         hot_upgrade: HotUpgrade | None,
     ) -> None:
-        """No session begins here: see `start`. `settings` is None where BGP is off."""
+        """No session begins before `start`. `settings` is None where BGP is off."""
         self.loop, self.settings = loop, settings
         self.readiness, self.hot_upgrade = readiness, hot_upgrade
         self.session: BgpSession | None = None
@@ -29,8 +35,8 @@
     def start(self) -> None:
         """Begin the session, unless there is one.
 
-        A successor calls this only when its predecessor has ended: two sessions under one identifier collide,
-        and the router would drop both.
+        A successor may call this only when its predecessor has ended: two sessions under one identifier
+        collide, and the router drops both.
         """
         if self.session is None and self.settings is not None:
             from query_gateway.bgp.session import BgpSession
@@ -38,15 +44,14 @@
             self.session = BgpSession(self.loop, self.settings)
 
     def start_and_update(self) -> None:
-        """Begin the session if there is none yet, and announce; a session that runs stays as it is."""
+        """Begin the session and announce; a session that runs already stays as it is."""
         if self.session is None:
             self.start()
             self.update()
 
     def update(self) -> None:
-        """Announce or withdraw, as the readiness stands now."""
+        """Announce or withdraw, by the readiness as it is now."""
         if self.session:
-            # While a successor serves behind the same addresses they stay announced until this process ends
             successor_serves = (
                 self.readiness.stopping and self.hot_upgrade is not None and self.hot_upgrade.successor_ready
             )
@@ -59,5 +64,5 @@
 
     @property
     def is_finished(self) -> bool:
-        """Whether nothing is left to be sent to the router."""
+        """Whether the router has been sent everything."""
         return self.session is None or self.session.is_finished
--- a/query_gateway/lifecycle/shutdown.py
+++ b/query_gateway/lifecycle/shutdown.py
@@ -1,13 +1,27 @@
-"""The graceful shutdown: SIGTERM, the last call, giving up, and leaving when all is answered.
-
-Whoever sent SIGTERM kills the process some time later, and clients and routers notice the stop only after a
-while. So the steps come in this order:
-
-1. `begin`: the readiness says no and the addresses are withdrawn, so that clients go elsewhere (a ready
-   successor keeps them announced). What still comes is served.
-2. After the last call nothing more is accepted; with a successor at once: what comes waits for it.
-3. `give_up`, before the kill: what is still open is answered without a planner.
-4. The loop stops once no request and no connection is open and the router has been notified.
+"""The graceful shutdown: from SIGTERM until every request is answered and the process exits.
+
+    SERVING --SIGTERM--> DRAINING --abort time--> ABORTED
+                            |                        |
+                            +--> the process exits <-+  once no request and no connection is open
+
+Whoever sent SIGTERM sends SIGKILL some time later. Clients and routers notice the shutdown only after a
+while, so DRAINING begins with the withdrawal of the addresses, and clients that still come are served.
+Shortly before the SIGKILL every open request is aborted: it gets an answer without a planner, and its client
+may retry.
+
+Who accepts clients while the process is not SERVING (`Listener` holds the state of each listening socket):
+
+    successor               this process                                    function
+    none                    accepts until the end of the grace period,      _close_fronts
+                            then closes its listeners
+    connected, not ready    accepts nothing; clients wait in the accept     _pause_for_successor
+                            queue, which the two processes share
+    ready                   leaves the accept queue to the successor,       _release_to_successor
+                            transfers idle connections
+    died before it was      accepts again, until the end of the grace       continue_without_successor
+    ready, or later         period
+
+If this process dies before it is done, its open requests are lost and their clients see a reset connection.
 """
 
 from dataclasses import dataclass
@@ -23,23 +37,23 @@
 from query_gateway.net.log import log
 from query_gateway.net.loop import Loop
 
-LAST_CALL_SECONDS = 0.8  # after SIGTERM in which requests still come: 0.4 s, 0.2 s more, and slack
-ANSWER_SECONDS = 3.0  # after SIGTERM that a gateway has for what is open; the kill comes 0.7 s later
-ANSWER_SECONDS_WITH_SUCCESSOR = 5.0  # and a predecessor that a successor follows
-GIVE_UP_MARGIN_SECONDS = 0.4  # past these, or past the longest deadline if that is less
+ACCEPT_GRACE_SECONDS = 0.8  # after SIGTERM; clients and routers take up to 0.6 s to notice the shutdown
+ANSWER_SECONDS = 3.0  # after SIGTERM for open requests; SIGKILL comes 0.7 s later
+ANSWER_SECONDS_WITH_SUCCESSOR = 5.0  # the same where a successor follows
+ABORT_MARGIN_SECONDS = 0.4  # after the answer seconds, or after the longest deadline if that comes first
 
 
 class ShutdownState(Enum):
-    """How far the shutdown is. Each state is entered once, in this order."""
+    """How far the shutdown is; see the drawing above. No state is entered again once it was left."""
 
     SERVING = "serving"  # no SIGTERM yet
-    DRAINING = "draining"  # SIGTERM: what is open is answered
-    GIVEN_UP = "given up"  # the kill is near: what was open has its answer, and nothing is begun any more
+    DRAINING = "draining"  # open requests go on to their answers
+    ABORTED = "aborted"  # open requests were aborted, and new ones are rejected
 
 
 @dataclass(slots=True, frozen=True)
 class ShutdownParts:
-    """What the shutdown switches off; nothing of it is owned here."""
+    """What the shutdown stops; nothing of it is owned here."""
 
     loop: Loop
     readiness: Readiness
@@ -58,10 +72,10 @@
         """Nothing happens before `begin`."""
         self.parts, self.loop = parts, parts.loop
         self.state = ShutdownState.SERVING
-        self._last_call_until = 0.0  # loop time
+        self._grace_period_ends_at = 0.0  # loop time
 
     @property
-    def _is_followed(self) -> bool:
+    def _has_successor(self) -> bool:
         """Whether a successor has connected, whether or not it has our listeners or is ready yet."""
         hot_upgrade = self.parts.hot_upgrade
         return hot_upgrade is not None and hot_upgrade.successor is not None
@@ -73,36 +87,53 @@
 
     def begin(self) -> None:
         """Stop gracefully; a second call changes nothing."""
-        if self.state is not ShutdownState.SERVING:
-            return
+        if self.state is ShutdownState.SERVING:
+            self._serving_to_draining()
+
+    def _serving_to_draining(self) -> None:
         self.state = ShutdownState.DRAINING
         log("shutdown", f"stopping with {self.parts.forwarder.open_request_count} requests open")
-        # First the addresses are withdrawn, so that clients go elsewhere; what still comes is served
+        # Withdraws the addresses, so that clients go elsewhere; those that still come are served
         self.parts.readiness.stop()
-        followed = self._is_followed
-        answer_seconds = ANSWER_SECONDS_WITH_SUCCESSOR if followed else ANSWER_SECONDS
-        answer_seconds = min(self.parts.active.longest_timeout, answer_seconds)
         now = self.loop.now()
-        self.loop.call_at(now + answer_seconds + GIVE_UP_MARGIN_SECONDS, self.give_up)
-        self._last_call_until = now + LAST_CALL_SECONDS
-        if followed:
+        self.loop.call_at(now + self._seconds_until_abort(), self.abort_open_requests)
+        self._grace_period_ends_at = now + ACCEPT_GRACE_SECONDS
+        if self._has_successor:
             self.transfer_to_successor()
         else:
-            self.loop.call_at(self._last_call_until, self._close_fronts)
+            self.loop.call_at(self._grace_period_ends_at, self._close_fronts)
+
+    def _seconds_until_abort(self) -> float:
+        answer_seconds = ANSWER_SECONDS_WITH_SUCCESSOR if self._has_successor else ANSWER_SECONDS
+        return min(self.parts.active.longest_timeout, answer_seconds) + ABORT_MARGIN_SECONDS
 
     def transfer_to_successor(self) -> None:
-        """Accept nothing more: what is open is answered here, what is idle goes on with the successor."""
-        if not self._successor_ready:
-            # Guards clients in the accept queue: if the successor dies yet, nobody else can accept them
-            for listener in self.parts.fronts.listeners:
-                listener.pause()
-            return
+        """Accept no more clients: open requests are answered here, idle connections go to the successor.
+
+        A successor that is not ready yet gets them when it is: then this is called again.
+        """
+        if self._successor_ready:
+            self._release_to_successor()
+        else:
+            self._pause_for_successor()
+
+    def _pause_for_successor(self) -> None:
+        """Accept nothing, but keep the listeners open.
+
+        The successor may die before it accepts; with the listeners closed, the clients in the accept queue
+        would be reset. Kept open, they can be accepted here again.
+        """
+        for listener in self.parts.fronts.listeners:
+            listener.pause()
+
+    def _release_to_successor(self) -> None:
         hot_upgrade = self.parts.hot_upgrade
         assert hot_upgrade
-        # Only now: the successor accepts at these listeners, so no client in the accept queue is lost
+        # The successor accepts at the same sockets, so no client in the accept queue is lost
         for listener in self.parts.fronts.listeners:
             listener.release()
-        # The successor is notified before the first connection arrives, and takes its larger share
+        # The successor is notified before it receives the first connection, so that it uses its larger share
+        # for the requests on these
         self.parts.slow_start_share.change(DRAINING_SHARE)
         hot_upgrade.notify_draining()
         self.parts.fronts.http_server.start_transfer(hot_upgrade.transfer)
@@ -110,31 +141,33 @@
         self._exit_when_done()
 
     def continue_without_successor(self) -> None:
-        """The successor died after SIGTERM: this is a plain shutdown again, to the same last call.
+        """The successor died after SIGTERM: accept clients again until the end of the grace period.
 
-        Guards new connections: no other process accepts them, and idle ones have nowhere to go.
+        No other process accepts them now: without this, new clients would wait in the accept queue until
+        this process exits, and then be reset. Idle connections stay here, as nobody takes them.
         """
         self.parts.fronts.http_server.transfer = None
         for listener in self.parts.fronts.listeners:
             listener.resume()
-        self.loop.call_at(self._last_call_until, self._close_fronts)
+        self.loop.call_at(self._grace_period_ends_at, self._close_fronts)
 
-    def give_up(self) -> None:
-        """Answer all that is open, before the kill.
+    def abort_open_requests(self) -> None:
+        """DRAINING to ABORTED: answer every open request and reject new ones, before SIGKILL comes.
 
-        Guards clients of what is still open: they get an answer while there is time, and may retry.
+        SIGKILL would reset the clients' connections, and they could not know whether their requests ran. With
+        an answer in time they may retry.
         """
-        self.state = ShutdownState.GIVEN_UP
+        self.state = ShutdownState.ABORTED
         self.parts.fronts.http_server.rejects_all = True
         for exchange in list(self.parts.forwarder.exchanges.values()):
             exchange.end_without_planner()
         if not self._successor_ready:
-            # A successor that was never ready accepts nothing: who is in the accept queue is answered here
+            # A successor that was never ready accepts nothing: clients in the accept queue are rejected here
             self._close_fronts()
 
     def _close_fronts(self) -> None:
-        """The last call is over, or all is given up: accept nothing more."""
-        if self._is_followed and self.state is not ShutdownState.GIVEN_UP:  # it started meanwhile
+        """The grace period is over, or open requests were aborted: accept nothing more."""
+        if self._has_successor and self.state is not ShutdownState.ABORTED:  # it has started meanwhile
             return self.transfer_to_successor()
         self.parts.fronts.close()
         self.parts.announcer.stop()
--- a/query_gateway/lifecycle/slow_start_share.py
+++ b/query_gateway/lifecycle/slow_start_share.py
@@ -1,11 +1,16 @@
-"""How predecessor and successor divide the slow-start budget of engines that have just started."""
+"""How predecessor and successor divide the slow-start budget: what engines that have just started can bear.
+
+A process without another beside it uses all of every budget. `overlap` says which share each process has at
+which step of a hot upgrade. The share is lost with the process; each process begins with the share that fits
+its start.
+"""
 
 from query_gateway.lifecycle.planner_settings import PlannerSettingsPublisher
 from query_gateway.net.loop import Loop
 
 FULL_SHARE = 1.0
 OVERLAP_SHARE = 0.5  # of each process, while both take requests
-DRAINING_SHARE = 0.1  # of a predecessor that shuts down: it forwards only what it has queued
+DRAINING_SHARE = 0.1  # of a predecessor that shuts down: it forwards only requests that it has queued
 
 
 class SlowStartShare:
@@ -21,9 +26,11 @@
         self._change_after(0.0, share)
 
     def change_after_window(self, share: float) -> None:
-        """Use another share once what the other process has sent no longer counts at the engines.
+        """Use another share once requests that the other process forwarded no longer count at the engines.
 
-        Guards engines in slow start: what the other process forwarded under its share still runs there.
+        Used at once, both processes' requests together would overload an engine in slow start: those that the
+        other one forwarded under its larger share still run there. An engine counts requests over one
+        overload window, so after that time the two shares add up to one budget at most.
         """
         self._change_after(self.publisher.forwarder.settings.cold_overload_window / 1e9, share)
 
--- a/query_gateway/lifecycle/upgrade_messages.py
+++ b/query_gateway/lifecycle/upgrade_messages.py
@@ -2,11 +2,15 @@
 
 A packet is one JSON object, some with file descriptors beside it:
 
-    successor:   {"hello": VERSION}   {"ready": true}
-    predecessor: {"fronts": [...], "learned": {...}, "statements": {...}} with its listeners
-                 {"leaving": true}   {"client": PEER, "asked": BOOL} with the client's connection
-
-The other process may run an earlier or a later version of this program, so the keys never change.
+    from         message         packet                                                   descriptors
+    successor    Hello           {"hello": VERSION}
+    successor    Ready           {"ready": true}
+    predecessor  Offer           {"fronts": [...], "learned": {...}, "statements": {...}} listening sockets
+    predecessor  Draining        {"leaving": true}
+    predecessor  ClientTransfer  {"client": PEER, "asked": BOOL}                          the connection
+
+The other process may run an earlier or a later version of this program, so the keys and the names of the
+fronts never change. They stand in this module alone.
 """
 
 import json
@@ -26,11 +30,13 @@
 CLIENT_KEY = "client"
 HAS_SENT_REQUEST_KEY = "asked"
 
+HTTP_FRONT, FLIGHT_FRONT = "web", "flight"  # the names that `fronts` holds
+
 Packet = dict[str, Any]  # a packet's JSON object
 
 
 class UpgradeMessageError(Exception):
-    """Bytes that are no packet of an upgrade, or not the one that is due."""
+    """A packet that cannot be decoded, or that is not the expected one; says what it holds."""
 
 
 @dataclass(slots=True, frozen=True)
@@ -40,12 +46,12 @@
 
 @dataclass(slots=True, frozen=True)
 class Ready:
-    """The successor takes requests."""
+    """The successor accepts clients."""
 
 
 @dataclass(slots=True, frozen=True)
 class Offer:
-    """What the successor inherits; the listeners come as descriptors, in the order of `fronts`.
+    """What the successor inherits; the listening sockets come as descriptors, in the order of `fronts`.
 
     The states are plain JSON values, or None where there is none or it does not fit into a packet.
     """
@@ -57,7 +63,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Draining:
-    """The predecessor takes no more requests."""
+    """The predecessor accepts no more clients."""
 
 
 @dataclass(slots=True, frozen=True)
@@ -70,7 +76,7 @@
 
 @dataclass(slots=True, frozen=True)
 class UnknownMessage:
-    """An object with none of the keys that are due: perhaps of a later version."""
+    """An object with none of the expected keys: perhaps of a later version."""
 
 
 FromSuccessor = Hello | Ready | UnknownMessage
@@ -98,7 +104,7 @@
 
 
 def _offer_packet(offer: Offer) -> Packet:
-    """An offer that fits into a packet: if need be without the statements' costs or the scheduler's state."""
+    """An offer that fits into a packet: one that is too long lacks the costs, then the scheduler's state."""
     packet: Packet = {FRONTS_KEY: list(offer.fronts)}
     if offer.scheduler_state is not None:
         packet[SCHEDULER_STATE_KEY] = offer.scheduler_state
@@ -131,7 +137,7 @@
 
 
 def decode_from_successor(packet: Packet) -> FromSuccessor:
-    """What a successor says; a hello of another protocol version is unknown here."""
+    """The message that a successor sent; a hello of another protocol version is unknown here."""
     if packet.get(HELLO_KEY) == PROTOCOL_VERSION:
         return Hello()
     if packet.get(READY_KEY) is True:
@@ -140,7 +146,7 @@
 
 
 def decode_from_predecessor(packet: Packet) -> FromPredecessor:
-    """What a predecessor says after its offer."""
+    """The message that a predecessor sent after its offer."""
     peer, has_sent_request = packet.get(CLIENT_KEY), packet.get(HAS_SENT_REQUEST_KEY)
     if isinstance(peer, str) and isinstance(has_sent_request, bool):
         return ClientTransfer(peer, has_sent_request)
--- a/query_gateway/planner/supervisor.py
+++ b/query_gateway/planner/supervisor.py
@@ -1,4 +1,18 @@
-"""The supervisor of forwarders and planners in processes of their own: starts them, and again if one dies."""
+"""The supervisor of forwarders and planners in processes of their own: starts them, and again if one dies.
+
+The states of one worker process:
+
+    ENDED --start--> RUNNING --exit, or killed--> ENDED
+
+An ended worker is started again at the next poll, but not sooner than `RESTART_INTERVAL_S` after its last
+start. While the supervisor stops, nothing is started: forwarders get SIGTERM, and once all of them have
+exited the planners do.
+
+The supervisor holds no state of requests. What a worker knew is lost with it: with a planner its queues and
+what it learned, while its forwarders answer its open requests (`forwarder`, `on_planner_lost`); with a
+forwarder its clients' connections and open requests, while its planners take them off their books
+(`planner.process`, `on_session_ended`). If the supervisor dies, its workers stop as at SIGTERM.
+"""
 
 import os
 import signal
@@ -9,22 +23,24 @@
 
 from query_gateway.net.log import log
 from query_gateway.net.loop import Loop
+from query_gateway.planner.process_part import PROCESS_PART_VARIABLE, ProcessKind, ProcessPart
 
 WORKER_POLL_INTERVAL_S = 0.1  # how often the supervisor looks whether its workers run
 RESTART_INTERVAL_S = 0.5  # at least, between two starts of the same worker
 SUPERVISOR_POLL_INTERVAL_S = 1.0  # how often a worker looks whether its supervisor runs
-PART_VARIABLE = "QUERY_GATEWAY_PART"  # names the part of a worker process: "planner 0", "forwarder 1"
 
 
 def stop_with_supervisor(loop: Loop, stop: Callable[[], None]) -> None:
     """Call `stop` in a worker when its supervisor has ended.
 
-    Guards the ports against workers that outlive a supervisor which was killed.
+    A supervisor that is killed cannot stop its workers. They would go on listening, and the next start would
+    fail because its addresses are in use. A worker whose parent process has ended gets another parent, which
+    is looked for here.
     """
     supervisor_pid = os.getppid()
 
     def poll() -> None:
-        """Compare the parent now with the one at the start; a killed supervisor leaves us another."""
+        """Compare the parent process with the one at the start."""
         if os.getppid() != supervisor_pid:
             stop()
         else:
@@ -36,8 +52,8 @@
 class WorkerProcess:
     """One forwarder or planner process, which may be started again when it has ended."""
 
-    def __init__(self, part: str) -> None:
-        """A worker that was not started yet; `part` says which one it is."""
+    def __init__(self, part: ProcessPart) -> None:
+        """A worker that was not started yet."""
         self.part = part
         self.started_at = 0.0  # monotonic seconds
         self.process: subprocess.Popen[bytes] | None = None
@@ -45,7 +61,7 @@
     def start(self) -> None:
         """Start the process, which reads the same configuration as this one."""
         self.started_at = time.monotonic()
-        environ = os.environ | {PART_VARIABLE: self.part}
+        environ = os.environ | {PROCESS_PART_VARIABLE: str(self.part)}
         self.process = subprocess.Popen([sys.executable, "-m", "query_gateway"], env=environ)
 
     @property
@@ -59,14 +75,18 @@
             self.process.send_signal(signal_number)
 
 
+def _workers(kind: ProcessKind, count: int) -> list[WorkerProcess]:
+    return [WorkerProcess(ProcessPart(kind, index)) for index in range(count)]
+
+
 class Supervisor:
     """Runs a process for each planner and each forwarder until a signal stops it."""
 
     def __init__(self, planner_count: int, forwarder_count: int) -> None:
         """Nothing is started before `run`."""
         self.loop = Loop()
-        self.planners = [WorkerProcess(f"planner {index}") for index in range(planner_count)]
-        self.forwarders = [WorkerProcess(f"forwarder {index}") for index in range(forwarder_count)]
+        self.planners = _workers(ProcessKind.PLANNER, planner_count)
+        self.forwarders = _workers(ProcessKind.FORWARDER, forwarder_count)
         self.stopping = False
 
     def _poll(self) -> None:
@@ -84,7 +104,7 @@
             log("supervisor", f"{worker.part} ended with {worker.process.returncode} and is restarted")
         try:
             worker.start()
-        except OSError as error:  # out of processes, descriptors or memory: the next round tries again
+        except OSError as error:  # out of processes, descriptors or memory: tried again at the next poll
             log("supervisor", f"{worker.part} cannot be started: {error.strerror}")
 
     def _stop(self) -> None:
@@ -109,7 +129,7 @@
             worker.send(signal.SIGTERM)
         workers = (*self.planners, *self.forwarders)
         exit_codes = [worker.process.wait() for worker in workers if worker.process]
-        # One that was only just starting ends by our signal itself, as it was meant to
+        # A worker that had not set its signal handlers yet ends by our SIGTERM itself, which is no failure
         failures = [abs(code) for code in exit_codes if code != -signal.SIGTERM]
         return max(failures, default=0)
 
--- a/tests/test_flight_statements.py
+++ b/tests/test_flight_statements.py
@@ -262,7 +262,7 @@
     with gateway(*flight_engines, statements=ON) as gate:
         for n in range(8):
             run_query(gate, READ.replace("42", str(n))).read_all()
-        transferred = json.loads(encode(gate.overlap.offer()[0]))
+        transferred = json.loads(encode(gate.overlap.offer().message))
         assert gate.statements
         costs = gate.statements.classifier.costs
     loop = Loop()
--- a/tests/test_hot_upgrade.py
+++ b/tests/test_hot_upgrade.py
@@ -21,6 +21,8 @@
 
 from query_gateway.configuration.operator_file import OperatorSettings
 from query_gateway.gateway import Gateway
+from query_gateway.lifecycle.inherited_state import request_inherited_state
+from query_gateway.lifecycle.upgrade_connection import ConnectionHandler, UpgradeConnection
 from query_gateway.lifecycle.upgrade_messages import (
     ClientTransfer,
     Draining,
@@ -30,12 +32,7 @@
     decode_from_predecessor,
     decode_from_successor,
 )
-from query_gateway.lifecycle.upgrade_socket import (
-    ConnectionHandler,
-    UpgradeConnection,
-    request_inherited_state,
-    upgrade_socket_path,
-)
+from query_gateway.lifecycle.upgrade_socket import upgrade_socket_path
 from query_gateway.model.actions import Forward
 from query_gateway.model.events import AttemptOutcome, Event, OutcomeCode, Request
 from query_gateway.net.loop import Loop
--- a/tests/test_race_shutdown.py
+++ b/tests/test_race_shutdown.py
@@ -17,10 +17,10 @@
 from query_gateway.composition import GatewayOptions
 from query_gateway.configuration.operator_file import OperatorSettings
 from query_gateway.gateway import Gateway
+from query_gateway.lifecycle.inherited_state import request_inherited_state
 from query_gateway.lifecycle.reload import ConfigurationSources
 from query_gateway.lifecycle.shutdown import ANSWER_SECONDS
 from query_gateway.lifecycle.upgrade_messages import MAX_DESCRIPTORS, MAX_PACKET_BYTES, PROTOCOL_VERSION
-from query_gateway.lifecycle.upgrade_socket import request_inherited_state
 from tests.race_helpers import (
     SEC,
     PausedReaderEngine,
@@ -47,7 +47,7 @@
         abort_delays = [
             when - gateway.loop.now()
             for when, _, timer in gateway.loop.timers
-            if timer.callback == gateway.shutdown.give_up
+            if timer.callback == gateway.shutdown.abort_open_requests
         ]
         assert len(abort_delays) == 1 and longest_deadline < abort_delays[0] < longest_deadline + 0.7
         gateway.loop.close()
@@ -64,7 +64,7 @@
     abort_delays = [
         when - gateway.loop.now()
         for when, _, timer in gateway.loop.timers
-        if timer.callback == gateway.shutdown.give_up
+        if timer.callback == gateway.shutdown.abort_open_requests
     ]
     assert len(abort_delays) == 1 and 1.0 < abort_delays[0] < 1.7
     gateway.loop.close()
@@ -81,7 +81,7 @@
         with ThreadPoolExecutor() as executor:
             waiting = executor.submit(post, gateway, "report", SQL, ttl=600_000)
             until(lambda: gateway.engine_pool.connections)
-            gateway.loop.call_soon(gateway.shutdown.give_up)
+            gateway.loop.call_soon(gateway.shutdown.abort_open_requests)
             assert waiting.result()[0] == 429
         engine.accept_connections()
     assert engine.statements == []
@@ -175,7 +175,7 @@
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """Guards clients after SIGTERM: the predecessor then closed its listener and its idle connections."""
-    monkeypatch.setattr("query_gateway.lifecycle.shutdown.LAST_CALL_SECONDS", 600.0)
+    monkeypatch.setattr("query_gateway.lifecycle.shutdown.ACCEPT_GRACE_SECONDS", 600.0)
     with gateway_with_successor(tmp_path, Engine()) as (gateway, link):
         assert gateway.hot_upgrade
         connection = http.client.HTTPConnection(*gateway.http_server.listener.address, timeout=10)
--- a/tests/test_upgrade_compatibility.py
+++ b/tests/test_upgrade_compatibility.py
@@ -16,6 +16,7 @@
 from query_gateway.composition import GatewayOptions
 from query_gateway.configuration.operator_file import OperatorSettings, StatementSettings
 from query_gateway.gateway import Gateway
+from query_gateway.lifecycle.inherited_state import InheritedState, request_inherited_state
 from query_gateway.lifecycle.upgrade_messages import (
     MAX_DESCRIPTORS,
     MAX_PACKET_BYTES,
@@ -30,11 +31,7 @@
     decode_packet,
     encode,
 )
-from query_gateway.lifecycle.upgrade_socket import (
-    InheritedState,
-    request_inherited_state,
-    upgrade_socket_path,
-)
+from query_gateway.lifecycle.upgrade_socket import upgrade_socket_path
 from query_gateway.statements.messages import Rules
 from tests.stand_ins import Engine, config, host
 from tests.test_local import until
@@ -163,7 +160,7 @@
         fronts = [listener.address for listener in gate.fronts.listeners]
         assert fronts == [listener.getsockname() for listener in inherited.listeners.values()]
         # And what this version would tell the next one has the same form, key for key
-        assert same_form(json.loads(encode(gate.overlap.offer()[0])), before)
+        assert same_form(json.loads(encode(gate.overlap.offer().message)), before)
 
 
 def test_a_successor_heeds_what_the_version_before_says_and_takes_its_connections(tmp_path: Path) -> None:
