--- a/query_gateway/planner/__init__.py
+++ b/query_gateway/planner/__init__.py
@@ -1,8 +1,12 @@
 """A planner: one instance of the decision module, beside its forwarder or in a process of its own.
 
-Decides nothing itself: it hands events to `query_gateway.policy` and its actions back. Owns the IPC between
-forwarders and planner processes with its codec, the planner process, and the supervisor of all processes.
+Decides nothing itself: it passes events to `query_gateway.policy` and returns its actions. Owns the IPC
+between forwarders and planner processes with its codec, the planner process, and the supervisor of all
+processes.
 
-`planner`, `learned_state` and `ipc_codec` know no socket and no clock; `ipc`, `process` and `supervisor` use
-`query_gateway.net`. The composition root and `lifecycle` import it; it imports no forwarder.
+What happens to the requests of a planner that dies: `lifecycle/planner_links.py`. What happens to the
+requests of a forwarder that dies: `process.py`, `PlannerProcess.on_session_ended`.
+
+`planner`, `learned_state`, `ipc_codec` and `process_part` know no socket and no clock; `ipc`, `process` and
+`supervisor` use `query_gateway.net`. The composition root and `lifecycle` import it; it imports no forwarder.
 """
--- a/query_gateway/planner/ipc.py
+++ b/query_gateway/planner/ipc.py
@@ -1,4 +1,15 @@
-"""The IPC between a forwarder and a planner in processes of their own: events go, actions come."""
+"""The IPC between a forwarder and a planner in processes of their own: events one way, actions the other.
+
+The states of a forwarder's end (`PlannerClient`), each a part of its coroutine:
+
+    DIALING --connected--> CONNECTED --connection ended--> BACKOFF --RECONNECT_DELAY_S--> DIALING
+       |                                                      ^
+       +--refused, or DIAL_TIMEOUT_S is over------------------+
+
+An event that is sent while there is no connection is dropped: the forwarder has ended the planner's requests
+by then, and on the next connect it sends settings and the endpoint list again. `lifecycle/planner_links.py`
+says what becomes of those requests.
+"""
 
 from collections.abc import Callable, Generator
 from typing import Any
@@ -11,10 +22,10 @@
 
 RECONNECT_DELAY_S = 0.1
 DIAL_TIMEOUT_S = 1.0
-MAX_UNREAD_BYTES = 16_777_216  # that the other end may leave unread before the connection ends
+MAX_UNREAD_BYTES = 16_777_216  # by the other end, before the connection ends
 
-Steps = Generator[float | None, None, None]  # of a coroutine on the loop
-ReasonSteps = Generator[float | None, None, Reason]  # of one that returns why a connection ended
+Steps = Generator[float | None, None, None]  # a coroutine on the loop
+ReasonSteps = Generator[float | None, None, Reason]  # a coroutine that returns why a connection ended
 
 
 class IpcConnection:
@@ -26,18 +37,18 @@
     def __init__(
         self, stream: Stream, message_types: dict[str, Any], on_message: Callable[[Any], None]
     ) -> None:
-        """`on_message` takes each message, of the types that this end accepts by their names."""
+        """`message_types`: those that this end accepts, by name; `on_message` receives each message."""
         self.stream = stream
         self.on_message = on_message
         self.decoder = Decoder(message_types)
-        self.closing = False  # set by the owner, who then wakes the coroutine
+        self.closing = False  # set by the owner, which then wakes the coroutine
 
     def send(self, message: IpcMessage) -> None:
-        """Queue a message; `receive` ends the connection if too many are left unread."""
+        """Queue a message; `receive` ends the connection if the other end leaves too many unread."""
         self.stream.write(encode(message))
 
     def receive(self) -> ReasonSteps:
-        """Hand on messages until the connection ends, and return why it does."""
+        """Deliver messages until the connection ends, and return why it does."""
         while True:
             if self.stream.inbox and (fault := self._handle_inbox()):
                 return fault
@@ -50,10 +61,11 @@
             yield None
 
     def _handle_inbox(self) -> Reason | None:
-        """Hand on what has come; a reason if the connection cannot go on.
+        """Deliver the messages that have arrived; a reason if the connection cannot go on.
 
-        An error in handling a message ends the connection, so that the other end takes this one for lost and
-        settles what it has open here, instead of waiting for it.
+        If a message cannot be handled, the two ends no longer agree on which requests are open, and the other
+        end would wait for answers to its message until each deadline. So the connection ends: the other end
+        then takes this one for lost and ends what it has open here.
         """
         try:
             for message in self.decoder.feed(self.stream.take_inbox()):
@@ -68,9 +80,10 @@
 
 
 class PlannerClient:
-    """A forwarder's end: connects to its planner, and again whenever the connection has ended.
+    """A forwarder's end: connects to its planner, and again whenever the connection has ended, until `stop`.
 
-    `on_connected` and `on_disconnected` are called in turn; actions come only in between. `stop` ends it.
+    Owns the connection. `on_connected` and `on_disconnected` are called alternately, and `on_action` only
+    between the first and the second.
     """
 
     def __init__(
@@ -92,7 +105,7 @@
         self.task: Task = loop.spawn(self._run())
 
     def notify(self, event: Event) -> None:
-        """Send an event; while there is no connection it is dropped."""
+        """Send an event; without a connection it is dropped."""
         if self.connection:
             self.connection.send(event)
 
--- a/query_gateway/planner/ipc_codec.py
+++ b/query_gateway/planner/ipc_codec.py
@@ -1,6 +1,6 @@
 """The codec of the IPC: a message is a line of JSON, the name of its type and then its fields in order.
 
-Both ends are processes of one gateway, so the types' names and the order of their fields may change freely.
+Both ends are processes of one version of the program, so the types' names and their fields may change freely.
 """
 
 import json
@@ -25,7 +25,7 @@
 
 @dataclass(slots=True, frozen=True)
 class EjectedEndpoints:
-    """The endpoints that a planner sends nothing to for now; sent at the start and when they change."""
+    """The endpoints that a planner has ejected; sent to a forwarder that connects, and when they change."""
 
     names: tuple[str, ...]
 
@@ -51,11 +51,11 @@
 
 
 class IpcMessageError(Exception):
-    """Bytes that are no message of the other end."""
+    """Bytes that cannot be decoded into a message that this end accepts; says what they hold."""
 
 
 def encode(message: IpcMessage) -> bytes:
-    """A message as a line with its end."""
+    """A message as a line, with its line feed."""
     line = json.dumps([type(message).__name__, *_encode_value(message)], separators=(",", ":"))
     return line.encode() + b"\n"
 
@@ -71,7 +71,7 @@
 
 
 def _decode_value(declared: Any, raw: Any) -> Any:
-    """A value of the declared type; raises IpcMessageError where `raw` is none."""
+    """`raw` as a value of the declared type; raises IpcMessageError if it is of another type."""
     if get_origin(declared) is UnionType:
         return None if raw is None else _decode_value(get_args(declared)[0], raw)
     if get_origin(declared) is tuple:
@@ -101,15 +101,15 @@
 
 
 class Decoder:
-    """Bytes in, complete messages out; of an incomplete one no more than a line is buffered."""
+    """Bytes in, messages out; owns the buffer of a line that is not complete, which is bounded."""
 
     def __init__(self, message_types: dict[str, Any]) -> None:
-        """`message_types` are the types that this end accepts, by their names."""
+        """`message_types`: those that this end accepts, by name."""
         self.message_types = message_types
         self.buffer = bytearray()
 
     def feed(self, data: bytes) -> list[Any]:
-        """The messages that `data` completes; after an IpcMessageError the decoder is of no use."""
+        """The messages that `data` completes; after an IpcMessageError the decoder must not be used again."""
         self.buffer += data
         *lines, incomplete = self.buffer.split(b"\n")
         self.buffer = incomplete
--- a/query_gateway/planner/planner.py
+++ b/query_gateway/planner/planner.py
@@ -1,4 +1,9 @@
-"""A planner drives one instance of the decision module: events in, actions out; it knows no wire."""
+"""A planner drives one instance of the decision module: events in, actions out; it knows no wire.
+
+What the instance holds (queues, its view of the engines, what it learned) is lost when it raises an error, as
+that may have left its state inconsistent. In a gateway's own process `restart` replaces it; a planner process
+exits and is started again. Only a hot upgrade carries what was learned over to another process.
+"""
 
 from collections.abc import Callable
 
@@ -7,35 +12,37 @@
 from query_gateway.model.settings import Settings
 from query_gateway.policy.scheduler import Scheduler
 
-CallAt = Callable[[int, Callable[[], None]], object]  # schedules a call at a clock time
+CallAt = Callable[[int, Callable[[], None]], object]  # schedules a call at a clock time, in nanoseconds
 
 
 class Planner:
-    """Collects events for the decision module, gets its actions, and keeps its timers."""
+    """Collects events for the decision module, returns its actions, and owns its timers."""
 
     def __init__(self, settings: Settings, seed: int, clock: Callable[[], int], call_at: CallAt) -> None:
-        """Create the first instance of the module; `clock` gives nanoseconds, `call_at` takes its times."""
+        """Create the first instance of the module; `clock` gives nanoseconds, for `call_at` too."""
         self.settings = settings
         self.seed = seed
         self.clock = clock
         self.call_at = call_at
         self.scheduler = Scheduler(settings, seed)
         self.pending_events: list[Event] = []
-        self.now = 0
+        self.now = 0  # clock time of the last decision
         self.incarnation = 0  # counts the restarts
 
     def notify(self, event: Event) -> None:
-        """Keep an event for the next decision."""
+        """Queue an event for the next decision."""
         if isinstance(event, SettingsUpdate):
             self.settings = event.settings
         self.pending_events.append(event)
 
     def decide(self) -> list[Action]:
-        """Hand all pending events to the module at once. Raises whatever the module raises."""
+        """Pass all pending events to the module at once. Raises whatever the module raises."""
         if not self.pending_events:
             return []
         events, self.pending_events = self.pending_events, []
-        self.now = max(self.now, self.clock())  # guards the module against a clock that goes back
+        # The module subtracts times of two decisions: if the second were the earlier one, it would learn from
+        # a negative duration
+        self.now = max(self.now, self.clock())
         actions: list[Action] = []
         for action in self.scheduler.handle(self.now, events):
             if isinstance(action, SetTimer):
@@ -45,21 +52,21 @@
         return actions
 
     def ejected_endpoints(self) -> tuple[str, ...]:
-        """The names of the endpoints that the module sends nothing to for now."""
+        """The names of the endpoints that the module has ejected."""
         return self.scheduler.ejected_endpoints(self.clock())
 
     def _set_timer(self, timer: SetTimer) -> None:
         incarnation = self.incarnation
 
         def on_due() -> None:
-            """Hand the timer to the instance that set it."""
-            if incarnation == self.incarnation:  # an instance that was replaced gets no timers
+            """Notify the instance that set the timer, unless it has been replaced."""
+            if incarnation == self.incarnation:
                 self.notify(TimerFired(timer.context))
 
         self.call_at(self.now + timer.delay, on_due)
 
     def restart(self) -> None:
-        """Replace an instance that broke by a new one.
+        """Replace an instance that raised an error by a new one.
 
         The new one has learned nothing; the caller notifies it of the endpoints.
         """
--- a/query_gateway/planner/process.py
+++ b/query_gateway/planner/process.py
@@ -1,4 +1,15 @@
-"""A planner in a process of its own: one instance of the decision module for the forwarders that connect."""
+"""A planner in a process of its own: one instance of the decision module for the forwarders that connect.
+
+Each connected forwarder has a session, which owns the list of the forwarder's open requests:
+
+    QUEUED --Forward--> IN_FLIGHT --outcome, not final--> QUEUED
+       |                    |
+       +--------------------+--> forgotten: rejected, failed, abandoned, or a final outcome
+
+If this process dies, all of this is lost, and with it the queues and what the module learned. The forwarders
+see their connections end and answer the requests themselves (`lifecycle/planner_links.py`); the supervisor
+starts another process. If a forwarder dies, see `on_session_ended`.
+"""
 
 import signal
 import socket
@@ -25,16 +36,16 @@
 from query_gateway.planner.planner import Planner
 
 MAX_FORWARDERS = 64  # connections
-EJECTION_POLL_INTERVAL_S = 0.2  # how often changes of the ejected endpoints are looked for
-RequestAction = Forward | Reject | Fail | Cancel | SetTerms  # what concerns one request, so one forwarder
+EJECTION_POLL_INTERVAL_S = 0.2  # between two looks for changes of the ejected endpoints
+RequestAction = Forward | Reject | Fail | Cancel | SetTerms  # concerns one request, so one forwarder
 
 
 @dataclass(slots=True)
 class OpenRequest:
-    """A request of a forwarder that the planner has not seen the end of."""
+    """A request of a forwarder that has not ended, as far as this process knows."""
 
     attempt_count: int = 0
-    in_flight: Forward | None = None  # the attempt whose outcome has not come
+    in_flight: Forward | None = None  # the attempt whose outcome has not been received
 
     @property
     def last_attempt_number(self) -> int:
@@ -43,7 +54,7 @@
 
 
 class PlannerSession:
-    """One connected forwarder with its open requests; it ends with the connection."""
+    """One connected forwarder; owns its connection and the list of its open requests, and ends with it."""
 
     def __init__(self, process: "PlannerProcess", sock: socket.socket, peer: str) -> None:
         """Take over an accepted socket; `peer` is its address for the log."""
@@ -64,22 +75,26 @@
             self.process.on_session_ended(self)
 
     def on_event(self, event: Event) -> None:
-        """Note what the event says of the forwarder's requests and pass it to the planner."""
+        """Update the list of open requests, and pass the event to the planner."""
         if isinstance(event, Request):
             self.open_requests[event.request_id] = OpenRequest()
             self.process.owners[event.request_id] = self
         elif isinstance(event, AttemptOutcome):
-            event = self._note_outcome(event)
+            event = self._record_outcome(event)
         elif isinstance(event, RequestAbandoned):
             request = self.open_requests.get(event.request_id)
-            if request is None or request.in_flight is None:  # else its outcome is still to come
+            # With an attempt in flight the request is forgotten at its outcome
+            if request is None or request.in_flight is None:
                 self.forget(event.request_id)
         self.process.planner.notify(event)
 
-    def _note_outcome(self, outcome: AttemptOutcome) -> AttemptOutcome:
-        """The outcome with the number of its attempt, which the forwarder may have forgotten."""
+    def _record_outcome(self, outcome: AttemptOutcome) -> AttemptOutcome:
+        """Update the request; the outcome with its attempt's number, which the forwarder may not know.
+
+        It does not if the `Forward` reached it only after it had ended the request.
+        """
         request = self.open_requests.get(outcome.request_id)
-        if outcome.attempt_number == LAST_ATTEMPT:  # it had ended the request before the attempt reached it
+        if outcome.attempt_number == LAST_ATTEMPT:
             outcome = replace(outcome, attempt_number=request.last_attempt_number if request else 0)
         if outcome.final:
             self.forget(outcome.request_id)
@@ -121,7 +136,7 @@
         return self.loop.call_at(loop_time_of(due_at_ns), callback)
 
     def _on_accepted(self, sock: socket.socket, peer: str) -> None:
-        if len(self.sessions) >= MAX_FORWARDERS:  # guards the table against other programs that connect
+        if len(self.sessions) >= MAX_FORWARDERS:  # bounds the table: any program may connect to the port
             Stream(self.loop, sock, f"forwarder {peer}").close(Reason.TOO_MANY)
             return
         session = PlannerSession(self, sock, peer)
@@ -138,9 +153,12 @@
         self.loop.call_at(self.loop.now() + EJECTION_POLL_INTERVAL_S, self._poll_ejected_endpoints)
 
     def on_session_ended(self, session: PlannerSession) -> None:
-        """Report the end of everything that a forwarder had open: it ended with the forwarder.
+        """End the requests of a forwarder whose connection has ended.
 
-        Guards the module's view of the engines against attempts whose outcome never comes.
+        The forwarder has died, or takes this planner for lost and has answered its requests itself. The
+        outcomes of its attempts will never be received: the module would count them as running for ever, take
+        the engines for busy and send them less and less. So each request is reported as abandoned, and each
+        attempt as cancelled.
         """
         self.sessions.discard(session)
         for request_id, request in list(session.open_requests.items()):
@@ -164,9 +182,10 @@
         )
 
     def run_planner(self) -> bool:
-        """Let the module decide on what has come and send its actions; True if there is more to decide.
+        """Let the module decide on all pending events and send its actions; True if there are more already.
 
-        A module that breaks ends the process: its forwarders settle all, and the supervisor starts another.
+        A module that raises an error ends the process, as its state may be inconsistent: the forwarders
+        answer the open requests, and the supervisor starts another process.
         """
         try:
             actions = self.planner.decide()
@@ -178,7 +197,7 @@
         return bool(self.planner.pending_events)
 
     def _send_action(self, action: Action) -> None:
-        """Send an action to the forwarder of its request; without one it is dropped."""
+        """Send an action to the forwarder of its request; if that has disconnected, drop it."""
         if isinstance(action, RequestAction) and (session := self.owners.get(action.request_id)):
             session.send_action(action)
 
