--- a/query_gateway/discovery/endpoint_feed.py
+++ b/query_gateway/discovery/endpoint_feed.py
@@ -1,5 +1,16 @@
-"""The gateway's position in the endpoint list's events, and what each answer changes."""
+"""The gateway's position in the events of the endpoint list, and what each answer changes.
 
+The positions of the service's events go up by one. What the feed knows of them:
+
+    IN_SEQUENCE --the service restarted its numbering--> RESYNCING --snapshot--> IN_SEQUENCE
+
+    position 0: an event is missing, so the next poll is for a snapshot, whichever the state is
+
+A service that has restarted may know less than this process does. While RESYNCING, the tombstones decide
+which of the endpoints that it reports as up are so.
+"""
+
+from enum import Enum
 from typing import Any
 
 from query_gateway.discovery.endpoint_list import (
@@ -17,67 +28,87 @@
 from query_gateway.net.log import log
 
 
+class FeedState(Enum):
+    """Whether the service's events follow on those that were received before; see the drawing above."""
+
+    IN_SEQUENCE = "in sequence"
+    RESYNCING = "resyncing"  # the service has restarted its numbering, and sent no snapshot since
+
+
 class EndpointFeed:
-    """Checks every answer of the discovery service against the last event received, and passes it on."""
+    """Checks every answer of the discovery service against the last event received, and applies it.
+
+    Owns the position, the tombstones and the translated start times.
+    """
 
     def __init__(self, forwarder: Forwarder, names: ZoneAndKindNames, start_times: StartTimes) -> None:
-        """The feed is empty before `take_initial`."""
+        """The feed has no position before `take_initial`."""
         self.forwarder, self.names, self.start_times = forwarder, names, start_times
-        self.answered_at: int | None = None  # clock time of the last answer that left nothing out
-        self.position = 0  # the number of the last event; 0: a snapshot is needed
-        self.newest: EndpointListEvent | None = None  # and that event
-        self.resyncing = False  # the service has restarted its numbers, and sent no snapshot since
+        self.state = FeedState.IN_SEQUENCE
+        self.complete_at: int | None = None  # clock time of the last answer; None: events were missing in it
+        self.position = 0  # of the last event received; 0: a snapshot is needed
+        self.newest_event: EndpointListEvent | None = None  # the event at that position
         self.tombstones = EndpointTombstones()
 
     def take_initial(self, answer: EndpointListAnswer) -> None:
-        """Take the list that the configuration contains.
+        """Apply the list that the configuration contains.
 
-        The position is as the configuration says, also where events are missing: the first poll is for
-        what comes after.
+        The position is the one in the configuration, also where events are missing: the first poll is for
+        the events behind it.
         """
         change = reconcile(0, answer)
-        self._publish(self._on_our_clock(change), change.is_snapshot)
+        self._publish(self._with_steady_starts(change), change.is_snapshot)
         self._record_position(answer.position, answer.events)
 
     def take_answer(self, raw: Any, repeats_newest: bool = False) -> int:
-        """Take an answer of the discovery service and return the new position. Raises ValueError.
+        """Apply an answer of the discovery service and return the new position.
 
-        `repeats_newest`: the poll was for the newest event once more, and what follows it.
+        `repeats_newest`: the poll was for the newest event once more, and those behind it. Raises ValueError
+        if the answer cannot be decoded; then nothing has changed.
         """
-        try:
-            answer = parse_answer(raw, self.names)
-        except EndpointListError as error:
-            raise ValueError(str(error)) from None
-        change = reconcile(self.position, answer, self.newest if repeats_newest else None)
-        self.resyncing |= change.anomaly is SequenceAnomaly.RESET
-        endpoints = self._on_our_clock(change)
-        if self.resyncing:
+        answer = self._decode(raw)
+        change = reconcile(self.position, answer, self.newest_event if repeats_newest else None)
+        if change.anomaly is SequenceAnomaly.RESET:
+            self.state = FeedState.RESYNCING
+        endpoints = self._with_steady_starts(change)
+        if self.state is FeedState.RESYNCING:
             endpoints = self.tombstones.apply(endpoints)
         if change.is_snapshot or endpoints:
             self._publish(endpoints, change.is_snapshot)
-        self.resyncing &= not change.is_snapshot
+        if change.is_snapshot:
+            self.state = FeedState.IN_SEQUENCE
         if change.anomaly:
-            positions = (
-                f"position {self.position}, answer to {answer.position}; position now {change.position}"
-            )
-            log("discovery", f"{change.anomaly.value}: {positions}")
+            self._log_anomaly(change.anomaly, answer.position, change.position)
         self._record_position(change.position, answer.events)
         return self.position
 
-    def _on_our_clock(self, change: EndpointListChange) -> list[Endpoint]:
-        """The endpoints of a change, with their starts on our clock."""
+    def _decode(self, raw: Any) -> EndpointListAnswer:
+        try:
+            return parse_answer(raw, self.names)
+        except EndpointListError as error:
+            # The watch client logs the type of an error as well, and that line stays as it is
+            raise ValueError(str(error)) from None
+
+    def _log_anomaly(self, anomaly: SequenceAnomaly, answer_position: int, new_position: int) -> None:
+        positions = f"position {self.position}, answer to {answer_position}; position now {new_position}"
+        log("discovery", f"{anomaly.value}: {positions}")
+
+    def _with_steady_starts(self, change: EndpointListChange) -> list[Endpoint]:
+        """The endpoints of a change, with their start times on the steady clock."""
         endpoints = self.start_times.translate(
-            change.endpoints, None if change.is_snapshot else self.answered_at
+            change.endpoints, None if change.is_snapshot else self.complete_at
         )
         has_gap = change.anomaly is not None and not change.is_snapshot
-        self.answered_at = None if has_gap else self.forwarder.clock()
+        self.complete_at = None if has_gap else self.forwarder.clock()
         return endpoints
 
     def _publish(self, endpoints: list[Endpoint], is_snapshot: bool) -> None:
-        # The tombstones first: they compare with the list as it stood before this change
+        # The tombstones compare with the list as it was before this change, so they are recorded first
         self.tombstones.record(endpoints, is_snapshot, self.forwarder.endpoints)
         self.forwarder.update_endpoints(endpoints, is_snapshot)
 
     def _record_position(self, position: int, events: tuple[EndpointListEvent, ...]) -> None:
         self.position = position
-        self.newest = next((event for event in reversed(events) if event.position == position), self.newest)
+        self.newest_event = next(
+            (event for event in reversed(events) if event.position == position), self.newest_event
+        )
--- a/query_gateway/discovery/endpoint_list.py
+++ b/query_gateway/discovery/endpoint_list.py
@@ -1,6 +1,6 @@
 """The endpoint list as the discovery service and the configuration write it, decoded into endpoints.
 
-The words of that JSON stand in this module alone.
+The keys and words of that JSON stand in this module alone.
 """
 
 from dataclasses import dataclass
@@ -18,11 +18,11 @@
 
 
 class EndpointListError(Exception):
-    """A part of an endpoint list that cannot be read."""
+    """A part of an endpoint list that cannot be decoded; says which one and why."""
 
 
 class ZoneAndKindNames:
-    """The numbers of zones and kinds, which follow from their order in the settings."""
+    """The numbers of zones and kinds: their positions in the settings."""
 
     def __init__(self, zones: list[str], kinds: list[str]) -> None:
         """Number both from 0."""
@@ -32,7 +32,7 @@
 
 @dataclass(slots=True, frozen=True)
 class EndpointListEvent:
-    """One numbered event: a snapshot holds the whole list, a delta the endpoints that changed."""
+    """One numbered event: a snapshot holds all endpoints, a delta those that have changed."""
 
     position: int
     is_snapshot: bool
@@ -60,7 +60,9 @@
                 address_of(address)
         if not 0 < len(name) <= MAX_NAME_LENGTH or any(character.isspace() for character in name):
             raise EndpointListError("an endpoint's name is invalid")
-        name.encode()  # guards the planner and its IPC against a lone surrogate
+        # JSON may contain a lone surrogate, which cannot be encoded: the planner raises an error at such a
+        # name, and so does each one that is started after it. Encoded here, it is rejected here.
+        name.encode()
         info = EndpointInfo(
             name=name,
             state=state,
@@ -77,7 +79,7 @@
 
 def _parse_event(raw: Any, names: ZoneAndKindNames) -> EndpointListEvent:
     hosts = raw.get("hosts")
-    if hosts is None:  # a kind of event that is not known here: only its position counts
+    if hosts is None:  # another kind of event, of a later version: only its position matters
         return EndpointListEvent(int(raw["pos"]), False, ())
     if len(hosts["hosts"]) > MAX_ENDPOINTS:
         raise EndpointListError("the list is too long")
@@ -88,7 +90,7 @@
 def parse_answer(raw: Any, names: ZoneAndKindNames) -> EndpointListAnswer:
     """Decode an answer of the discovery service, or the list in the configuration.
 
-    Raises EndpointListError at the first part that cannot be read.
+    Raises EndpointListError at the first part that cannot be decoded.
     """
     try:
         events = tuple(_parse_event(event, names) for event in raw["entries"])
--- a/query_gateway/discovery/reconciliation.py
+++ b/query_gateway/discovery/reconciliation.py
@@ -1,4 +1,13 @@
-"""Checks an answer against the position that we hold: what it changes, and whether events are missing."""
+"""The sequence check: what an answer changes in the endpoint list, and whether events are missing from it.
+
+the answer                                              anomaly    next position
+continues behind our position                           none       of its last event
+has only events up to our position                      DUPLICATE  as before
+leaves out an event, or ends before the position that   GAP        0: poll for a snapshot
+it states
+states a position below ours, or has another event at   RESET      of its last event, or 0 if events
+our position than we received                                      are missing
+"""
 
 from dataclasses import dataclass
 from enum import Enum
@@ -9,18 +18,18 @@
 
 
 class SequenceAnomaly(Enum):
-    """What is odd about the positions of an answer; the value stands in the log."""
+    """How the positions of an answer differ from a sequence; the value is the word in the log."""
 
     RESET = "sequence-reset"  # the service restarted its numbering
     GAP = "sequence-gap"  # events are missing
-    DUPLICATE = "duplicate"  # it brought only events that we hold
+    DUPLICATE = "duplicate"  # it has only events that were received before
 
 
 @dataclass(slots=True, frozen=True)
 class EndpointListChange:
-    """What an answer changes: the whole list, or the endpoints named."""
+    """What an answer changes: with a snapshot the complete list, else the endpoints that it names."""
 
-    position: int  # of the last event that is held from now on; 0: the whole list must be polled for
+    position: int  # of the last event received; 0: the next poll must be for a snapshot
     is_snapshot: bool
     endpoints: list[Endpoint]
     anomaly: SequenceAnomaly | None = None
@@ -31,38 +40,41 @@
 ) -> EndpointListChange:
     """Check the answer to a poll from `position` against the positions of its events, which go up by one.
 
-    `verified_event`: the event at `position`, where it was polled for once more. If the answer holds another
-    one there, the service restarted its numbering and has passed our position.
+    `verified_event`: the event received at `position`, where it was polled for once more. If the answer has
+    another one there, the service restarted its numbering and has passed our position.
 
-    All endpoints that the answer names are applied, in one step. Where events must be missing, the whole list
-    is to be polled for: guards against a list that never changes again, because the service restarted its
-    numbering or reports its end too soon.
+    All endpoints that the answer names are applied, in one step. Where events are missing, the next poll must
+    be for a snapshot. Without that, a service that restarted its numbering, or states a position beyond the
+    events that it sends, would leave us at a position that it does not reach: every later answer would be
+    ignored, and the list would never change again.
     """
     has_reset = answer.position < position or (
         verified_event is not None and verified_event not in answer.events
     )
-    reached = 0 if has_reset else position
-    is_duplicate = bool(answer.events) and answer.events[-1].position <= reached and verified_event is None
+    last_position = 0 if has_reset else position
+    is_duplicate = (
+        bool(answer.events) and answer.events[-1].position <= last_position and verified_event is None
+    )
     is_snapshot = has_gap = False
     endpoints = dict[str, Endpoint]()
     for event in answer.events:
-        if event.position <= reached:  # held already
+        if event.position <= last_position:  # received before
             continue
         if event.is_snapshot:
             is_snapshot, endpoints = True, {}
-        has_gap |= event.position != reached + 1 and not event.is_snapshot
-        reached = event.position
+        has_gap |= event.position != last_position + 1 and not event.is_snapshot
+        last_position = event.position
         endpoints |= {endpoint.info.name: endpoint for endpoint in event.endpoints}
-    has_gap |= reached < answer.position
+    has_gap |= last_position < answer.position
     changed = list(endpoints.values())
     if is_snapshot:
         changed = [endpoint for endpoint in changed if endpoint.info.state is not EndpointState.REMOVED]
     anomaly = _anomaly(has_reset, has_gap, is_duplicate)
-    return EndpointListChange(0 if has_gap else reached, is_snapshot, changed, anomaly)
+    return EndpointListChange(0 if has_gap else last_position, is_snapshot, changed, anomaly)
 
 
 def _anomaly(has_reset: bool, has_gap: bool, is_duplicate: bool) -> SequenceAnomaly | None:
-    """The anomaly to report where there are several."""
+    """The one anomaly that is reported where there are several."""
     if has_reset:
         return SequenceAnomaly.RESET
     if has_gap:
--- a/query_gateway/discovery/tombstones.py
+++ b/query_gateway/discovery/tombstones.py
@@ -1,4 +1,8 @@
-"""What is remembered of endpoints that drained or were removed, after the list has dropped them."""
+"""The tombstones: endpoints that drained or were removed, kept after the list has dropped them.
+
+none --reported as draining or removed, or left out by a snapshot--> tombstone
+tombstone --reported as up--> none
+"""
 
 from collections.abc import Iterable
 from dataclasses import dataclass, replace
@@ -11,7 +15,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Tombstone:
-    """The state that was reported of an endpoint, and of which start of it."""
+    """The state that an endpoint was reported in, and the start of the engine that it was reported of."""
 
     state: EndpointState  # DRAINING or REMOVED
     started_at: int  # clock time in nanoseconds
@@ -20,16 +24,17 @@
 class EndpointTombstones:
     """Endpoints that were reported as draining or removed, and have not been reported as up since.
 
-    Guards draining against a service that restarted its numbering and knows less than we do: what it reports
-    as up is not, unless it has started since.
+    A discovery service that has restarted may know an older list than we do, and report an engine as up that
+    drains or was removed. Requests would be sent to it again and be lost when it exits. With the tombstone,
+    an engine that is reported as up stays out, unless it has started again since.
     """
 
     def __init__(self) -> None:
-        """Begin with none."""
-        self._tombstones: dict[str, Tombstone] = {}  # by name, the oldest first
+        """There are none at the start."""
+        self._tombstones: dict[str, Tombstone] = {}  # by endpoint name, the oldest first
 
     def record(self, endpoints: list[Endpoint], is_snapshot: bool, listed: dict[str, Endpoint]) -> None:
-        """Record a change of the list `listed`; what a snapshot leaves out counts as removed."""
+        """Record a change of the list `listed`; an endpoint that a snapshot leaves out is removed."""
         reported = {endpoint.info.name for endpoint in endpoints}
         removed = [
             replace(endpoint.info, state=EndpointState.REMOVED)
@@ -46,7 +51,7 @@
             del self._tombstones[next(iter(self._tombstones))]
 
     def apply(self, endpoints: Iterable[Endpoint]) -> list[Endpoint]:
-        """Return the endpoints as they are: those that drain as draining, without those that were removed."""
+        """The endpoints in their true states: draining ones as such, and without the removed ones."""
         applied = []
         for endpoint in endpoints:
             tombstone = self._tombstones.get(endpoint.info.name)
--- a/query_gateway/discovery/watch_client.py
+++ b/query_gateway/discovery/watch_client.py
@@ -1,7 +1,17 @@
-"""The client of the discovery service: long polls for the events behind the last position, for ever."""
+"""The client of the discovery service: long polls for the events behind the last position.
+
+The states of the watch, each a part of its coroutine:
+
+    CONNECTING --connected--> POLLING --answer--> POLLING
+        |                        |
+        +--refused, timed out----+--connection ended, or its answers cannot be used--> BACKOFF --> CONNECTING
+
+    `stop` ends any of them; a new address leads from any of them to CONNECTING
+"""
 
 import json
 from collections.abc import Callable, Generator
+from dataclasses import dataclass
 from random import Random
 from typing import Any
 
@@ -11,42 +21,43 @@
 from query_gateway.net.loop import Loop
 from query_gateway.net.stream import Reason, Stream, address_of
 
-POLL_HOLD_MS = 2_000  # how long the service may hold a poll: short, so that one that is dead is soon noticed
-SHORT_POLL_HOLD_MS = 1  # and until the first answer, where somebody waits for it
-ANSWER_GRACE_SECONDS = 0.8  # past the hold, after which the connection counts as dead
+POLL_HOLD_MS = 2_000  # how long the service may hold a poll; also bounds how late its death is noticed
+SHORT_POLL_HOLD_MS = 1  # the same until the first answer, where a successor waits for it
+ANSWER_GRACE_SECONDS = 0.8  # beyond the hold, after which the service counts as unresponsive
 SHORT_POLL_TIMEOUT_SECONDS = 0.8
 CONNECT_TIMEOUT_SECONDS = 0.5
-# Before a new connection, half less or more at random: gateways whose watches break together shall not come
-# back together
+# The backoff is randomized by half of it, either way: gateways whose watches end together would otherwise
+# reconnect at the same moments
 MIN_BACKOFF_SECONDS = 0.1
 MAX_BACKOFF_SECONDS = 0.2
 MAX_ANSWER_BYTES = 4_194_304
 
 
+@dataclass(slots=True, frozen=True)
+class WatchCallbacks:
+    """What the watch client calls.
+
+    `on_answer` gets the JSON of each answer, and whether the event at our position was polled for once more;
+    it returns the position to poll from next, and may raise any exception at an answer that it cannot decode.
+    `on_caught_up` is called once, after the first answer; where it is set, polls are not held until then.
+    """
+
+    on_answer: Callable[[Any, bool], int]
+    on_caught_up: Callable[[], None] | None = None
+
+
 class EndpointWatchClient:
     """Polls the discovery service, over one connection at a time, until `stop`.
 
     Owns that connection and the task that serves it.
     """
 
-    def __init__(  # noqa: PLR0913 - the parts that it joins; no two of them belong together
-        self,
-        loop: Loop,
-        address: str,
-        position: int,
-        on_update: Callable[[Any, bool], int],
-        *,
-        on_caught_up: Callable[[], None] | None = None,
-        seed: int = 0,
+    def __init__(
+        self, loop: Loop, address: str, position: int, callbacks: WatchCallbacks, seed: int = 0
     ) -> None:
-        """Begin to poll for the events behind `position`.
-
-        `on_update` gets the JSON of each answer, and whether the event at our position was polled for once
-        more; it returns the position to poll from next, and may raise anything at what it cannot read.
-        `on_caught_up` is called once, after the first answer; until then polls are not held.
-        """
-        self.loop, self.address, self.position, self.on_update = loop, address, position, on_update
-        self.on_caught_up = on_caught_up
+        """Begin to poll for the events behind `position`; `seed` is that of the randomized backoff."""
+        self.loop, self.address, self.position = loop, address, position
+        self.on_answer, self.on_caught_up = callbacks.on_answer, callbacks.on_caught_up
         self._stopped = self._address_changed = False
         self._answered = False  # at least once
         self._connection_lost = False  # since the last answer
@@ -59,7 +70,7 @@
         self.task.wake()
 
     def set_address(self, address: str) -> None:
-        """Poll another address from now on; the positions go on."""
+        """Poll another address from now on, from the same position."""
         if address != self.address:
             self.address, self._address_changed = address, True
             self.task.wake()
@@ -86,7 +97,7 @@
                 yield reconnect_at
 
     def _interruption(self) -> Reason | None:
-        """Why the present connection is not wanted any longer, if so."""
+        """Why the present connection must end, if it must."""
         if self._stopped:
             return Reason.STOPPING
         return Reason.REPLACED if self._address_changed else None
@@ -122,24 +133,29 @@
     ) -> Generator[float | None, None, Reason | None]:
         """Poll once; return why the connection must end, or None."""
         position, polled_at = self.position, self.loop.now()
-        # Guards against a service that restarted its numbering and has passed our position: the event there
-        # is polled for once more, and differs
-        verifies = self._connection_lost and position > 0
-        self._send_poll(stream, connection, position - 1 if verifies else position)
+        # A service that restarted its numbering while there was no connection may have passed our position.
+        # Its answer would seem to continue our events, and the list would lack those before. So after a lost
+        # connection the event at our position is polled for once more: another event there shows the restart.
+        verifies_newest = self._connection_lost and position > 0
+        self._send_poll(stream, connection, position - 1 if verifies_newest else position)
         try:
             body = yield from self._read_answer(stream, connection)
             if isinstance(body, Reason):
                 return body
-            self.position = self.on_update(json.loads(body), verifies)
+            self.position = self.on_answer(json.loads(body), verifies_newest)
             self._answered, self._connection_lost = True, False
             is_first = self._notify_caught_up()
-        except Exception as error:  # guards the watch: no answer, however odd, may end it for good
+        except Exception as error:
+            # An exception that leaves this coroutine ends the watch, and the endpoint list would not change
+            # again before a restart. Whatever an answer contains, it ends its connection alone.
             log("discovery", f"invalid answer: {error!r}")
             return Reason.MALFORMED_RESPONSE
-        is_idle = self.position == position and not is_first and not verifies
+        is_idle = self.position == position and not is_first and not verifies_newest
         is_early = self.loop.now() < polled_at + MIN_BACKOFF_SECONDS
         if self.position < position or (is_idle and is_early):
-            return Reason.RESYNC  # guards the service, and us, against polls without a pause
+            # A service that answers at once with nothing new would be polled without a pause, and both
+            # processes would be busy with it. The end of the connection leads to the backoff.
+            return Reason.RESYNC
         self._backoff = MIN_BACKOFF_SECONDS
         return None
 
--- a/query_gateway/gateway.py
+++ b/query_gateway/gateway.py
@@ -21,7 +21,7 @@
 from query_gateway.configuration.platform import Configuration
 from query_gateway.discovery.endpoint_feed import EndpointFeed
 from query_gateway.discovery.start_times import StartTimes
-from query_gateway.discovery.watch_client import EndpointWatchClient
+from query_gateway.discovery.watch_client import EndpointWatchClient, WatchCallbacks
 from query_gateway.forwarder.messages import Verdict
 from query_gateway.forwarder.readiness import Readiness
 from query_gateway.lifecycle.active_configuration import ActiveConfiguration
@@ -104,9 +104,10 @@
             self.loop,
             config.discovery_address,
             self.endpoint_feed.position,
-            self.endpoint_feed.take_answer,
-            on_caught_up=self.startup.begin if self.options.inherited else None,
-            seed=config.seed,
+            WatchCallbacks(
+                self.endpoint_feed.take_answer, self.startup.begin if self.options.inherited else None
+            ),
+            config.seed,
         )
         self.flight_pool = build_flight_pool(core)
         self.flight_server: FlightServer | None = build_flight_server(core, front_options)
