--- a/tests/test_local.py
+++ b/tests/test_local.py
@@ -103,6 +103,24 @@
         time.sleep(0.01)
 
 
+@contextmanager
+def ended_on_exit(process: "subprocess.Popen[bytes]") -> Iterator["subprocess.Popen[bytes]"]:
+    """End a gateway that still runs when the test leaves, as it does where an assertion fails.
+
+    The context manager of `Popen` itself waits for the process without a limit. SIGTERM comes before SIGKILL,
+    so that a supervisor can end its workers.
+    """
+    with process:
+        try:
+            yield process
+        finally:
+            process.terminate()  # changes nothing for a process that has ended and was waited for
+            try:
+                process.wait(10)
+            except subprocess.TimeoutExpired:
+                process.kill()
+
+
 def connected_planners(gateway: Gateway) -> list[bool]:
     return [planner.connected for planner in gateway.forwarder.planners]
 
@@ -194,7 +212,7 @@
     }
     gate = SimpleNamespace(http_server=SimpleNamespace(listener=SimpleNamespace(address=listen)))
     run = [sys.executable, "-m", "query_gateway"]
-    with subprocess.Popen(run, env=environ, stderr=subprocess.DEVNULL) as process:
+    with ended_on_exit(subprocess.Popen(run, env=environ, stderr=subprocess.DEVNULL)) as process:
 
         def served() -> bool:
             try:
