--- a/query_gateway/__main__.py
+++ b/query_gateway/__main__.py
@@ -1,18 +1,18 @@
-"""`python -m query_gateway`: without words a gateway, as the deploy file starts it, else the command line."""
+"""`python -m query_gateway`: a gateway, as the deploy file starts it; with arguments the command line."""
 
 import signal
 import sys
 
 if __name__ == "__main__":
-    # Guards the start against a SIGHUP, which would end the process: it comes before the imports, which take
-    # long. Nothing is read yet, so nothing that a reload would change is missed.
+    # A SIGHUP that comes while the imports run would end the process, as nothing handles it yet. Ignored, it
+    # loses nothing: no file has been read that it could ask to be read again.
     signal.signal(signal.SIGHUP, signal.SIG_IGN)
 
 from query_gateway.lifecycle.process import serve
 
 
 def main() -> None:
-    """Run what the command line says; the plain start loads nothing of the command line's parser."""
+    """Run the command line, or without arguments a gateway, which loads no parser of command lines."""
     if len(sys.argv) > 1:
         from query_gateway.cli import main as command_line
 
--- a/query_gateway/cli.py
+++ b/query_gateway/cli.py
@@ -14,6 +14,7 @@
 
 import click
 
+from query_gateway.configuration.errors import ConfigurationError
 from query_gateway.configuration.operator_file import (
     StatementSettings,
     find_operator_faults,
@@ -22,7 +23,6 @@
 )
 from query_gateway.configuration.platform import (
     Configuration,
-    ConfigurationError,
     load_configuration_file,
     parse_configuration,
 )
@@ -39,7 +39,7 @@
 
 
 class StatementLineError(Exception):
-    """A line of input that is no statement to classify."""
+    """A line of the input to `classify` that holds no statement."""
 
     def __init__(self) -> None:
         """The message is what `classify` prints as the reason."""
@@ -48,7 +48,7 @@
 
 @dataclass(slots=True, frozen=True)
 class StatementLine:
-    """One line of input to `classify`: a statement, and what a client may say beside it."""
+    """One line of the input to `classify`: a statement, and what a client may send with it."""
 
     sql: str
     class_name: str | None
@@ -76,7 +76,7 @@
     """Start a gateway."""
     from query_gateway.lifecycle.process import serve
 
-    # The environment, not an argument: a reload reads it again, and so do worker processes
+    # In the environment, not in an argument: a reload reads it again, and worker processes inherit it
     if config:
         os.environ[CONFIGURATION_VARIABLE] = config
     if operator:
@@ -120,7 +120,7 @@
 
 
 def _check_operator_file(file: str, config: Configuration | None) -> list[str]:
-    """The faults of an operator's file, and what of it does not go with the configuration."""
+    """The faults of an operator's file, and its contradictions with the configuration."""
     try:
         return [f"{file}: {fault}" for fault in find_operator_faults(load_operator_file(file), config)]
     except ConfigurationError as error:
@@ -167,7 +167,7 @@
 
 
 def _start_statements(settings: StatementSettings) -> "StatementService":
-    """A reader of statements on a loop of its own, with what a gateway has learned of costs."""
+    """A statement service on a loop of its own, with the costs that a gateway has learned."""
     from query_gateway.net.loop import Loop
     from query_gateway.parsing.service import StatementService
 
@@ -176,7 +176,7 @@
     service = StatementService(Loop(), rules, idempotent, settings.parser_count, settings.max_shapes)
     if settings.snapshot_path and Path(settings.snapshot_path).exists():
         service.restore(settings.snapshot_path)
-        service.snapshot_store = None  # read, never written from here
+        service.snapshot_store = None  # the snapshot belongs to the gateway: it is read here, never written
     return service
 
 
@@ -194,7 +194,7 @@
 
 
 def _classify_line(service: "StatementService", text: str) -> dict[str, Any]:
-    """What becomes of one line of input, as it is printed."""
+    """The classification of one line of input, as it is printed."""
     from query_gateway.statements.classifier import classification_line, rejected_decision
     from query_gateway.statements.lexer import UnsupportedStatementError
 
@@ -214,12 +214,12 @@
         for classification in _classifications(service, line)
         if classification.decision is not None
     )
-    known = classifier.shapes.peek(shape.fingerprint)
-    return classification_line(decision, shape, known, classifier.costs, was_cached)
+    cached_shape = classifier.shapes.peek(shape.fingerprint)
+    return classification_line(decision, shape, cached_shape, classifier.costs, was_cached)
 
 
 def _classifications(service: "StatementService", line: StatementLine) -> Iterator["Classification"]:
-    """Ask until an answer is more than "come back": a parser process may just have died."""
+    """Classify until there is a decision: none comes while a parser process that died is replaced."""
     loop = service.loop
     deadline = loop.now() + PARSER_TIMEOUT
     while loop.now() < deadline:
--- a/query_gateway/composition.py
+++ b/query_gateway/composition.py
@@ -1,4 +1,4 @@
-"""Builds those parts of a gateway that take much of the configuration; `gateway.py` joins them."""
+"""Builds the parts of a gateway that depend on much of the configuration; `gateway.py` joins them."""
 
 import os
 import socket
@@ -39,17 +39,17 @@
 
 @dataclass(slots=True, frozen=True)
 class GatewayOptions:
-    """What depends on how the process was started, rather than on its configuration."""
+    """What follows from how the process was started, rather than from its configuration."""
 
     number: int = 0  # of this forwarder, where there are several
-    upgrade_path: str | None = None  # where predecessor and successor meet; None: no upgrade is possible
-    inherited: InheritedState | None = None  # from a predecessor that still runs
+    upgrade_path: str | None = None  # of the hot upgrade's socket; None: no upgrade is possible
+    inherited: InheritedState | None = None  # from a predecessor that still serves
     sources: ConfigurationSources = field(default_factory=ConfigurationSources)
 
 
 @dataclass(slots=True, frozen=True)
 class Core:
-    """What nearly every part stands on."""
+    """What nearly every part uses."""
 
     loop: Loop
     readiness: Readiness
@@ -69,9 +69,9 @@
 
     @staticmethod
     def of(core: Core, takes_signals: bool, statements: "StatementService | None") -> "FrontOptions":
-        """Derive them from the configuration; `takes_signals`: whether the gateway is a whole process."""
+        """Derive them from the configuration; `takes_signals`: whether the gateway is a complete process."""
         active, options = core.active, core.options
-        # Where a successor cannot be given our listeners, it must be able to listen beside them
+        # A successor that cannot inherit our listeners must be able to listen at the same address
         is_alone = takes_signals and options.upgrade_path is None and not active.operator.planner_addresses
         return FrontOptions(
             max_connections_per_front(active.config, active.operator),
@@ -82,7 +82,7 @@
 
 
 def clock_alarm(loop: Loop) -> Callable[[int, Callable[[], None]], Timer]:
-    """Calls at a time of the steady clock, in nanoseconds, by the loop's own time."""
+    """A function that calls at a time of the steady clock, in nanoseconds."""
 
     def call_at(clock_time: int, callback: Callable[[], None]) -> Timer:
         """Call once, at `clock_time` of the steady clock; the timer can be cancelled."""
@@ -94,7 +94,8 @@
 def build_forwarder(loop: Loop, active: ActiveConfiguration) -> Forwarder:
     """The table of exchanges, with a line of figures for each class."""
     config = active.config
-    # Request ids go on from the clock, so that no planner meets one twice after our restart
+    # A planner process outlives its forwarders. If the ids began anew with each forwarder, it would take a
+    # new request for an old one of the same id; the steady clock only goes forward.
     first_request_id = steady_now_ns()
     forwarder = Forwarder(
         config.settings, steady_now_ns, clock_alarm(loop), max_exchanges(config), first_request_id
@@ -121,7 +122,7 @@
     """One planner in this process, or a connection to each planner process."""
     config, operator = core.active.config, core.active.operator
     links = PlannerLinks(core.loop, core.forwarder, core.readiness)
-    # Several forwarders share their planners, so none of them may set a planner's settings
+    # Several forwarders share their planners: a planner reads its settings itself, and none of them sends any
     is_only_forwarder = operator.forwarder_count == 1
     for planner_index, address in enumerate(operator.planner_addresses):
         settings = planner_settings(config, operator, planner_index)
@@ -133,7 +134,7 @@
 
 
 def build_statements(core: Core) -> "StatementService | None":
-    """What reads bare SQL; not even imported where it is off."""
+    """The statement service; not even imported where it is off."""
     operator, inherited = core.active.operator, core.options.inherited
     settings = operator.statements
     if settings is None:
@@ -153,7 +154,7 @@
 
 
 def build_http_server(core: Core, options: FrontOptions) -> HttpServer:
-    """The platform's front; it reads statements only where the operator's file says so."""
+    """The HTTP front; it classifies statements only where the operator's file says so."""
     config, settings = core.active.config, core.active.operator.statements
     server_options = HttpServerOptions(
         address=config.listen_address,
@@ -180,7 +181,7 @@
 
 
 def build_flight_server(core: Core, options: FrontOptions) -> "FlightServer | None":
-    """The second front; not even imported where it is off."""
+    """The Flight SQL front; not even imported where it is off."""
     config, operator = core.active.config, core.active.operator
     if not operator.flight_address:
         return None
--- a/query_gateway/configuration/__init__.py
+++ b/query_gateway/configuration/__init__.py
@@ -1,7 +1,14 @@
 """The platform's JSON, the settings in it, and the operator's file: read, checked and decoded.
 
-Decides what is a fault and what its one line says; names the words of both files where it decodes them.
-Owns nothing that lasts: it hands out frozen values. Imported by the composition root, `lifecycle`, the
+Decides what is a fault and what its one line says. Owns no state: it returns frozen values.
+
+    errors                one base, and an error for each way in which a file can be wrong platform
+    the platform's JSON: its keys, except for those of the settings settings_parser       the keys and words
+    of the settings, and the field that each of them fills settings_flattening   the settings as path=value
+    words, as the simulator sends them operator_file         the operator's TOML schema                the
+    form of both files, with every fault; the keys that differ from our names are aliases
+
+A word of either file stands in these modules alone. Imported by the composition root, `lifecycle`, the
 command line and the simulator's adapter. `schema` loads pydantic, so it is imported only where an operator's
 file is named or a file is checked.
 """
--- a/query_gateway/configuration/operator_file.py
+++ b/query_gateway/configuration/operator_file.py
@@ -1,6 +1,6 @@
-"""The operator's file: what it turns on beside the platform's own, and its faults.
+"""The operator's file: the optional parts of the gateway that it turns on, and its faults.
 
-The file is TOML; its form is checked by `schema`, which is loaded only where such a file is named.
+The file is TOML; `schema` checks its form, and is loaded only where such a file is named.
 """
 
 import tomllib
@@ -11,7 +11,8 @@
 from typing import TYPE_CHECKING, Any
 
 from query_gateway.bgp.settings import BgpSettings
-from query_gateway.configuration.platform import Configuration, ConfigurationError, idempotent_classes
+from query_gateway.configuration.errors import ConfigurationError, ConfigurationFileError
+from query_gateway.configuration.platform import Configuration, idempotent_classes
 from query_gateway.net.log import log
 from query_gateway.net.stream import address_of
 
@@ -28,21 +29,21 @@
     """How statements are classified: the rules, and what their parsing takes."""
 
     rules: "Rules"
-    covers_http: bool = False  # the platform's front, too, rejects writes under an idempotent class
+    covers_http: bool = False  # the HTTP front, too, rejects writes under an idempotent class
     max_shapes: int = 10_000
     parser_count: int = 2
-    snapshot_path: str = ""  # empty: learned costs are not kept
+    snapshot_path: str = ""  # of the file with the learned costs; empty: they are lost with the process
 
 
 @dataclass(slots=True, frozen=True)
 class OperatorSettings:
-    """What an operator's file turns on; the defaults are the platform's, with all of it off."""
+    """The parts that an operator's file turns on; by default all of them are off."""
 
     flight_address: tuple[str, int] | None = None
     query_class: str = "lookup"
     update_class: str = "load"
     bgp: BgpSettings | None = None
-    planner_addresses: tuple[tuple[str, int], ...] = ()  # of planners that are processes of their own
+    planner_addresses: tuple[tuple[str, int], ...] = ()  # of planner processes; empty: one in the gateway
     forwarder_count: int = 1
     statements: StatementSettings | None = None
 
@@ -96,7 +97,7 @@
 
 
 def find_operator_faults(raw: Any, configuration: Configuration | None) -> list[str]:
-    """Every fault of an operator's file: those of its form, or else what contradicts the configuration."""
+    """Every fault of an operator's file: those of its form, or else contradictions with the configuration."""
     from query_gateway.configuration import schema
 
     faults = schema.find_operator_faults(raw)
@@ -123,7 +124,7 @@
 
 
 def _statement_class_faults(table: "schema.Statements", configuration: Configuration) -> Iterator[str]:
-    """Reads need classes whose requests may run twice, and writes one whose requests may not."""
+    """Statements that read need idempotent classes, and those that write one that is not idempotent."""
     for key, name in (("lookup", table.lookup), ("report", table.report), ("load", table.load)):
         if not name:  # no class for writes: they are rejected
             continue
@@ -159,17 +160,17 @@
 
 
 def load_operator_file(path: str) -> Any:
-    """Return the TOML of a file, not yet checked; raises ConfigurationError if it cannot be read."""
+    """The TOML of a file, not yet checked; raises ConfigurationFileError if it cannot be read."""
     try:
         return tomllib.loads(Path(path).read_text())
     except OSError as error:
-        raise ConfigurationError(f"{path}: {error.strerror}") from None
+        raise ConfigurationFileError(f"{path}: {error.strerror}") from None
     except ValueError as error:
-        raise ConfigurationError(f"{path} is not TOML ({error})") from None
+        raise ConfigurationFileError(f"{path} is not TOML ({error})") from None
 
 
 def _operator_file_path(environ: Mapping[str, str]) -> str | None:
-    """The file that is named; under the deprecated name only where the present one names none."""
+    """The path that the environment names; the deprecated variable is used only without the other."""
     if path := environ.get(OPERATOR_FILE_VARIABLE):
         return path
     path = environ.get(DEPRECATED_OPERATOR_FILE_VARIABLE)
--- a/query_gateway/configuration/platform.py
+++ b/query_gateway/configuration/platform.py
@@ -1,6 +1,7 @@
 """The platform's configuration: its JSON file, checked and decoded into one frozen value.
 
-The keys of that file stand here, those of its settings in `settings_parser`.
+The keys of that file stand here, and those of its settings in `settings_parser`. A file with a fault is
+rejected as a whole, with one line that names the value.
 """
 
 import json
@@ -10,8 +11,14 @@
 from pathlib import Path
 from typing import Any
 
+from query_gateway.configuration.errors import (
+    ConfigurationFileError,
+    ContradictionError,
+    InvalidValueError,
+    MissingValueError,
+)
 from query_gateway.configuration.settings_flattening import collect_key_paths, flatten_settings
-from query_gateway.configuration.settings_parser import SettingsError, parse_settings
+from query_gateway.configuration.settings_parser import DEDUPLICATED, parse_settings
 from query_gateway.discovery.endpoint_list import (
     EndpointListAnswer,
     EndpointListError,
@@ -30,19 +37,14 @@
 DEFAULT_DIAL_TIMEOUT_NS = 250_000_000
 DEFAULT_CONNECTION_IDLE_TIMEOUT_NS = 15_000_000_000
 DEFAULT_MAX_OPEN_REQUESTS = 30_000
-DEDUPLICATED = "deduplicated"
 CLASS_KEY_PATH = "settings.services[]"
 OPTIONAL_CLASS_KEYS = frozenset(("aim-stretch", "in-turn", "bound-to", "stays-in"))  # a reload may drop them
 PER_CLASS_LISTS = ("parallelism", "loads", "waits-for-loads")  # of `family-info`: a value for each class
 
 
-class ConfigurationError(Exception):
-    """What is wrong with the configuration or the operator's file, in one line."""
-
-
 @dataclass(slots=True, frozen=True)
 class Configuration:
-    """What the platform's file states. Timeouts are in seconds."""
+    """The platform's file, decoded. Timeouts are in seconds."""
 
     name: str
     listen_address: tuple[str, int]
@@ -58,17 +60,19 @@
     dial_timeout: float
     connection_idle_timeout: float
     max_open_requests: int
-    setting_paths: frozenset[str]  # all keys that the file states; a new file must state as many
+    setting_paths: frozenset[str]  # of all keys in the file; see `check_no_key_dropped`
 
 
 def check_no_key_dropped(current: Configuration, new: Configuration) -> None:
     """Raise ConfigurationError if `new` lacks a key that `current` has.
 
-    Guards a reload: no default may stand in for a key that is missing.
+    A file that was cut off or edited by mistake may still be valid, with defaults for the keys that it lacks.
+    A reload would silently replace settings in force by those defaults. So a key may not disappear, except
+    for the optional ones of a class.
     """
     missing = sorted(path for path in current.setting_paths - new.setting_paths if not _is_optional(path))
     if missing:
-        raise ConfigurationError(f"{missing[0]} is missing")
+        raise MissingValueError(missing[0])
 
 
 def _is_optional(path: str) -> bool:
@@ -78,18 +82,16 @@
 def _require_positive(value: Any, name: str, integral: bool = False) -> None:
     is_number = type(value) in (int, float)  # not bool, which is an int
     if not is_number or not 0 < value < math.inf or (integral and value != int(value)):
-        raise ConfigurationError(f"{name} is not a positive number")
+        raise InvalidValueError(f"{name} is not a positive number")
 
 
 def _check_settings(settings: Any) -> None:
-    """Reject what a lenient reader would let pass: true, 0 or a string where a figure must stand."""
+    """Reject values that decoding alone would accept: true, 0 or a string in place of a positive number."""
     services = settings["services"]
     names = [service["name"] for service in services]
     are_strings = all(type(name) is str for name in names)
     if len(set(names)) < len(names) or len(names) > MAX_CLASSES or not are_strings:
-        raise ConfigurationError(
-            f"the classes need names that differ, and there may be {MAX_CLASSES} at most"
-        )
+        raise InvalidValueError(f"the classes need names that differ, and there may be {MAX_CLASSES} at most")
     for service in services:
         for key in ("aim", "give-up"):
             _require_positive(service[key], f"{key} of class {service['name']}")
@@ -97,7 +99,7 @@
     for key in PER_CLASS_LISTS:
         values = settings.get("family-info", {}).get(key)
         if values is not None and len(values) != len(names):
-            raise ConfigurationError(f"{key} has no value for each class")
+            raise InvalidValueError(f"{key} has no value for each class")
 
 
 def _parse_classes(services: Any) -> RequestClasses:
@@ -110,7 +112,7 @@
 
 
 def _parse(raw: Any, environ: Mapping[str, str]) -> Configuration:
-    """Decode the file; whatever a wrong type raises is the caller's to name."""
+    """Decode the file. Raises ConfigurationError, or the error that a value of a wrong type leads to."""
     settings_raw, limits = raw["settings"], raw.get("limits", {})
     admin_address = environ.get("ROUTER_OPS") or raw.get("ops")
     _check_settings(settings_raw)
@@ -151,27 +153,25 @@
         or configuration.max_open_requests < 1
         or configuration.dial_timeout <= 0
     ):
-        raise ConfigurationError("limits leave no room to work in")
-    has_port = bool(configuration.listen_address[1])  # port 0 is another one each time
-    if configuration.admin_address == configuration.listen_address and has_port:
-        raise ConfigurationError("ops is the clients' address")
+        raise InvalidValueError("limits leave no room to work in")
+    has_fixed_port = bool(configuration.listen_address[1])  # the machine chooses a free port for 0
+    if configuration.admin_address == configuration.listen_address and has_fixed_port:
+        raise ContradictionError("ops is the clients' address")
 
 
 def parse_configuration(raw: Any, environ: Mapping[str, str]) -> Configuration:
-    """Check and decode the JSON of a configuration file, with what the environment says in its place.
+    """Check and decode the JSON of a configuration file, with the overrides that the environment names.
 
     Raises ConfigurationError at the first fault.
     """
     try:
         configuration = _parse(raw, environ)
-    except SettingsError as error:
-        raise ConfigurationError(str(error)) from None
     except EndpointListError as error:
-        raise ConfigurationError(f"known: {error}") from None
+        raise InvalidValueError(f"known: {error}") from None
     except KeyError as error:
-        raise ConfigurationError(f"{error.args[0]} is missing") from None
+        raise MissingValueError(error.args[0]) from None
     except (TypeError, ValueError, AttributeError, OverflowError) as error:
-        raise ConfigurationError(f"a value is invalid ({error})") from None
+        raise InvalidValueError(f"a value is invalid ({error})") from None
     _check_limits(configuration)
     return configuration
 
@@ -181,20 +181,20 @@
 
 
 def load_configuration_file(path: str) -> Any:
-    """Return the JSON of a file, not yet checked; raises ConfigurationError if it cannot be read."""
+    """The JSON of a file, not yet checked; raises ConfigurationFileError if it cannot be read."""
     try:
         return json.loads(Path(path).read_text(), parse_constant=_reject_constant)
     except OSError as error:
-        raise ConfigurationError(f"{path}: {error.strerror}") from None
+        raise ConfigurationFileError(f"{path}: {error.strerror}") from None
     except (ValueError, RecursionError) as error:
-        raise ConfigurationError(f"{path} is not JSON ({error})") from None
+        raise ConfigurationFileError(f"{path} is not JSON ({error})") from None
 
 
 def read_configuration(environ: Mapping[str, str]) -> Configuration:
     """Read the file that ROUTER_CONFIG names; raises ConfigurationError."""
     path = environ.get("ROUTER_CONFIG")
     if not path:
-        raise ConfigurationError("ROUTER_CONFIG names no file")
+        raise ConfigurationFileError("ROUTER_CONFIG names no file")
     return parse_configuration(load_configuration_file(path), environ)
 
 
--- a/query_gateway/configuration/schema.py
+++ b/query_gateway/configuration/schema.py
@@ -1,8 +1,7 @@
-"""The form of both files, checked whole: every fault with its location, not only the first.
+"""The form of both files: every fault with its location, not only the first.
 
 Loaded only where an operator's file is named or a file is checked, as it needs pydantic. The modules
-`platform` and `operator_file` turn what is checked here into their own values. Keys that differ from our
-names stand here as aliases.
+`platform` and `operator_file` decode the files after this check. Keys that differ from our names are aliases.
 """
 
 from collections.abc import Iterator
@@ -37,7 +36,7 @@
 
 
 class Table(BaseModel):
-    """A table of the operator's file: a key that is not known is a fault."""
+    """A table of the operator's file: an unknown key is a fault."""
 
     model_config = ConfigDict(extra="forbid", strict=True, frozen=True)
 
--- a/query_gateway/configuration/settings_flattening.py
+++ b/query_gateway/configuration/settings_flattening.py
@@ -1,13 +1,13 @@
-"""Nested JSON as flat paths: the words of the settings, and the keys that a file states."""
+"""Nested JSON as flat paths: the path=value words of the settings, and the keys that a file has."""
 
 from typing import Any
 
-# The endpoint list in the configuration: it changes with each event, so its keys are no settings
+# The endpoint list in the configuration: its keys change with each event, so they are not counted as settings
 ENDPOINT_LIST_KEY = "known"
 
 
 def flatten_settings(value: Any, path: str = "") -> list[str]:
-    """Nested JSON as the path=value words of the simulator's first message."""
+    """Nested JSON as path=value words, in the form of the simulator's first message."""
     if isinstance(value, dict):
         return [
             word
@@ -33,7 +33,7 @@
 
 
 def collect_key_paths(value: Any, path: str = "") -> frozenset[str]:
-    """The paths of all keys; of a list of objects, those that stand in each of them."""
+    """The paths of all keys; of a list of objects, those that each of the objects has."""
     if isinstance(value, dict):
         by_path = {f"{path}.{key}" if path else str(key): inner for key, inner in value.items()}
         nested = (
--- a/query_gateway/configuration/settings_parser.py
+++ b/query_gateway/configuration/settings_parser.py
@@ -1,11 +1,12 @@
 """The settings of a site, from path=value words; the gateway's JSON is flattened to them.
 
-The words of the settings stand here. Durations on the wire are nanoseconds.
+The keys and words of the settings stand here, each beside the field that it fills. Durations are nanoseconds.
 """
 
 from collections.abc import Callable
 from typing import TypeVar
 
+from query_gateway.configuration.errors import SettingsError
 from query_gateway.model.settings import (
     ClassSettings,
     DeduplicationScope,
@@ -16,9 +17,10 @@
 
 T = TypeVar("T")
 
+DEDUPLICATED = "deduplicated"  # of a class: its requests carry a key, and engines drop a repeat
 IDEMPOTENCY_WORDS = {
     "idempotent": Idempotency.IDEMPOTENT,
-    "deduplicated": Idempotency.KEYED,
+    DEDUPLICATED: Idempotency.KEYED,
     "at_most_once": Idempotency.NON_IDEMPOTENT,
 }
 BOOLEAN_WORDS = {"true": True, "false": False, "1": True, "0": False}
@@ -26,15 +28,11 @@
 POLLED_ENDPOINT_LIST = "ask"  # as against "push"
 
 
-class SettingsError(Exception):
-    """A setting that is missing or does not follow the wire; names it and its value."""
-
-
 class SettingsReader:
-    """The path=value words of the settings; a path that is not read is ignored."""
+    """The path=value words of the settings by path; a path that nothing reads is ignored."""
 
     def __init__(self, words: list[str]) -> None:
-        """Take the words apart; the last of a path counts. Raises SettingsError."""
+        """Split the words; of several with one path the last is used. Raises SettingsError."""
         self.values: dict[str, str] = {}
         for word in words:
             path, separator, value = word.partition("=")
@@ -43,17 +41,17 @@
             self.values[path] = value
 
     def optional(self, path: str, parse: Callable[[str], T]) -> T | None:
-        """Return the value, or None if it is absent; raises SettingsError at one that cannot be parsed."""
+        """The value, or None if it is absent; raises SettingsError if it cannot be parsed."""
         value = self.values.get(path)
         return None if value is None or value == ABSENT else self._parse(path, parse)
 
     def get(self, path: str, parse: Callable[[str], T], default: T) -> T:
-        """Return the value, or `default` if it is absent; raises SettingsError as `optional`."""
+        """The value, or `default` if it is absent; raises SettingsError if it cannot be parsed."""
         value = self.optional(path, parse)
         return default if value is None else value
 
     def require(self, path: str, parse: Callable[[str], T]) -> T:
-        """Return the value; raises SettingsError if it is absent or cannot be parsed."""
+        """The value; raises SettingsError if it is absent or cannot be parsed."""
         if path not in self.values:
             raise SettingsError(f"setting {path} is missing")
         return self._parse(path, parse)
--- a/query_gateway/gateway.py
+++ b/query_gateway/gateway.py
@@ -1,4 +1,4 @@
-"""The composition root: builds the parts of one gateway and joins them. Each does its work in its module."""
+"""The composition root: builds the parts of one gateway and joins them. Each part works in its own module."""
 
 import signal
 from typing import TYPE_CHECKING
@@ -50,7 +50,7 @@
     """A forwarder with a planner beside it, or one of several whose planners are other processes.
 
     Owns the loop and every part. They are built in the order in which they use each other: engines, planners
-    and the endpoint list; then what clients reach; then the lifecycle, which begins to take requests.
+    and the endpoint list; then the fronts; then the lifecycle, which begins to accept clients.
     """
 
     def __init__(
@@ -60,7 +60,7 @@
         signals: bool = True,
         options: GatewayOptions | None = None,
     ) -> None:
-        """Listen; requests are taken once `run` turns the loop. Raises OSError if an address is in use.
+        """Listen; clients are accepted once `run` runs the loop. Raises OSError if an address is in use.
 
         `signals`: whether SIGTERM, SIGINT and SIGHUP are handled, which only a main thread can.
         """
@@ -80,7 +80,7 @@
         if signals:
             self._handle_signals()
 
-    # ---- the parts, in the order of their making
+    # ---- the parts, in the order in which they are built
 
     def _join_engines_and_planners(self, core: Core) -> None:
         self.engine_pool = build_engine_pool(core)
@@ -88,7 +88,8 @@
         self.settings_publisher = PlannerSettingsPublisher(self.forwarder, self.active, share)
         self.planner_links = build_planner_links(core, share)
         self.planner_clients = self.planner_links.clients
-        # The list comes after the planners and before the fronts: no request is to find an empty list
+        # The planners are notified of the endpoint list before the fronts accept requests: a request that
+        # came first would find no engine and be rejected
         config = self.active.config
         start_times = StartTimes(steady_now_ns, wall_clock_offset_ns)
         self.endpoint_feed = EndpointFeed(self.forwarder, config.zones_and_kinds, start_times)
@@ -117,7 +118,8 @@
         config, operator = self.active.config, self.active.operator
         bgp = operator.bgp if self.options.number == FIRST_FORWARDER else None
         self.announcer = RouteAnnouncer(self.loop, bgp, self.readiness, self.hot_upgrade)
-        # Two sessions under one identifier would collide: a successor's begins when its predecessor has ended
+        # Two BGP sessions under one identifier collide, and the router drops both: a successor's begins when
+        # its predecessor has ended
         if not self.options.inherited:
             self.announcer.start()
         self.readiness.watchers.append(self.announcer.update)
@@ -154,15 +156,10 @@
             self.hot_upgrade.start(self.overlap, self.options.inherited)
 
     def _begin(self) -> None:
-        inherited = self.options.inherited
-        if inherited is None:
+        if inherited := self.options.inherited:
+            self.overlap.join_as_successor(inherited)
+        else:
             self.startup.begin()
-            return
-        self.overlap.begin_overlap()
-        # The planner learns the endpoint list first: what the predecessor learned goes by engine
-        self.planner_links.run_local()
-        self.overlap.restore_scheduler(inherited.scheduler_state)
-        self.startup.wait_as_successor(self.fronts.listeners)
 
     def _handle_signals(self) -> None:
         for number in (signal.SIGTERM, signal.SIGINT):
@@ -190,16 +187,19 @@
         self.shutdown.begin()
 
     def run(self) -> None:
-        """Serve until a shutdown is done, then give back what outlives the loop."""
+        """Serve until a shutdown is done, then release what would outlive the process."""
         host, port = self.http_server.listener.address
         log("start", f"{self.config.name} listens on {host}:{port}")
         self.loop.run()
+        self._close()
+        counters = self.forwarder.counters
+        totals = ", ".join(f"{counters.total(verdict)} {verdict.value}" for verdict in Verdict)
+        log("shutdown", f"all answered: {totals}")
+
+    def _close(self) -> None:
         if self.hot_upgrade:
             self.hot_upgrade.close()
         self.watch_client.stop()
         if self.statements:
             self.statements.stop()
         self.planner_links.stop()
-        counters = self.forwarder.counters
-        totals = ", ".join(f"{counters.total(verdict)} {verdict.value}" for verdict in Verdict)
-        log("shutdown", f"all answered: {totals}")
--- a/query_gateway/lifecycle/overlap.py
+++ b/query_gateway/lifecycle/overlap.py
@@ -19,6 +19,7 @@
 from query_gateway.lifecycle.active_configuration import ActiveConfiguration
 from query_gateway.lifecycle.client_fronts import ClientFronts
 from query_gateway.lifecycle.hot_upgrade import OfferWithListeners
+from query_gateway.lifecycle.inherited_state import InheritedState
 from query_gateway.lifecycle.planner_links import PlannerLinks
 from query_gateway.lifecycle.route_announcer import RouteAnnouncer
 from query_gateway.lifecycle.shutdown import Shutdown, ShutdownState
@@ -58,6 +59,16 @@
         """`max_connections`: how many clients each front may serve while there is no overlap."""
         self.parts, self.max_connections = parts, max_connections
 
+    # ---- the start of a successor
+
+    def join_as_successor(self, inherited: InheritedState) -> None:
+        """Begin the overlap with the predecessor that still serves; this process accepts no clients yet."""
+        self.begin_overlap()
+        # The planner must know the endpoint list before it is given what the predecessor learned of engines
+        self.parts.planners.run_local()
+        self.restore_scheduler(inherited.scheduler_state)
+        self.parts.startup.wait_as_successor(self.parts.fronts.listeners)
+
     # ---- what is transferred
 
     def offer(self) -> OfferWithListeners:
--- a/query_gateway/lifecycle/process.py
+++ b/query_gateway/lifecycle/process.py
@@ -14,8 +14,9 @@
 from typing import NoReturn
 
 from query_gateway.composition import GatewayOptions
+from query_gateway.configuration.errors import ConfigurationError, ContradictionError
 from query_gateway.configuration.operator_file import OperatorSettings, read_operator_settings
-from query_gateway.configuration.platform import Configuration, ConfigurationError, read_configuration
+from query_gateway.configuration.platform import Configuration, read_configuration
 from query_gateway.gateway import Gateway
 from query_gateway.lifecycle.inherited_state import request_inherited_state
 from query_gateway.lifecycle.planner_settings import planner_settings
@@ -69,7 +70,7 @@
 
     path = upgrade_socket_path(os.environ, config.listen_address)
     if path and is_served(path):
-        raise ConfigurationError(
+        raise ContradictionError(
             "a gateway serves here, and several processes cannot follow it; stop it first"
         )
     reserved = _reserve_path(path) if path else None
--- a/query_gateway/lifecycle/reload.py
+++ b/query_gateway/lifecycle/reload.py
@@ -13,10 +13,10 @@
 from dataclasses import dataclass, replace
 from typing import TYPE_CHECKING
 
+from query_gateway.configuration.errors import ConfigurationError, ContradictionError
 from query_gateway.configuration.operator_file import OperatorSettings, read_operator_settings
 from query_gateway.configuration.platform import (
     Configuration,
-    ConfigurationError,
     check_no_key_dropped,
     idempotent_classes,
     read_configuration,
@@ -99,19 +99,19 @@
     # ---- the check
 
     def _check_usable(self, config: Configuration, rules: "Rules | None") -> None:
-        """Raise ConfigurationError if this process cannot work under the configuration."""
+        """Raise ContradictionError if this process cannot work under the configuration."""
         active = self.parts.active
         if active.operator.forwarder_count > 1 and config.settings != active.config.settings:
-            raise ConfigurationError(
+            raise ContradictionError(
                 "new settings need one forwarder: several would number the classes apart"
             )
         for name in self._classes_named_by_operator(rules):
             if name not in config.classes:
-                raise ConfigurationError(f"the operator's file names class {name!r}, which the settings lack")
+                raise ContradictionError(f"the operator's file names class {name!r}, which the settings lack")
         if rules:
             _check_idempotency(config, rules)
         if len({*self.parts.forwarder.counters.answers, *config.classes}) > MAX_COUNTED_CLASSES:
-            raise ConfigurationError(
+            raise ContradictionError(
                 f"the figures have lines for {MAX_COUNTED_CLASSES} classes; more need a restart"
             )
 
@@ -154,15 +154,15 @@
 
 
 def _check_idempotency(config: Configuration, rules: "Rules") -> None:
-    """Raise ConfigurationError if a statement's class does not fit what the statement does."""
+    """Raise ContradictionError if a statement's class does not fit what the statement does."""
     idempotent = idempotent_classes(config)
     for name in (rules.lookup, rules.report):
         if name not in idempotent:
-            raise ConfigurationError(
+            raise ContradictionError(
                 f"statements are read as {name!r}, whose requests could not run twice then"
             )
     if rules.load in idempotent:
-        raise ConfigurationError(f"writes run as {rules.load!r}, whose requests could run twice then")
+        raise ContradictionError(f"writes run as {rules.load!r}, whose requests could run twice then")
 
 
 def _needs_restart(old: Configuration, new: Configuration) -> bool:
--- a/query_gateway/simulator_adapter.py
+++ b/query_gateway/simulator_adapter.py
@@ -8,7 +8,8 @@
 from collections.abc import Callable
 from typing import TextIO
 
-from query_gateway.configuration.settings_parser import SettingsError, parse_settings
+from query_gateway.configuration.errors import SettingsError
+from query_gateway.configuration.settings_parser import parse_settings
 from query_gateway.model.actions import (
     Action,
     Cancel,
--- a/tests/test_bad_input.py
+++ b/tests/test_bad_input.py
@@ -12,8 +12,9 @@
 
 import pytest
 
+from query_gateway.configuration.errors import ConfigurationError
 from query_gateway.configuration.operator_file import OperatorSettings
-from query_gateway.configuration.platform import Configuration, ConfigurationError, parse_configuration
+from query_gateway.configuration.platform import Configuration, parse_configuration
 from query_gateway.gateway import Gateway
 from query_gateway.model.events import Request
 from tests.stand_ins import SETTINGS
--- a/tests/test_flight_statements.py
+++ b/tests/test_flight_statements.py
@@ -13,12 +13,12 @@
 import pyarrow.flight as fl
 import pytest
 
+from query_gateway.configuration.errors import ConfigurationError
 from query_gateway.configuration.operator_file import (
     OperatorSettings,
     StatementSettings,
     parse_operator_settings,
 )
-from query_gateway.configuration.platform import ConfigurationError
 from query_gateway.flight.requests import FlightClass, FlightStatement, decode_request
 from query_gateway.forwarder.messages import Verdict
 from query_gateway.gateway import Gateway
--- a/tests/test_ops.py
+++ b/tests/test_ops.py
@@ -8,8 +8,9 @@
 import pytest
 
 from query_gateway.admin.server import MAX_CONNECTIONS, AdminServer
+from query_gateway.configuration.errors import ConfigurationError
 from query_gateway.configuration.operator_file import OperatorSettings, parse_operator_settings
-from query_gateway.configuration.platform import ConfigurationError, parse_configuration
+from query_gateway.configuration.platform import parse_configuration
 from query_gateway.forwarder.readiness import Phase, Readiness
 from query_gateway.gateway import Gateway
 from query_gateway.net.loop import Loop
--- a/tests/test_reload.py
+++ b/tests/test_reload.py
@@ -12,10 +12,10 @@
 from hypothesis import strategies as st
 
 from query_gateway.composition import GatewayOptions
+from query_gateway.configuration.errors import ConfigurationError
 from query_gateway.configuration.operator_file import OperatorSettings
 from query_gateway.configuration.platform import (
     Configuration,
-    ConfigurationError,
     check_no_key_dropped,
     parse_configuration,
     read_configuration,
--- a/tests/test_web.py
+++ b/tests/test_web.py
@@ -20,8 +20,9 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
+from query_gateway.configuration.errors import ConfigurationError
 from query_gateway.configuration.operator_file import OperatorSettings, parse_operator_settings
-from query_gateway.configuration.platform import ConfigurationError, parse_configuration
+from query_gateway.configuration.platform import parse_configuration
 from query_gateway.engine_protocol import frames
 from query_gateway.forwarder.messages import Verdict
 from query_gateway.forwarder.table_group import table_group
