--- a/tests/test_hot_upgrade.py
+++ b/tests/test_hot_upgrade.py
@@ -44,8 +44,8 @@
 from tests.test_web import SQL, steady
 
 
-class Journal:
-    """Answers at once what is not to be held, and anything else never."""
+class DiscoveryService:
+    """Answers the polls that it may not hold, and never any other; once `silent` it answers none."""
 
     def __init__(self) -> None:
         self.silent = False
@@ -59,7 +59,7 @@
 
     def _serve(self, sock: socket.socket) -> None:
         body = b'{"pos":1,"entries":[]}'
-        while (call := sock.recv(4096)) and b"max_wait=1 " in call and not self.silent:
+        while (poll := sock.recv(4096)) and b"max_wait=1 " in poll and not self.silent:
             sock.sendall(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%b" % (len(body), body))
         sock.recv(1)
 
@@ -68,11 +68,11 @@
     """A gateway's files and addresses; `start` runs one more process of it."""
 
     def __init__(self, folder: Path) -> None:
-        self.engine, self.journal = Engine(), Journal()
+        self.engine, self.discovery = Engine(), DiscoveryService()
         known = {"pos": 1, "entries": [
             {"pos": 1, "hosts": {"seq": 1, "whole": True, "hosts": [host(self.engine)]}}]}  # fmt: skip
         self.listen = "127.0.0.1", free_port()
-        raw = {"listen": f"127.0.0.1:{self.listen[1]}", "journal": self.journal.address, "known": known,
+        raw = {"listen": f"127.0.0.1:{self.listen[1]}", "journal": self.discovery.address, "known": known,
                "settings": SETTINGS}  # fmt: skip
         (folder / "config.json").write_text(json.dumps(raw))
         self.environ = os.environ | {"ROUTER_CONFIG": str(folder / "config.json"), "TMPDIR": str(folder)}
@@ -119,8 +119,9 @@
         made.engine.close()
 
 
-def call(connection: http.client.HTTPConnection, name: str) -> int:
-    headers = {"X-Txn": name * 16, "X-Ttl-Ms": "5000"}
+def send_lookup(connection: http.client.HTTPConnection, digit: str) -> int:
+    """Send a request on a connection that must stay open after it; the status."""
+    headers = {"X-Txn": digit * 16, "X-Ttl-Ms": "5000"}
     connection.request("POST", "/svc/lookup", SQL, headers)
     answer = connection.getresponse()
     answer.read()
@@ -128,58 +129,76 @@
     return answer.status
 
 
-def total(gateway: Any) -> int:
+def served_lookups(gateway: Any) -> int:
     return figures(gateway)['svc_succeeded_total{service="lookup"}']
 
 
 def test_an_upgrade_closes_no_connection_and_loses_no_request(tmp_path: Path) -> None:
+    """A gateway is upgraded twice while clients hold connections and a request is open.
+
+    A client would see a closed connection, or a request without an answer, if the two processes did not share
+    the accept queue, or if idle connections were closed at SIGTERM. The successor inherits the listening
+    sockets, idle connections are transferred to it, and the predecessor answers its open request itself.
+    """
     slow = "SELECT slow FROM lending_7.loans"
-    with site(tmp_path) as running_site, ThreadPoolExecutor() as beside:
+    with site(tmp_path) as running_site, ThreadPoolExecutor() as executor:
         running_site.engine.script[slow] = ["mute"] * 3
         predecessor = running_site.start()
-        kept = http.client.HTTPConnection(*running_site.listen, timeout=10)
+        used = http.client.HTTPConnection(*running_site.listen, timeout=10)
         silent = socket.create_connection(running_site.listen)
-        assert call(kept, "1") == 200
-        waiting = beside.submit(running_site.served, slow, ttl=1_500)
+        assert send_lookup(used, "1") == 200
+        waiting = executor.submit(running_site.served, slow, ttl=1_500)
         assert running_site.engine.wait("REQ", 2)
         successor = running_site.start()
-        assert total(successor) == 0
+        assert served_lookups(successor) == 0
         predecessor.process.send_signal(signal.SIGTERM)
         assert running_site.served() == 200  # one queue: whoever accepts it
-        assert call(kept, "2") == 200 and call(kept, "3") == 200
+        assert send_lookup(used, "2") == 200 and send_lookup(used, "3") == 200
         assert waiting.result() in (429, 500)  # its predecessor answers it
         assert predecessor.process.wait(10) == 0
-        before = total(successor)
-        assert before >= 1 and call(kept, "4") == 200 and total(successor) == before + 1
+        before = served_lookups(successor)
+        assert before >= 1 and send_lookup(used, "4") == 200 and served_lookups(successor) == before + 1
         silent.settimeout(10)
         silent.sendall(b"GET /status/live HTTP/1.1\r\nHost: x\r\n\r\n")
         assert silent.recv(4096).startswith(b"HTTP/1.1 200")
-        kept.close()
+        used.close()
         silent.close()
         third = running_site.start()  # it finds the second, not the first
         successor.process.send_signal(signal.SIGTERM)
-        assert successor.process.wait(10) == 0 and running_site.served() == 200 and total(third) == 1
+        assert successor.process.wait(10) == 0 and running_site.served() == 200 and served_lookups(third) == 1
 
 
 def test_a_successor_that_dies_leaves_its_predecessor_serving_and_found(tmp_path: Path) -> None:
+    """A successor is killed after it was ready.
+
+    Its socket has replaced the predecessor's in $TMPDIR, so a next successor would find nobody there. The
+    predecessor notices the end of the connection, serves alone and puts its own socket back.
+    """
     with site(tmp_path) as running_site:
         predecessor = running_site.start()
         first = running_site.start()
         first.process.kill()
         first.process.wait()
-        until(lambda: total(predecessor) or running_site.served() == 200)
+        until(lambda: served_lookups(predecessor) or running_site.served() == 200)
         assert [running_site.served() for _ in range(4)] == [200] * 4
         second = running_site.start()
         predecessor.process.send_signal(signal.SIGTERM)
-        assert predecessor.process.wait(10) == 0 and running_site.served() == 200 and total(second) == 1
+        assert (
+            predecessor.process.wait(10) == 0 and running_site.served() == 200 and served_lookups(second) == 1
+        )
 
 
 def test_a_predecessor_that_dies_leaves_all_to_its_successor_and_its_file_is_no_fault(tmp_path: Path) -> None:
+    """A predecessor is killed while its successor serves, then the successor as well.
+
+    The successor serves every client alone. A killed process leaves its socket file behind, and a process
+    that took the file for a running predecessor would not start. It starts, as nobody listens at that file.
+    """
     with site(tmp_path) as running_site:
         predecessor, successor = running_site.start(), running_site.start()
         predecessor.process.kill()
         predecessor.process.wait()
-        assert [running_site.served() for _ in range(4)] == [200] * 4 and total(successor) == 4
+        assert [running_site.served() for _ in range(4)] == [200] * 4 and served_lookups(successor) == 4
         successor.process.kill()
         successor.process.wait()
         assert any(name.startswith("mothknot-") for name in os.listdir(tmp_path))
@@ -189,23 +208,36 @@
 def test_a_predecessor_told_to_stop_before_its_successor_is_ready_transfers_once_it_is(
     tmp_path: Path,
 ) -> None:
-    """The journal is silent, so the successor is ready late; what comes meanwhile waits in the one queue."""
-    with site(tmp_path) as running_site, ThreadPoolExecutor() as beside:
+    """SIGTERM comes to a predecessor whose successor is not ready yet, as the discovery service is silent.
+
+    Closed listeners would reset the clients that connect meanwhile. The predecessor accepts nothing and keeps
+    its listeners, so these clients wait in the accept queue until the successor accepts them.
+    """
+    with site(tmp_path) as running_site, ThreadPoolExecutor() as executor:
         predecessor = running_site.start()
-        kept = http.client.HTTPConnection(*running_site.listen, timeout=10)
-        assert call(kept, "1") == 200
-        running_site.journal.silent = True
-        starting = beside.submit(running_site.start)
+        used = http.client.HTTPConnection(*running_site.listen, timeout=10)
+        assert send_lookup(used, "1") == 200
+        running_site.discovery.silent = True
+        starting = executor.submit(running_site.start)
         until(lambda: b"a successor starts" in os.read(predecessor.process.stderr.fileno(), 4096))
         predecessor.process.send_signal(signal.SIGTERM)
-        crossing = beside.submit(running_site.served)
+        waiting_client = executor.submit(running_site.served)
         successor = starting.result()
-        assert crossing.result() == 200
-        assert call(kept, "2") == 200 and predecessor.process.wait(10) == 0 and total(successor) >= 1
-        kept.close()
+        assert waiting_client.result() == 200
+        assert (
+            send_lookup(used, "2") == 200
+            and predecessor.process.wait(10) == 0
+            and served_lookups(successor) >= 1
+        )
+        used.close()
 
 
 def test_several_processes_cannot_be_followed(tmp_path: Path) -> None:
+    """A gateway in several processes starts at the address of one that serves.
+
+    It cannot inherit the listening sockets of the other one, so the two cannot pass clients from one to the
+    other. It exits with one line, and the gateway that serves goes on.
+    """
     (tmp_path / "operator.toml").write_text(f'[processes]\nplanners = ["127.0.0.1:{free_port()}"]\n')
     with site(tmp_path) as running_site:
         running_site.start()
@@ -215,6 +247,11 @@
 
 
 def test_where_no_socket_can_be_made_no_upgrade_is_possible(tmp_path: Path) -> None:
+    """$TMPDIR is not set, or names a folder that does not exist.
+
+    A start that needed the socket would fail. There is no path then, and the gateway starts without hot
+    upgrades; where a socket can be made, the check for that leaves no file behind.
+    """
     listen = "127.0.0.1", 9
     assert upgrade_socket_path({}, listen) is None
     assert upgrade_socket_path({"TMPDIR": str(tmp_path / "none")}, listen) is None
@@ -223,7 +260,12 @@
 
 
 def test_the_slow_start_budget_goes_over_in_steps() -> None:
-    """Guards engines and traffic: a successor kept to half while its predecessor forwarded no more."""
+    """The slow-start budget passes from one process to the other while both run.
+
+    Two full budgets overload engines in slow start; a successor that keeps to half a budget after its
+    predecessor forwards no more rejects requests that the engines could take. Each step of the upgrade
+    changes the share.
+    """
     gate = Gateway(config([host(Engine())]), OperatorSettings(), signals=False)
     shares = [gate.planner.settings.slow_start_share]
     steps: list[Callable[[], None]] = [
@@ -247,19 +289,26 @@
 @steady
 @given(noise=st.binary(min_size=1, max_size=60))
 def test_garbage_on_the_connection_ends_it_or_changes_nothing(decode: Any, noise: bytes) -> None:
-    loop, ends, said = Loop(), list[int](), list[Any]()
+    """The other process sends a packet of random bytes.
+
+    An error that left the handler would be logged as a fault of ours, and the connection would stay open. A
+    packet that cannot be decoded ends the connection; one without a known key is an unknown message.
+    """
+    loop, endings, received = Loop(), list[int](), list[Any]()
     near, far = socket.socketpair(socket.AF_UNIX, socket.SOCK_SEQPACKET)
     near.setblocking(False)
-    handler = ConnectionHandler(decode, lambda message, fds: said.append(message), lambda: ends.append(1))
-    link = UpgradeConnection(loop, near, handler)
+    handler = ConnectionHandler(
+        decode, lambda message, fds: received.append(message), lambda: endings.append(1)
+    )
+    connection = UpgradeConnection(loop, near, handler)
     far.send(noise)
     loop.turn()
-    assert bool(ends) is link.closed and all(isinstance(message, Received) for message in said)
+    assert bool(endings) is connection.closed and all(isinstance(message, Received) for message in received)
     far.close()
     loop.close()
 
 
-def taught() -> Scheduler:
+def scheduler_with_one_outcome() -> Scheduler:
     scheduler = Scheduler(config([]).settings, 1)
     sec, events = 10**9, list[Event]()
     from query_gateway.model.endpoints import EndpointInfo, EndpointState, EndpointUpdateKind
@@ -275,15 +324,19 @@
     return scheduler
 
 
-NUMBERS = {"lookup": 0, "report": 1, "load": 2}
+CLASS_NUMBERS = {"lookup": 0, "report": 1, "load": 2}
 
 
 def test_learned_state_is_restored_under_the_names_of_classes() -> None:
-    old, new = taught(), Scheduler(config([]).settings, 2)
-    new.state.engines = {name: engine for name, engine in taught().state.engines.items()}
+    """Predecessor and successor number their classes differently.
+
+    Restored by number, what was learned of one class would be used for another. It is transferred by name.
+    """
+    old, new = scheduler_with_one_outcome(), Scheduler(config([]).settings, 2)
+    new.state.engines = {name: engine for name, engine in scheduler_with_one_outcome().state.engines.items()}
     new.state.engines["e0"].warm_table_groups = []
-    told = json.loads(json.dumps(export_state(old, NUMBERS)))
-    assert restore_state(new, {"lookup": 1, "report": 2, "load": 0}, told)
+    exported = json.loads(json.dumps(export_state(old, CLASS_NUMBERS)))
+    assert restore_state(new, {"lookup": 1, "report": 2, "load": 0}, exported)
     assert new.state.classes[2].work == old.state.classes[1].work and new.state.classes[2].work.count == 1
     assert (
         new.state.engines["e0"].warm_table_groups == [7.0]
@@ -292,14 +345,19 @@
 
 
 @pytest.mark.parametrize(
-    "bad", [None, [], {"version": 0}, {"lag": "1"}, {"costs": []}, {"usual": float("nan")},
+    "changes", [None, [], {"version": 0}, {"lag": "1"}, {"costs": []}, {"usual": float("nan")},
             {"engines": {"e0": [1]}}, {"classes": {"lookup": {}}}]
 )  # fmt: skip
-def test_learned_state_that_cannot_be_used_is_not_restored_in_part(bad: Any) -> None:
+def test_learned_state_that_cannot_be_used_is_not_restored_in_part(changes: Any) -> None:
+    """One value of the transferred state is missing, of a wrong type or out of range.
+
+    Restored up to that value, the scheduler would work with a mixture of states. All of it is checked first,
+    and none of it is restored.
+    """
     new = Scheduler(config([]).settings, 2)
-    told = export_state(taught(), NUMBERS)
-    told["lag"] = 2.0
+    exported = export_state(scheduler_with_one_outcome(), CLASS_NUMBERS)
+    exported["lag"] = 2.0
     assert (
-        not restore_state(new, NUMBERS, told | bad if isinstance(bad, dict) else bad)
+        not restore_state(new, CLASS_NUMBERS, exported | changes if isinstance(changes, dict) else changes)
         and new.state.lag_ratio == 1.0
     )
--- a/tests/test_race_shutdown.py
+++ b/tests/test_race_shutdown.py
@@ -108,7 +108,7 @@
 def stop_before_successor_is_ready(deployment: Site, end_successor: Callable[[Any], None]) -> int:
     """Stop before the successor is ready, connect a client, end the successor; its status is returned."""
     predecessor = deployment.start()
-    deployment.journal.silent = True
+    deployment.discovery.silent = True
     successor = deployment.start(ready=False)
     log_output = b""
     while b"a successor starts" not in log_output:
