--- a/query_gateway/admin/figures.py
+++ b/query_gateway/admin/figures.py
@@ -15,10 +15,10 @@
 
 
 def render_figures(counters: Counters, outstanding: int, discovered: int, ejected: int) -> list[str]:
-    """The lines without their ends.
+    """The lines, without line feeds.
 
     `outstanding` counts open requests, `discovered` the engines on the endpoint list, `ejected` those of them
-    that get nothing for now.
+    that planners have ejected.
     """
     answers = [
         f'{name}{{service="{_escape_label(class_name)}"}} {counts[verdict]}'
--- a/query_gateway/admin/gateway_figures.py
+++ b/query_gateway/admin/gateway_figures.py
@@ -21,8 +21,8 @@
     ) -> None:
         """Nothing is counted here.
 
-        `ejected_endpoints` gives the names of those that planners avoid now; `statements` is None where
-        statements are not read, and then there are no figures about them.
+        `ejected_endpoints` gives the names of those that planners have ejected; `statements` is None where
+        statements are not classified, and then there are no figures about them.
         """
         self.forwarder, self.statements = forwarder, statements
         self.ejected_endpoints = ejected_endpoints
--- a/query_gateway/admin/server.py
+++ b/query_gateway/admin/server.py
@@ -1,4 +1,4 @@
-"""The server at the second address: a caller sends one line and gets its answer, then the connection ends."""
+"""The admin server: a caller sends one line and gets its answer, then the connection ends."""
 
 import socket
 from collections.abc import Callable, Generator
@@ -73,7 +73,9 @@
         self.listener = Listener(loop, address, self._on_accept)
 
     def _on_accept(self, sock: socket.socket, peer: str) -> None:
-        if len(self.connections) >= MAX_CONNECTIONS:  # callers that finish no call must keep nobody out
+        # Callers that connect and send nothing would keep operators out until their timeout. So the
+        # connection that is open longest gives way to a new one.
+        if len(self.connections) >= MAX_CONNECTIONS:
             next(iter(self.connections)).drop(Reason.TOO_MANY)
         self.connections[AdminConnection(self, sock, peer)] = None
 
--- a/query_gateway/bgp/session.py
+++ b/query_gateway/bgp/session.py
@@ -1,4 +1,11 @@
-"""One BGP session: connects, keeps itself up, announces our service addresses while we are ready."""
+"""One BGP session: connects, sends keepalives, announces our service addresses while we are ready.
+
+The states, of RFC 4271, section 8.2.2:
+
+    IDLE --reconnect delay--> CONNECT --connected, OPEN sent--> OPEN_SENT
+    OPEN_SENT --OPEN received, KEEPALIVE sent--> OPEN_CONFIRM --KEEPALIVE received--> ESTABLISHED
+    any --connection ended, hold timer expired, NOTIFICATION sent or received--> IDLE
+"""
 
 from collections.abc import Generator
 from enum import Enum
@@ -42,7 +49,7 @@
 
 
 class BgpSession:
-    """A session with one peer, begun again whenever it ends, until `stop`.
+    """A session with one peer, which is started again whenever it ends, until `stop`.
 
     Owns its connection and the task that serves it.
     """
@@ -52,7 +59,7 @@
         self.loop, self.settings = loop, settings
         self.state = SessionState.IDLE
         self.ready = self.stopped = False
-        self.announced = False  # what the peer has last heard of our addresses
+        self.announced = False  # whether the last UPDATE that was sent announces our addresses
         self.four_octet_asn = False  # the peer reads AS numbers of four octets
         self.hold_time = INITIAL_HOLD_TIME  # seconds; 0: the session needs no keepalives
         self.last_received_at = self.last_sent_at = 0.0  # loop time
@@ -170,7 +177,7 @@
         self.four_octet_asn = message.four_octet_asn
 
     def _send_update(self, stream: Stream) -> None:
-        """Announce or withdraw, if the peer has not heard of the present readiness yet."""
+        """Announce or withdraw, unless the last UPDATE fits the readiness."""
         if not self.is_established or self.announced == self.ready:
             return
         self.announced = self.ready
@@ -206,6 +213,10 @@
         return min(hold_expires_at, self._next_keepalive_at)
 
     def _linger(self, stream: Stream, reason: Reason) -> Generator[float | None, None, Reason]:
-        """Guard our last message: a close with unread input would reset the connection under it."""
+        """Close after the peer has read our last message.
+
+        The system resets a connection that is closed with unread input, and a reset discards what the peer
+        has not read yet: it would not learn why the session ended. So input is read until the peer closes.
+        """
         yield from stream.close_gracefully(LINGER_TIME)
         return reason
