--- a/query_gateway/bgp/messages.py
+++ b/query_gateway/bgp/messages.py
@@ -133,6 +133,14 @@
 Message = Open | Update | Notification | Keepalive
 
 
+@dataclass(slots=True, frozen=True)
+class MessageHeader:
+    """The header of a message; its length, in bytes, includes the header."""
+
+    message_type: MessageType
+    length: int
+
+
 def _encode(message_type: MessageType, body: bytes = b"") -> bytes:
     return MARKER + (HEADER_LENGTH + len(body)).to_bytes(2, "big") + bytes([message_type]) + body
 
@@ -206,23 +214,23 @@
         self.buffer = bytearray()  # the start of a message that is not complete yet
 
     def feed(self, data: bytes) -> list[Message]:
-        """Return the messages that `data` completes, in order.
+        """The messages that `data` completes, in order.
 
-        Raises BgpProtocolError at the first one that is malformed; the connection is of no use then.
+        Raises BgpProtocolError at the first malformed one; the decoder must not be used again then.
         """
         self.buffer += data
         messages: list[Message] = []
         while len(self.buffer) >= HEADER_LENGTH:
-            message_type, length = self._decode_header()
-            if len(self.buffer) < length:
+            header = self._decode_header()
+            if len(self.buffer) < header.length:
                 break
-            body = bytes(self.buffer[HEADER_LENGTH:length])
-            del self.buffer[:length]
-            messages.append(_decode(message_type, body))
+            body = bytes(self.buffer[HEADER_LENGTH : header.length])
+            del self.buffer[: header.length]
+            messages.append(_decode(header.message_type, body))
         return messages
 
-    def _decode_header(self) -> tuple[MessageType, int]:
-        """The type of the message at the start of the buffer, and its length in bytes, header included."""
+    def _decode_header(self) -> MessageHeader:
+        """The header at the start of the buffer. Raises BgpProtocolError (RFC 4271, section 6.1)."""
         if self.buffer[:16] != MARKER:
             raise _header_error(HeaderError.NOT_SYNCHRONIZED)
         length_field, type_octet = bytes(self.buffer[16:18]), self.buffer[18]
@@ -236,7 +244,7 @@
             raise _header_error(HeaderError.BAD_LENGTH, length_field)
         if message_type is MessageType.KEEPALIVE and length != HEADER_LENGTH:
             raise _header_error(HeaderError.BAD_LENGTH, length_field)
-        return message_type, length
+        return MessageHeader(message_type, length)
 
 
 def _decode(message_type: MessageType, body: bytes) -> Message:
@@ -291,7 +299,7 @@
 
 
 def _decode_capabilities(capabilities: bytes) -> int | None:
-    """The AS number of the capability for four octets; other capabilities are read past."""
+    """The AS number in the capability for four octets; other capabilities are skipped."""
     asn = None
     while capabilities:
         if len(capabilities) < 2 or len(capabilities) < 2 + capabilities[1]:
--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -48,14 +48,14 @@
 
 
 def classified(rules: str, *lines: object) -> list[dict[str, Any]]:
-    told = "\n".join(line if isinstance(line, str) else json.dumps(line) for line in lines)
-    done = CliRunner().invoke(main, ["statements", "classify", "--rules", rules, "-"], input=told + "\n")
+    lines_in = "\n".join(line if isinstance(line, str) else json.dumps(line) for line in lines)
+    done = CliRunner().invoke(main, ["statements", "classify", "--rules", rules, "-"], input=lines_in + "\n")
     assert done.exit_code == 0, done.output
     return [json.loads(line) for line in done.stdout.splitlines()]
 
 
 def test_classify_prints_an_object_a_line_in_order(rules: str) -> None:
-    told = classified(
+    printed = classified(
         rules,
         {"sql": "SELECT due FROM lending_7.loans WHERE member = 1"},
         {"sql": "select due from lending_7.loans where member = 2 -- again"},
@@ -73,17 +73,17 @@
         "nonsense", "[]", '{"sql": 5}', '{"sql": "SELECT 1", "class": 5}',
     )  # fmt: skip
     names = "class writes repeatable key group cost_ms shape cached reason"
-    assert all(" ".join(line) == names for line in told)
-    assert [line["class"] for line in told] == [
+    assert all(" ".join(line) == names for line in printed)
+    assert [line["class"] for line in printed] == [
         "lookup", "lookup", "report", "load", "load", "load", None, None, None, "lookup", None, "lookup",
         "report", None, None, None, None,
     ]  # fmt: skip
-    assert [line["cached"] for line in told[:5]] == [False, True, False, False, False]
-    assert told[0]["shape"] == told[1]["shape"] and told[0]["group"] == 7
-    assert told[3]["key"] == told[4]["key"] and len(told[3]["key"]) == 16 and told[5]["key"]
-    assert [line["repeatable"] for line in told[:3]] == [True] * 3
-    assert all(not line["repeatable"] for line in told if line["writes"])
-    assert all(line["reason"] for line in told if line["class"] is None)
+    assert [line["cached"] for line in printed[:5]] == [False, True, False, False, False]
+    assert printed[0]["shape"] == printed[1]["shape"] and printed[0]["group"] == 7
+    assert printed[3]["key"] == printed[4]["key"] and len(printed[3]["key"]) == 16 and printed[5]["key"]
+    assert [line["repeatable"] for line in printed[:3]] == [True] * 3
+    assert all(not line["repeatable"] for line in printed if line["writes"])
+    assert all(line["reason"] for line in printed if line["class"] is None)
 
 
 def test_classify_needs_no_configuration_and_says_what_is_wrong_with_its_rules(tmp_path: Path) -> None:
@@ -96,7 +96,7 @@
         assert done.exit_code == 2 and place in done.output and len(done.output.splitlines()) == 1
 
 
-def test_check_tells_every_fault_with_its_place(tmp_path: Path, rules: str) -> None:
+def test_check_prints_every_fault_with_its_location(tmp_path: Path, rules: str) -> None:
     bad = tmp_path / "bad.toml"
     bad.write_text('[flight]\nlisten = "nowhere"\ncolour = 3\n[bgp]\nasn = 0\n[statements]\nparsers = 99\n')
     first, second = SETTINGS["services"][:2]  # type: ignore[index]
@@ -112,13 +112,13 @@
         assert good.exit_code == 0 and good.stdout == "no faults\n"
 
 
-def test_check_tells_what_does_not_go_together(tmp_path: Path, rules: str) -> None:
+def test_check_prints_contradictions_between_files(tmp_path: Path, rules: str) -> None:
     settings = SETTINGS | {"services": SETTINGS["services"][:2], "family-info": {}}  # type: ignore[index]
     done = CliRunner().invoke(main, ["check", config(tmp_path, settings=settings), rules])
     assert done.exit_code == 2 and "statements.load" in done.output and "flight.update_class" in done.output
 
 
-def test_check_tells_of_files_that_cannot_be_read(tmp_path: Path) -> None:
+def test_check_prints_files_that_cannot_be_read(tmp_path: Path) -> None:
     (tmp_path / "a.json").write_text("{")
     for file in ("a.json", "missing.json", "missing.toml"):
         done = CliRunner().invoke(main, ["check", str(tmp_path / file)])
@@ -126,8 +126,8 @@
 
 
 def test_the_version_is_the_package_s() -> None:
-    told = tomllib.loads((ROOT / "pyproject.toml").read_text())["project"]["version"]
-    assert told in CliRunner().invoke(main, ["--version"]).output
+    stated = tomllib.loads((ROOT / "pyproject.toml").read_text())["project"]["version"]
+    assert stated in CliRunner().invoke(main, ["--version"]).output
 
 
 def test_a_bad_start_is_one_line_and_code_2(tmp_path: Path) -> None:
--- a/tests/test_hot_upgrade.py
+++ b/tests/test_hot_upgrade.py
@@ -1,4 +1,4 @@
-"""Hot upgrades with real processes: one accept queue, idle connections that go on, deaths on either side."""
+"""Hot upgrades with real processes: a shared accept queue, transferred connections, deaths on either side."""
 
 import http.client
 import json
@@ -81,9 +81,9 @@
         )
         self.processes: list[subprocess.Popen[bytes]] = []
 
-    def start(self, ready: bool = True, **more: str) -> Any:
+    def start(self, ready: bool = True, **environment: str) -> Any:
         ops = "127.0.0.1", free_port()
-        environ = self.environ | {"ROUTER_OPS": f"{ops[0]}:{ops[1]}"} | more
+        environ = self.environ | {"ROUTER_OPS": f"{ops[0]}:{ops[1]}"} | environment
         run = [sys.executable, "-m", "query_gateway"]
         process = subprocess.Popen(run, env=environ, stderr=subprocess.PIPE)
         self.processes.append(process)
@@ -101,8 +101,8 @@
             until(is_ready)
         return gateway
 
-    def served(self, statement: str = SQL, **more: Any) -> int:
-        return post(self.gate, "lookup", statement, **more)[0]
+    def served(self, statement: str = SQL, **options: Any) -> int:
+        return post(self.gate, "lookup", statement, **options)[0]
 
 
 @contextmanager
@@ -205,7 +205,7 @@
         assert running_site.start() and running_site.served() == 200
 
 
-def test_a_predecessor_told_to_stop_before_its_successor_is_ready_transfers_once_it_is(
+def test_a_predecessor_stopped_before_its_successor_is_ready_transfers_once_it_is(
     tmp_path: Path,
 ) -> None:
     """SIGTERM comes to a predecessor whose successor is not ready yet, as the discovery service is silent.
