--- a/query_gateway/discovery/__init__.py
+++ b/query_gateway/discovery/__init__.py
@@ -5,8 +5,9 @@
 were removed; the list itself is the forwarder's. All of it is lost with the process: the next one begins with
 the list in its configuration and polls for the events behind it.
 
-The way of an answer: `watch_client` (poll, HTTP) -> `endpoint_feed` -> `endpoint_list` (decoding) ->
-`reconciliation` (sequence check) -> `start_times`, `tombstones` -> `Forwarder.update_endpoints`.
+The way of an answer: `poll_connection` (HTTP) -> `watch_client` (polls, backoff) -> `endpoint_feed` ->
+`endpoint_list` (decoding) -> `reconciliation` (sequence check) -> `start_times`, `tombstones` ->
+`Forwarder.update_endpoints`.
 
 Imported by `configuration` (which decodes the list at the start), the composition root and `lifecycle`.
 """
--- a/query_gateway/discovery/watch_client.py
+++ b/query_gateway/discovery/watch_client.py
@@ -15,8 +15,7 @@
 from random import Random
 from typing import Any
 
-import h11
-
+from query_gateway.discovery.poll_connection import PollConnection
 from query_gateway.net.log import log
 from query_gateway.net.loop import Loop
 from query_gateway.net.stream import Reason, Stream, address_of
@@ -30,7 +29,7 @@
 # reconnect at the same moments
 MIN_BACKOFF_SECONDS = 0.1
 MAX_BACKOFF_SECONDS = 0.2
-MAX_ANSWER_BYTES = 4_194_304
+MS_PER_SECOND = 1_000
 
 
 @dataclass(slots=True, frozen=True)
@@ -107,14 +106,13 @@
         failure = yield from self._connect(stream)
         if failure:
             return failure
-        connection = h11.Connection(h11.CLIENT)
+        connection = PollConnection(self.loop, stream, self._interruption)
         while True:
-            failure = yield from self._poll(stream, connection)
+            failure = yield from self._poll(connection)
             if failure:
                 return failure
-            if connection.our_state is not h11.DONE or connection.their_state is not h11.DONE:
+            if not connection.start_next_poll():
                 return Reason.DONE
-            connection.start_next_cycle()
 
     def _connect(self, stream: Stream) -> Generator[float | None, None, Reason | None]:
         timeout_at = self.loop.now() + CONNECT_TIMEOUT_SECONDS
@@ -128,18 +126,17 @@
             yield timeout_at
         return None
 
-    def _poll(
-        self, stream: Stream, connection: h11.Connection
-    ) -> Generator[float | None, None, Reason | None]:
+    def _poll(self, connection: PollConnection) -> Generator[float | None, None, Reason | None]:
         """Poll once; return why the connection must end, or None."""
         position, polled_at = self.position, self.loop.now()
         # A service that restarted its numbering while there was no connection may have passed our position.
         # Its answer would seem to continue our events, and the list would lack those before. So after a lost
         # connection the event at our position is polled for once more: another event there shows the restart.
         verifies_newest = self._connection_lost and position > 0
-        self._send_poll(stream, connection, position - 1 if verifies_newest else position)
+        hold_ms = SHORT_POLL_HOLD_MS if self.on_caught_up else POLL_HOLD_MS
+        connection.send_poll(self.address, position - 1 if verifies_newest else position, hold_ms)
         try:
-            body = yield from self._read_answer(stream, connection)
+            body = yield from connection.read_answer(self.loop.now() + self._poll_timeout())
             if isinstance(body, Reason):
                 return body
             self.position = self.on_answer(json.loads(body), verifies_newest)
@@ -153,65 +150,22 @@
         is_idle = self.position == position and not is_first and not verifies_newest
         is_early = self.loop.now() < polled_at + MIN_BACKOFF_SECONDS
         if self.position < position or (is_idle and is_early):
-            # A service that answers at once with nothing new would be polled without a pause, and both
-            # processes would be busy with it. The end of the connection leads to the backoff.
+            # The next poll is for a snapshot, or the service answers at once with nothing new. Polled again
+            # without a pause, a service that does so every time would keep both processes busy. The end of
+            # the connection leads to the backoff.
             return Reason.RESYNC
         self._backoff = MIN_BACKOFF_SECONDS
         return None
 
+    def _poll_timeout(self) -> float:
+        """Seconds until the service counts as unresponsive."""
+        if self.on_caught_up:
+            return SHORT_POLL_TIMEOUT_SECONDS
+        return POLL_HOLD_MS / MS_PER_SECOND + ANSWER_GRACE_SECONDS
+
     def _notify_caught_up(self) -> bool:
         """Call `on_caught_up` after the first answer; whether this was it."""
         callback, self.on_caught_up = self.on_caught_up, None
         if callback:
             callback()
         return callback is not None
-
-    def _send_poll(self, stream: Stream, connection: h11.Connection, position: int) -> None:
-        wait_ms = SHORT_POLL_HOLD_MS if self.on_caught_up else POLL_HOLD_MS
-        target = f"/journal?tail={position}&max_wait={wait_ms}"
-        request = h11.Request(method="GET", target=target, headers=[("Host", self.address)])
-        stream.write((connection.send(request) or b"") + (connection.send(h11.EndOfMessage()) or b""))
-
-    def _read_answer(
-        self, stream: Stream, connection: h11.Connection
-    ) -> Generator[float | None, None, Reason | bytes]:
-        """Read the body of an answer; return why the connection must end if there is none."""
-        held_poll_timeout = POLL_HOLD_MS / 1000 + ANSWER_GRACE_SECONDS
-        timeout_at = self.loop.now() + (
-            SHORT_POLL_TIMEOUT_SECONDS if self.on_caught_up else held_poll_timeout
-        )
-        body = bytearray()
-        status = 0
-        while True:
-            event = yield from self._next_event(stream, connection, timeout_at)
-            if isinstance(event, Reason):
-                return event
-            if isinstance(event, h11.Response):
-                status = event.status_code
-            elif isinstance(event, h11.Data):
-                body += event.data
-                if len(body) > MAX_ANSWER_BYTES:
-                    return Reason.MALFORMED_RESPONSE
-            elif isinstance(event, h11.EndOfMessage):
-                return bytes(body) if status == 200 else Reason.MALFORMED_RESPONSE
-            else:
-                return Reason.PEER_CLOSED
-
-    def _next_event(
-        self, stream: Stream, connection: h11.Connection, timeout_at: float
-    ) -> Generator[float | None, None, Any]:
-        """Wait for the next h11 event; return a Reason if none can come any more."""
-        while True:
-            event = connection.next_event()
-            if event is not h11.NEED_DATA:
-                return event
-            if stream.inbox:
-                connection.receive_data(stream.take_inbox())
-            elif stream.eof:
-                return Reason.RESET if stream.reset else Reason.PEER_CLOSED
-            elif interruption := self._interruption():
-                return interruption
-            elif self.loop.now() >= timeout_at:
-                return Reason.UNRESPONSIVE
-            else:
-                yield timeout_at
