--- a/query_gateway/configuration/platform.py
+++ b/query_gateway/configuration/platform.py
@@ -199,10 +199,14 @@
 
 
 def idempotent_classes(configuration: Configuration) -> frozenset[str]:
-    """The names of the classes whose requests may run twice."""
-    settings = configuration.settings.classes
+    """The names of the classes of a configuration whose requests may run twice."""
+    return idempotent_class_names(configuration.classes, configuration.settings)
+
+
+def idempotent_class_names(classes: RequestClasses, settings: Settings) -> frozenset[str]:
+    """The names of those of `classes` whose requests may run twice under `settings`."""
     return frozenset(
         name
-        for name, request_class in configuration.classes.items()
-        if settings[request_class.index].idempotency is Idempotency.IDEMPOTENT
+        for name, request_class in classes.items()
+        if settings.classes[request_class.index].idempotency is Idempotency.IDEMPOTENT
     )
--- a/query_gateway/gateway.py
+++ b/query_gateway/gateway.py
@@ -87,7 +87,6 @@
         share = OVERLAP_SHARE if self.options.inherited else FULL_SHARE
         self.settings_publisher = PlannerSettingsPublisher(self.forwarder, self.active, share)
         self.planner_links = build_planner_links(core, share)
-        self.planner_clients = self.planner_links.clients
         # The planners are notified of the endpoint list before the fronts accept requests: a request that
         # came first would find no engine and be rejected
         config = self.active.config
--- a/query_gateway/lifecycle/client_fronts.py
+++ b/query_gateway/lifecycle/client_fronts.py
@@ -4,11 +4,10 @@
 
 from query_gateway.admin.server import RESERVED_DESCRIPTORS
 from query_gateway.configuration.operator_file import OperatorSettings
-from query_gateway.configuration.platform import Configuration
+from query_gateway.configuration.platform import Configuration, idempotent_class_names
 from query_gateway.forwarder.forwarder import Forwarder
 from query_gateway.forwarder.messages import RequestClasses
 from query_gateway.http.server import HttpServer
-from query_gateway.model.settings import Idempotency
 from query_gateway.net.listener import Listener
 
 if TYPE_CHECKING:
@@ -70,11 +69,7 @@
         self.http_server.classes = classes
         settings = self.forwarder.settings
         if self.statements:
-            idempotent = {
-                name
-                for name, request_class in classes.items()
-                if settings.classes[request_class.index].idempotency is Idempotency.IDEMPOTENT
-            }
+            idempotent = idempotent_class_names(classes, settings)
             self.statements.update_rules(self.statements.classifier.rules, idempotent)
         if self.flight_server:
             from query_gateway.flight.requests import build_flight_classes
