--- a/tests/test_ops.py
+++ b/tests/test_ops.py
@@ -69,8 +69,8 @@
         for _ in range(3):
             assert post(gate, "lookup", other)[0] == 200
         assert post(gate, "lookup", refusing)[0] in (429, 500)
-        with ThreadPoolExecutor() as beside:
-            waiting = beside.submit(post, gate, "lookup", SQL, ttl=1_000)
+        with ThreadPoolExecutor() as executor:
+            waiting = executor.submit(post, gate, "lookup", SQL, ttl=1_000)
             until(lambda: SQL in engine.statements)
             now = figures(gate)
             assert now["svc_outstanding"] == 1 and now["svc_forwards_total"] == len(engine.statements)
@@ -91,8 +91,8 @@
     stream.write(b"x" * 20_000_000)
     stream.call_when_sent(lambda: said.append(1))
     assert not said and stream.outbox
-    with ThreadPoolExecutor() as beside, far, far.makefile("rb") as read:
-        got = beside.submit(read.read, 20_000_000)
+    with ThreadPoolExecutor() as executor, far, far.makefile("rb") as read:
+        got = executor.submit(read.read, 20_000_000)
         while stream.outbox:
             loop.turn()
         assert said == [1] and len(got.result()) == 20_000_000
@@ -112,8 +112,8 @@
 
 
 def test_a_call_is_answered_within_a_second_under_load() -> None:
-    with running(Engine(), **WITH_ADMIN) as gate, ThreadPoolExecutor(9) as beside:
-        busy = [beside.submit(lambda: [post(gate, "lookup", SQL)[0] for _ in range(20)]) for _ in range(8)]
+    with running(Engine(), **WITH_ADMIN) as gate, ThreadPoolExecutor(9) as executor:
+        busy = [executor.submit(lambda: [post(gate, "lookup", SQL)[0] for _ in range(20)]) for _ in range(8)]
         while not all(f.done() for f in busy):
             began = time.monotonic()
             assert ask(gate, b"READY\n") == "200 ready\n" and time.monotonic() - began < 1.0
@@ -148,11 +148,11 @@
 def test_draining_closes_client_connections_and_undrain_serves_again() -> None:
     """Idle connections are half-closed only once the load balancer sends no more, so no request is lost."""
     engine = Engine(script={SQL: ["mute"]})
-    with running(engine, **WITH_ADMIN) as gate, ThreadPoolExecutor() as beside:
+    with running(engine, **WITH_ADMIN) as gate, ThreadPoolExecutor() as executor:
         address = gate.http_server.listener.address
         idle, silent, used = (socket.create_connection(address) for _ in range(3))
         assert live(idle).startswith(b"HTTP/1.1 200") and live(used).startswith(b"HTTP/1.1 200")
-        waiting = beside.submit(post, gate, "lookup", SQL, ttl=3_000)
+        waiting = executor.submit(post, gate, "lookup", SQL, ttl=3_000)
         assert engine.wait("REQ")
         ask(gate, b"DRAIN\n")
         began = time.monotonic()
--- a/tests/test_reload.py
+++ b/tests/test_reload.py
@@ -24,10 +24,9 @@
 from query_gateway.gateway import Gateway
 from query_gateway.lifecycle.reload import ConfigurationSources
 from query_gateway.model.actions import Forward
-from query_gateway.model.events import AttemptOutcome, Event, Request, SettingsUpdate
-from query_gateway.model.events import OutcomeCode as C
-from query_gateway.planner import ipc_codec as codec
-from query_gateway.policy.scheduler import Scheduler as Module
+from query_gateway.model.events import AttemptOutcome, Event, OutcomeCode, Request, SettingsUpdate
+from query_gateway.planner import ipc_codec
+from query_gateway.policy.scheduler import Scheduler
 from tests.stand_ins import SETTINGS, Engine, config, host, post
 from tests.test_local import until
 from tests.test_ops import figures
@@ -45,20 +44,20 @@
 
 def drop(*path: Any) -> Callable[[dict[str, Any]], object]:
     def change(raw: dict[str, Any]) -> None:
-        at: Any = raw
+        parent: Any = raw
         for step in path[:-1]:
-            at = at[step]
-        del at[path[-1]]
+            parent = parent[step]
+        del parent[path[-1]]
 
     return change
 
 
 def put(value: Any, *path: Any) -> Callable[[dict[str, Any]], object]:
     def change(raw: dict[str, Any]) -> None:
-        at: Any = raw
+        parent: Any = raw
         for step in path[:-1]:
-            at = at[step]
-        at[path[-1]] = value
+            parent = parent[step]
+        parent[path[-1]] = value
 
     return change
 
@@ -95,16 +94,16 @@
 @steady
 @given(NAMES, NAMES, st.sets(st.integers(0, 8)))
 def test_a_number_stands_for_one_class_and_is_not_reused_while_in_use(
-    old: list[str], new: list[str], held: set[int]
+    old: list[str], new: list[str], in_use: set[int]
 ) -> None:
     before = assign_class_numbers(old, {}, ())
-    after = assign_class_numbers(new, before, held)
+    after = assign_class_numbers(new, before, in_use)
     assert len(set(after.values())) == len(new)
     assert all(after[name] == before[name] for name in new if name in before)
-    assert not {after[name] for name in new if name not in before} & held
+    assert not {after[name] for name in new if name not in before} & in_use
 
 
-def audited(attempts: int = 1) -> dict[str, Any]:
+def settings_with_audit(attempts: int = 1) -> dict[str, Any]:
     """No `report` any longer, a class `audit` that may not be repeated, and fewer attempts."""
     raw = copy.deepcopy(SETTINGS)
     services: Any = raw["services"]
@@ -127,10 +126,10 @@
     monkeypatch.setattr("query_gateway.lifecycle.request_classes.GRACE_PERIOD_SECONDS", 0.2)
     old, once = "SELECT old FROM lending_7.loans", "SELECT once FROM lending_7.loans"
     engine = Engine(script={old: ["mute", "ok"], once: ["error", "ok"]})
-    with running(engine, ops="127.0.0.1:0") as gate, ThreadPoolExecutor() as beside:
-        waiting = beside.submit(post, gate, "report", old, ttl=20_000)
+    with running(engine, ops="127.0.0.1:0") as gate, ThreadPoolExecutor() as executor:
+        waiting = executor.submit(post, gate, "report", old, ttl=20_000)
         assert engine.wait("REQ")
-        new = config([host(engine, "e0")], ops="127.0.0.1:0", settings=audited())
+        new = config([host(engine, "e0")], ops="127.0.0.1:0", settings=settings_with_audit())
         reload(gate, new)
         assert post(gate, "audit", once)[0] == 500  # it may have run, and is not sent again
         assert post(gate, "lookup", SQL)[0] == 200
@@ -149,32 +148,34 @@
 
 def test_the_scheduler_keeps_what_it_learned_and_open_requests_their_settings() -> None:
     site = config([host(Engine())])
-    module = Module(site.settings, 1)
+    scheduler = Scheduler(site.settings, 1)
     gate = Gateway(site, OperatorSettings(), signals=False)
-    module.handle(1, [e for e in gate.planner.pending_events])
+    scheduler.handle(1, list(gate.planner.pending_events))
     gate.loop.close()
     sec = 10**9
-    ask: list[Event] = [Request(n, 1, 60 * sec, 0, None, None, 10**9, 0.0, False) for n in (1, 2)]
-    sent = [a for a in module.handle(sec, ask) if isinstance(a, Forward)]
-    assert len(sent) == 2
-    module.handle(2 * sec, [AttemptOutcome(1, True, C.OK, sec, 0, "e0", None, None, ())])
-    learned = module.state.classes[1].work
-    rules = tuple(replace(c, timeout=c.timeout // 2) for c in site.settings.classes)
-    module.handle(2 * sec, [SettingsUpdate(replace(site.settings, classes=rules, max_attempts=1), (0,))])
-    assert module.state.classes[1].work is learned and learned.count == 1
+    requests: list[Event] = [
+        Request(request_id, 1, 60 * sec, 0, None, None, 10**9, 0.0, False) for request_id in (1, 2)
+    ]
+    forwards = [action for action in scheduler.handle(sec, requests) if isinstance(action, Forward)]
+    assert len(forwards) == 2
+    scheduler.handle(2 * sec, [AttemptOutcome(1, True, OutcomeCode.OK, sec, 0, "e0", None, None, ())])
+    learned = scheduler.state.classes[1].work
+    shorter = tuple(replace(settings, timeout=settings.timeout // 2) for settings in site.settings.classes)
+    scheduler.handle(2 * sec, [SettingsUpdate(replace(site.settings, classes=shorter, max_attempts=1), (0,))])
+    assert scheduler.state.classes[1].work is learned and learned.count == 1
     assert (
-        module.state.queries[2].request_class.settings.timeout == 25 * sec
-        and module.state.queries[2].max_attempts == 3
+        scheduler.state.queries[2].request_class.settings.timeout == 25 * sec
+        and scheduler.state.queries[2].max_attempts == 3
     )
     assert (
-        module.state.classes[0].work.count == 0
-        and module.state.classes[1].settings.timeout == rules[1].timeout
+        scheduler.state.classes[0].work.count == 0
+        and scheduler.state.classes[1].settings.timeout == shorter[1].timeout
     )
 
 
 def test_new_settings_pass_the_ipc_connection_complete() -> None:
-    told = SettingsUpdate(config([]).settings, (1,))
-    assert codec.Decoder({**codec.EVENT_TYPES}).feed(codec.encode(told)) == [told]
+    update = SettingsUpdate(config([]).settings, (1,))
+    assert ipc_codec.Decoder({**ipc_codec.EVENT_TYPES}).feed(ipc_codec.encode(update)) == [update]
 
 
 def test_limits_that_change_alone_are_applied() -> None:
