--- a/query_gateway/flight/client_call.py
+++ b/query_gateway/flight/client_call.py
@@ -1,8 +1,14 @@
-"""One call of a Flight SQL client: its message becomes a request, and the result goes back as it comes."""
+"""One call of a Flight SQL client: its message becomes a request, and the result goes back as it comes.
+
+AWAITING_MESSAGE --message--> CLASSIFYING --classified--> FORWARDED --final answer--> DONE
+       |     |                    |                         ^  |                       ^
+       |     `-- without parsing -+-------------------------'  `--- call aborted ------+
+       `-- no or an invalid message, GetFlightInfo answered, rejected, call aborted ---'
+"""
 
 from collections.abc import Callable
 from enum import Enum
-from typing import TYPE_CHECKING
+from typing import TYPE_CHECKING, Protocol
 
 from query_gateway.flight import messages
 from query_gateway.flight.messages import FlightMessageError, FlightMethod
@@ -10,20 +16,22 @@
     KEY_DIGITS,
     MAX_NAME_IN_ERROR,
     NS_PER_MS,
+    FlightClass,
     FlightStatement,
     decode_request,
 )
 from query_gateway.forwarder.exchange import Exchange
+from query_gateway.forwarder.forwarder import Forwarder
 from query_gateway.forwarder.messages import Answer, Verdict
 from query_gateway.http.request_decoding import RequestError, hex_header
+from query_gateway.net.loop import Loop
 from query_gateway.net.steady_clock import clock_time_of
 from query_gateway.rpc.call import Call, CallHandler, Headers
 from query_gateway.rpc.connection import SLOW_READER_TIMEOUT_S
 from query_gateway.rpc.status import GrpcStatus
 
 if TYPE_CHECKING:
-    from query_gateway.flight.server import FlightServer
-    from query_gateway.parsing.service import Classification
+    from query_gateway.parsing.service import Classification, StatementService
 
 MESSAGE_TIMEOUT_S = 5.0  # in which a call must have brought its message
 RESPONSE_HEADERS = [(":status", "200"), ("content-type", "application/grpc")]
@@ -31,6 +39,17 @@
 REJECTED_STATUS, FAILED_STATUS = GrpcStatus.RESOURCE_EXHAUSTED, GrpcStatus.INTERNAL
 
 
+class FlightCallContext(Protocol):
+    """What a call uses of the server that accepted it; the classes may change between two calls."""
+
+    loop: Loop
+    forwarder: Forwarder
+    statements: "StatementService | None"  # None where statements are not parsed
+    classes: dict[str, FlightClass]  # that clients may name
+    query_class: str  # of a query whose client names none
+    update_class: str  # of an update whose client names none
+
+
 class FlightCallState(Enum):
     """How far a client's call has come."""
 
@@ -43,14 +62,15 @@
 class FlightCall(CallHandler):
     """One call of a client; of an exchange it is the client's side."""
 
-    def __init__(self, server: "FlightServer", headers: dict[str, str], call: Call) -> None:
+    def __init__(self, server: FlightCallContext, headers: dict[str, str], call: Call) -> None:
         """Wait for the message of a call that has just begun with these request headers."""
         self.server, self.request_headers, self.call = server, headers, call
         self.method_name = headers.get(":path", "").removeprefix(messages.SERVICE_PATH)
         self.exchange: Exchange | None = None
         self.state = FlightCallState.AWAITING_MESSAGE
         self.headers_sent = False
-        # Guards the table of calls against those that never send their message
+        # A client may open calls and never send their message. They would stay in the connection's table, and
+        # the connection would count as busy for ever
         server.loop.call_at(server.loop.now() + MESSAGE_TIMEOUT_S, self._on_message_timeout)
 
     def _on_message_timeout(self) -> None:
@@ -91,7 +111,7 @@
             self._finish(status, "the call holds no message")
 
     def on_aborted(self, never_ran: bool) -> None:
-        """Abandon the request of a client that has cancelled its call or gone away."""
+        """Abandon the request of a client that has cancelled its call or lost its connection."""
         self.state = FlightCallState.DONE
         if self.exchange:
             self.exchange.abandon()
@@ -110,7 +130,7 @@
         if class_name is not None and class_name not in server.classes:
             raise _unknown_class(class_name)
         if class_name is None and is_update:
-            class_name = server.update_class  # an update says itself what it is
+            class_name = server.update_class  # DoPut marks the statement as an update
         self.state = FlightCallState.CLASSIFYING
         key = hex_header(self.request_headers, "x-row", KEY_DIGITS, False)
 
@@ -163,7 +183,7 @@
     # ---- the answer
 
     def _reject_unforwarded(self, reason: str) -> None:
-        """Reject before the forwarder has it: the client may come back when the settings say."""
+        """Reject before the forwarder has it, with the Retry-After time of the settings."""
         self._reject(reason, self.server.forwarder.settings.max_retry_after)
 
     def _reject(self, reason: str, retry_after_ns: int) -> None:
@@ -187,7 +207,8 @@
             self.call.send_headers(RESPONSE_HEADERS + trailers, end_stream=True)
             return
         self.call.finish(trailers)
-        if not self.call.is_closed:  # guards the table of calls against clients that never read their answer
+        if not self.call.is_closed:
+            # A client that never reads its answer would keep the call in the connection's table for ever
             loop = self.server.loop
             loop.call_at(loop.now() + SLOW_READER_TIMEOUT_S, self.call.reset)
 
--- a/query_gateway/flight/server.py
+++ b/query_gateway/flight/server.py
@@ -1,4 +1,4 @@
-"""The Flight SQL server: accepts the clients' connections and sends them away when the gateway drains."""
+"""The Flight SQL server: accepts client connections, and sends a GOAWAY when the gateway drains."""
 
 import socket
 from dataclasses import dataclass
@@ -26,7 +26,7 @@
     query_class: str  # of a query whose client names none
     update_class: str  # of an update whose client names none
     max_connections: int
-    shares_port: bool = False  # with other processes of ours, by SO_REUSEPORT
+    shares_port: bool = False  # with other forwarder processes, by SO_REUSEPORT
     inherited_socket: socket.socket | None = None  # a listening socket that a predecessor has passed on
 
 
@@ -73,7 +73,7 @@
             self.loop.call_at(self.draining_since + DRAIN_CLOSE_IDLE_AFTER_S, self._drain_connections)
 
     def _drain_connections(self) -> None:
-        """Send clients away once the platform has had its time to stop sending new ones."""
+        """Send a GOAWAY to clients once the platform has had its time to stop sending new ones."""
         is_due = self.loop.now() >= self.draining_since + DRAIN_CLOSE_IDLE_AFTER_S
         if self.readiness.phase is Phase.DRAINING and is_due:
             for connection in self.connections:
@@ -92,9 +92,10 @@
         self._drain_connections()
 
     def _close_idle_connection(self) -> bool:
-        """Close the idle connection heard from longest ago, those that sent nothing first; False if none is.
+        """Close the connection that is idle for longest, those that sent nothing first; False if none is.
 
-        Guards the file descriptors that the engines need.
+        Idle clients at the limit would keep every new one out, while more connections than the limit would
+        take the file descriptors that connections to engines need.
         """
         idle = [connection for connection in self.connections if connection.is_idle]
         if not idle:
--- a/query_gateway/rpc/call.py
+++ b/query_gateway/rpc/call.py
@@ -1,15 +1,25 @@
-"""One gRPC call, which is one HTTP/2 stream: its state, the messages queued on it, and who handles it."""
+"""One gRPC call, which is one HTTP/2 stream: its state, the messages queued on it, and who handles it.
+
+Our side of a call:
+
+    OPEN --send(half_close), finish--> HALF_CLOSING --END_STREAM with the last message--> HALF_CLOSED
+      |                                     |                                                 |
+      `---- trailers sent, reset by either side, refused by a GOAWAY, connection ended -------+--> CLOSED
+
+Nothing is added to a call from HALF_CLOSING on, and nothing is sent from CLOSED on. Only the connection
+closes a call (`mark_closed`), as it owns the table of open calls.
+"""
 
 from collections import deque
 from collections.abc import Callable
 from dataclasses import dataclass
 from enum import Enum
-from typing import TYPE_CHECKING
+from typing import Protocol
 
-from query_gateway.rpc.framing import MessageDecoder, encode_message
+from h2.connection import H2Connection
 
-if TYPE_CHECKING:
-    from query_gateway.rpc.connection import GrpcConnection
+from query_gateway.net.stream import Stream
+from query_gateway.rpc.framing import MessageDecoder, encode_message
 
 Headers = list[tuple[str, str]]
 
@@ -35,7 +45,7 @@
 
 
 class CallState(Enum):
-    """Our side of a call, and whether the call as a whole is over."""
+    """Our side of a call, and whether both sides have ended it."""
 
     OPEN = "open"
     HALF_CLOSING = "half-closing"  # nothing is added any more; END_STREAM follows what is queued
@@ -51,13 +61,39 @@
     on_sent: Callable[[], None] | None  # called once flow control has let the last byte go
 
 
+class CallConnection(Protocol):
+    """What a call uses of its connection, which owns the call and the state of HTTP/2."""
+
+    h2: H2Connection
+    stream: Stream
+
+    @property
+    def can_write(self) -> bool:
+        """Whether the outbox takes more from the calls."""
+
+    def wake(self) -> None:
+        """Give the connection's task its turn."""
+
+    def flush(self) -> None:
+        """Write what h2 has ready."""
+
+    def forget(self, call: "Call") -> None:
+        """Close a call and drop what it has queued."""
+
+    def reset(self, call: "Call") -> None:
+        """Close a call and send RST_STREAM with CANCEL."""
+
+    def acknowledge(self, call: "Call", flow_controlled_bytes: int) -> None:
+        """Open the flow-control windows of the call and of the connection again by so many bytes."""
+
+
 class Call:
     """One call on a connection, from either side.
 
     A message waits here, not in the connection's outbox, until the flow-control windows let it go.
     """
 
-    def __init__(self, connection: "GrpcConnection", stream_id: int, handler: CallHandler) -> None:
+    def __init__(self, connection: CallConnection, stream_id: int, handler: CallHandler) -> None:
         """Begin an open call with nothing queued; the connection owns it until it is closed."""
         self.connection, self.stream_id, self.handler = connection, stream_id, handler
         self.decoder = MessageDecoder()
@@ -67,7 +103,7 @@
 
     @property
     def is_closed(self) -> bool:
-        """Whether the call is over: nothing is sent, and its handler hears at most that it was aborted."""
+        """Whether the call is over: nothing is sent, and its handler is notified of an abort at most."""
         return self.state is CallState.CLOSED
 
     def send_headers(self, headers: Headers, end_stream: bool = False) -> None:
@@ -84,7 +120,7 @@
     ) -> None:
         """Queue a message, without its prefix, and send what the windows allow.
 
-        `on_sent` is called once flow control has let the message go as a whole, which may be at once. With
+        `on_sent` is called once flow control has let the complete message go, which may be at once. With
         `half_close` nothing may follow it.
         """
         if self.is_closed:
@@ -123,7 +159,8 @@
             self.connection.h2.send_headers(self.stream_id, self.trailers, end_stream=True)
             self.connection.forget(self)
             has_sent = True
-        if has_sent:  # else the connection's task would wake itself for ever
+        # The connection's task calls this: woken without need it would run in every turn and keep a core busy
+        if has_sent:
             self.connection.wake()
 
     def _send_piece(self) -> bool:
--- a/query_gateway/rpc/connection.py
+++ b/query_gateway/rpc/connection.py
@@ -1,7 +1,15 @@
-"""One HTTP/2 connection that carries gRPC calls, on either side; h2 keeps the protocol's state."""
+"""One HTTP/2 connection that carries gRPC calls, on either side; h2 keeps the protocol's state.
+
+    (dialling) --> serving --drain, GOAWAY of either side--> draining --last call closed--> ended
+                      |                                          |
+                      `------- connection lost, protocol broken, close() ------------------> ended
+
+Connections of clients are drained as well when they have been idle for `IDLE_TIMEOUT_S`. A connection that
+ends aborts the calls that are still open.
+"""
 
 import contextlib
-from collections.abc import Callable, Generator
+from collections.abc import Generator
 
 import h2.config
 import h2.connection
@@ -13,7 +21,7 @@
 from query_gateway.net.loop import Loop, Task
 from query_gateway.net.stream import Reason, Stream
 from query_gateway.rpc.call import Call, CallHandler, Headers
-from query_gateway.rpc.peer_events import PeerEventHandler
+from query_gateway.rpc.peer_events import CallAcceptor, PeerEventHandler
 
 CALL_WINDOW_BYTES = 262_144  # of one call that may be under way to us and not yet passed on
 CONNECTION_WINDOW_INCREMENT_BYTES = 16 * CALL_WINDOW_BYTES
@@ -25,7 +33,6 @@
 HALF_CLOSE_TIMEOUT_S = 1.0  # in which a client must close its side after we have closed ours
 MAX_OUTBOX_BYTES = 1_048_576  # kept for a client that does not read, before its calls wait
 
-CallAcceptor = Callable[[dict[str, str], Call], CallHandler]
 Steps = Generator[float | None, None, None]
 
 
@@ -42,7 +49,7 @@
         self.h2 = _new_h2_connection(is_client)
         self.calls: dict[int, Call] = {}  # the open calls by their stream id
         self.on_call: CallAcceptor | None = None
-        # An engine's call waits in its own queue and not behind others in the outbox: so it can be withdrawn
+        # An engine's call waits in its own queue, not behind others in the outbox: so it can be withdrawn
         self.max_outbox_bytes = 1 if is_client else MAX_OUTBOX_BYTES
         self.draining = False  # no call is begun any more, here or by the peer; open calls go on
         self.has_received = False
@@ -55,7 +62,7 @@
         self.task: Task = loop.spawn(self._run())
         stream.on_activity = self.task.wake
 
-    # ---- what the owner asks for
+    # ---- for the owner of the connection
 
     @property
     def is_idle(self) -> bool:
@@ -77,9 +84,10 @@
         return call
 
     def send_goaway(self) -> None:
-        """Tell the client that no further call is taken; the connection ends once its open calls have.
+        """Notify the client that no further call is accepted; the connection ends once its open calls have.
 
-        The frame is written here because h2 would refuse to go on with the open calls after its own GOAWAY.
+        The frame is built here: h2 accepts nothing more for the open calls once it has sent a GOAWAY itself,
+        while RFC 9113 section 6.8 lets them go on.
         """
         if not self.draining and not self.stream.is_over:
             self.flush()
@@ -96,7 +104,7 @@
         self.stream.close(reason)
         self.wake()
 
-    # ---- what its calls ask for
+    # ---- for its calls (`CallConnection`)
 
     @property
     def can_write(self) -> bool:
@@ -167,22 +175,27 @@
                 self._end_idle_connection()
 
     def _idle_deadline(self) -> float | None:
-        """When a client's connection without a call ends; guards the file descriptors against silent ones."""
+        """When a client's connection without a call ends (loop time); None: it stays.
+
+        Clients that connect and send nothing, or never close, would use up the file descriptors, and other
+        clients could not connect any more.
+        """
         if self.calls or self.is_client:
             return None
         return self.last_received_at + (IDLE_TIMEOUT_S if self.has_received else FIRST_BYTES_TIMEOUT_S)
 
     def _end_idle_connection(self) -> None:
-        """Drain, unless a call has just arrived; one that crosses the GOAWAY learns that it never ran."""
+        """Drain, unless a call has just arrived; one that crosses the GOAWAY is refused as never run."""
         self.stream.read_available()
         if not self.stream.inbox:
             self.end_reason = Reason.IDLE
             self.send_goaway()
 
     def _deliver_last_answer(self) -> Steps:
-        """Send the outbox to its end, then half-close.
+        """Send all of the outbox, then half-close.
 
-        Guards the last answer: closing a socket over unsent or unread bytes would cut it off.
+        A socket that is closed over unsent or unread bytes sends a reset, and the client loses the end of its
+        last answer. So the close waits until the outbox is empty and the client has closed its side.
         """
         deadline = self.loop.now() + SLOW_READER_TIMEOUT_S
         while self.stream.outbox and not self.stream.reset and self.loop.now() < deadline:
@@ -198,7 +211,7 @@
         calls, self.calls = list(self.calls.values()), {}
         for call in calls:
             call.mark_closed()
-            # A peer acts on a call only when its message has arrived whole
+            # A peer acts on a call only when its message has arrived completely
             never_ran = self.peer_events.is_refused(call) or not self.stream.connected or bool(call.queue)
             call.handler.on_aborted(never_ran)
 
@@ -209,7 +222,7 @@
             for event in self.h2.receive_data(self.stream.take_inbox()):
                 self.peer_events.handle(event)
         except (h2.exceptions.ProtocolError, UnicodeDecodeError):
-            self.flush()  # h2's GOAWAY names the error
+            self.flush()  # h2 has a GOAWAY ready that names the error
             return False
         return True
 
@@ -218,6 +231,7 @@
     connection = h2.connection.H2Connection(
         h2.config.H2Configuration(client_side=is_client, header_encoding="utf-8")
     )
+    # An attribute of the h2 library, which sends these settings in the connection preface
     connection.local_settings = h2.settings.Settings(
         client=is_client,
         initial_values={
--- a/query_gateway/rpc/framing.py
+++ b/query_gateway/rpc/framing.py
@@ -1,8 +1,11 @@
-"""Length-prefixed gRPC messages: bytes in, messages out, and back. No socket and no clock."""
+"""Length-prefixed messages ("gRPC over HTTP/2", Length-Prefixed-Message): bytes in, messages out, and back.
+
+No socket and no clock.
+"""
 
 from query_gateway.rpc.errors import FramingError
 
-PREFIX_BYTES = 5  # one byte that tells whether the message is compressed, four bytes of its length
+PREFIX_BYTES = 5  # one byte for the compressed flag, four bytes for the length, big-endian
 MAX_MESSAGE_BYTES = 16_777_216
 
 
--- a/query_gateway/rpc/peer_events.py
+++ b/query_gateway/rpc/peer_events.py
@@ -1,31 +1,41 @@
 """What the peer's HTTP/2 frames, as h2 decodes them, mean for the calls of a connection."""
 
-from typing import TYPE_CHECKING
+from collections.abc import Callable
+from typing import Protocol
 
 import h2.errors
 import h2.events
 
-from query_gateway.rpc.call import Call, CallHandler
+from query_gateway.rpc.call import Call, CallConnection, CallHandler
 from query_gateway.rpc.errors import FramingError
 
-if TYPE_CHECKING:
-    from query_gateway.rpc.connection import GrpcConnection
-
-MAX_STREAM_ID = 2**31 - 1
+MAX_STREAM_ID = 2**31 - 1  # RFC 9113 section 5.1.1
 HeadersEvent = h2.events.ResponseReceived | h2.events.TrailersReceived
+CallAcceptor = Callable[
+    [dict[str, str], Call], CallHandler
+]  # request headers and the new call to its handler
+
+
+class CallOwner(CallConnection, Protocol):
+    """What the peer's events change on the connection that owns the calls."""
+
+    is_client: bool
+    draining: bool  # no call is begun any more, here or by the peer; open calls go on
+    calls: dict[int, Call]  # the open calls by their stream id
+    on_call: CallAcceptor | None  # of a server: called for each new call
 
 
 class PeerEventHandler:
     """Applies h2's events to the calls of one connection and notifies their handlers."""
 
-    def __init__(self, connection: "GrpcConnection") -> None:
+    def __init__(self, connection: CallOwner) -> None:
         """Serve this connection, which owns the calls."""
         self.connection = connection
         self.newest_stream_id = 0  # of the last call that the peer began
         self.goaway_stream_id = MAX_STREAM_ID  # the last call that the peer's GOAWAY promises to serve
 
     def is_refused(self, call: Call) -> bool:
-        """Whether the peer's GOAWAY says that it never acted on this call."""
+        """Whether the peer's GOAWAY excludes that it acted on this call (RFC 9113 section 6.8)."""
         return call.stream_id > self.goaway_stream_id
 
     def handle(self, event: h2.events.Event) -> None:
@@ -61,7 +71,9 @@
         if not accept_call or not event.stream_id:
             return
         headers = _header_dict(event)
-        if self.connection.draining:  # it crossed our GOAWAY: REFUSED_STREAM says that it never ran
+        if self.connection.draining:
+            # The call crossed our GOAWAY. REFUSED_STREAM guarantees to the client that it never ran, so it
+            # may be sent again elsewhere (RFC 9113 section 8.7)
             self.connection.h2.reset_stream(event.stream_id, h2.errors.ErrorCodes.REFUSED_STREAM)
             return
         self.newest_stream_id = event.stream_id
@@ -75,7 +87,9 @@
         flow_controlled_bytes = event.flow_controlled_length or 0
         call = self._find_call(event.stream_id)
         if call is None or call.is_closed:
-            # Guards the connection's window: nobody else acknowledges what still comes for a closed call
+            # What still comes for a closed call counts towards the connection's flow-control window (RFC 9113
+            # section 5.1) and is acknowledged nowhere else: the window would shrink until the peer can send
+            # nothing on any call
             self.connection.h2.acknowledge_received_data(flow_controlled_bytes, event.stream_id)
         else:
             self._decode_messages(call, event.data or b"", flow_controlled_bytes)
@@ -87,7 +101,8 @@
             call.reset()
             call.handler.on_aborted(False)
             return
-        # What completes no message is acknowledged at once, or one above the window would never come whole
+        # What completes no message is acknowledged at once: the peer could never send the end of a message
+        # that is larger than the window, and the call would stand still
         if not messages:
             call.acknowledge(flow_controlled_bytes)
         for index, message in enumerate(messages):
@@ -100,7 +115,7 @@
 
     def _on_reset(self, call: Call, event: h2.events.StreamReset) -> None:
         is_refused = event.error_code == h2.errors.ErrorCodes.REFUSED_STREAM
-        # A peer acts on a call only when its message has arrived whole
+        # A peer acts on a call only when its message has arrived completely
         never_ran = is_refused or bool(call.queue)
         self.connection.forget(call)
         call.handler.on_aborted(never_ran)
--- a/query_gateway/rpc/status.py
+++ b/query_gateway/rpc/status.py
@@ -4,7 +4,7 @@
 
 
 class GrpcStatus(IntEnum):
-    """The status codes that the gateway sends or tells apart; the numbers are gRPC's."""
+    """The status codes that the gateway sends or distinguishes; the numbers are gRPC's."""
 
     OK = 0
     INVALID_ARGUMENT = 3
