--- a/tests/test_flight.py
+++ b/tests/test_flight.py
@@ -18,6 +18,8 @@
 from query_gateway.configuration.operator_file import OperatorSettings, StatementSettings
 from query_gateway.forwarder.messages import Verdict
 from query_gateway.gateway import Gateway
+from query_gateway.parsing.parsers import SlotState
+from query_gateway.parsing.service import StatementService
 from tests.stand_ins import Engine, config, post
 from tests.test_local import until
 
@@ -99,6 +101,8 @@
     thread = threading.Thread(target=gate.loop.run, daemon=True)
     thread.start()
     try:
+        if gate.statements:
+            wait_for_a_parser(gate.statements)
         yield gate
     finally:
         gate.loop.stop()
@@ -109,6 +113,15 @@
         assert not thread.is_alive() and gate.loop.faults == 0
 
 
+def wait_for_a_parser(statements: StatementService) -> None:
+    """Wait until a parser process is ready.
+
+    A statement that comes earlier is rejected after `MAX_WAIT_S`, which may be over before the process has
+    started where the cores are busy.
+    """
+    until(lambda: any(slot.state is SlotState.IDLE for slot in statements.supervisor.pool.slots))
+
+
 def client(gate: Gateway) -> Any:
     assert gate.flight_server
     return fl.connect(f"grpc://127.0.0.1:{gate.flight_server.listener.address[1]}")
