--- a/query_gateway/http/connection.py
+++ b/query_gateway/http/connection.py
@@ -1,45 +1,83 @@
-"""One client connection: waits for a request, reads it, has it handled, sends the response, and closes."""
+"""One client connection: waits for a request, reads it, has it handled, sends the response, and closes.
+
+The state of a connection is the place of its coroutine; each step is the method in brackets:
+
+    awaiting a request --> reading --> handling --> responding --.
+    [_await_request]       [_serve_plain_request or              |
+      ^   |   |             _serve_h11_request]                  |
+      |   |   |                |           |                     |
+      |   |   |                |           `- client left ---> closed
+      |   |   |                `- invalid, too slow: [_reject] --+
+      |   |   `- unused, draining, server closes ----------------+--> closing [_close_gracefully] --> closed
+      |   `- transferred to the successor, client left --> closed |
+      `---------------------- the connection goes on -------------'
+
+`drop` leads to closed from anywhere. Why a connection ends is decided in `end_reasons`.
+"""
 
 import socket
 from collections.abc import Generator
-from typing import TYPE_CHECKING
+from typing import Protocol
 
 import h11
 
 from query_gateway.forwarder.invariants import Invariant
-from query_gateway.forwarder.readiness import DRAIN_CLOSE_IDLE_AFTER_S
+from query_gateway.forwarder.messages import RequestClasses
+from query_gateway.forwarder.readiness import DRAIN_CLOSE_IDLE_AFTER_S, Readiness
+from query_gateway.http.end_reasons import (
+    reason_after_last_response,
+    reason_after_rejection,
+    reason_of_drained_connection,
+    reason_of_lost_connection,
+    reason_of_unused_connection,
+)
 from query_gateway.http.h11_request import MAX_HEADER_BYTES, HttpRequest, read_request
 from query_gateway.http.plain_request import PlainRequest, parse_plain_request
 from query_gateway.http.request_decoding import RequestError, decode_request
-from query_gateway.http.request_handler import RequestHandler
+from query_gateway.http.request_handler import RequestContext, RequestHandler
 from query_gateway.http.responses import (
     Response,
     encode_h11_response,
     encode_plain_response,
     failure_response,
 )
+from query_gateway.http.routing import addressed_class_name, liveness_response
 from query_gateway.net.log import log
 from query_gateway.net.loop import Task
 from query_gateway.net.steady_clock import clock_time_of
 from query_gateway.net.stream import Reason, Stream
 
-if TYPE_CHECKING:
-    from query_gateway.http.server import HttpServer
-
 FIRST_REQUEST_TIMEOUT_SECONDS = 2.0  # from the connection's start until its first request is complete
 REQUEST_TIMEOUT_SECONDS = 5.0  # from the start of a later request until it is complete
 RESPONSE_TIMEOUT_SECONDS = 30.0  # until the client has read a response
 IDLE_TIMEOUT_SECONDS = 6.0  # clients close what was idle for 4 s; those that never do are closed soon after
-LINGER_SECONDS = 1.0  # how long input is still read behind our half close
+LINGER_SECONDS = 1.0  # how long input is still read after our half-close
 TRANSFER_RETRY_SECONDS = 0.02  # until a connection that could not be transferred is tried again
 DRAIN_FIRST_REQUEST_SECONDS = 0.5  # from a connection's start until its first request, while draining
-SERVICE_PREFIX = "/svc"
-LIVENESS_PATH = "/status/live"
 
 Steps = Generator[float | None, None, Reason]
 OptionalReason = Generator[float | None, None, Reason | None]
 
 
+class IdleTransfer(Protocol):
+    """Passes an idle connection to the successor in a hot upgrade."""
+
+    def __call__(self, sock: socket.socket, peer: str, has_sent_request: bool, /) -> bool:
+        """Whether the successor has it; `has_sent_request`: a complete request has come on it."""
+
+
+class ConnectionContext(RequestContext, Protocol):
+    """What a connection uses of the server, which owns it and its tables of connections."""
+
+    classes: RequestClasses  # those that requests may name
+    readiness: Readiness
+    closing: bool  # no further request is waited for
+    transfer: IdleTransfer | None  # set while idle connections are transferred
+    connections: "dict[HttpConnection, None]"
+    without_request: "dict[HttpConnection, None]"  # no complete request came yet, oldest first
+    idle: "dict[HttpConnection, None]"  # between two requests, longest idle first
+
+
 class HttpConnection:
     """Serves one connection in a coroutine; owns its stream.
 
@@ -47,10 +85,13 @@
     connections without a request. Its steps return the reason why the connection ends, or None to go on.
     """
 
-    def __init__(self, server: "HttpServer", sock: socket.socket, peer: str, has_sent_request: bool) -> None:
-        """`has_sent_request`: a complete request has come already, before a hot upgrade transferred it."""
+    def __init__(self, server: ConnectionContext, stream: Stream, peer: str, has_sent_request: bool) -> None:
+        """Serve an accepted connection, whose stream is not started yet; `peer` is the client's ADDRESS:PORT.
+
+        `has_sent_request`: a complete request has come already, before a hot upgrade transferred it.
+        """
         self.server, self.loop, self.peer = server, server.loop, peer
-        self.stream = Stream(server.loop, sock, f"client {peer}", waiting_since=server.listener.waiting_since)
+        self.stream = stream
         self.http = h11.Connection(h11.SERVER, max_incomplete_event_size=MAX_HEADER_BYTES)
         self.task: Task = server.loop.spawn(self._run())
         self.handler = RequestHandler(server, self.stream, self.task.wake)
@@ -95,7 +136,7 @@
                 return (yield from self._reject(error.error_status_hint or 400, str(error)))
             except RequestError as error:
                 return (yield from self._reject(error.status, str(error)))
-            except Exception as error:  # a fault of ours must not cost the client its answer
+            except Exception as error:  # a fault in our own code must not leave the client without an answer
                 return (yield from self._fail_for_fault(error))
             if ended:
                 return ended
@@ -110,13 +151,14 @@
             self.server.idle[self] = None
         while not self.stream.inbox and not self.http.trailing_data[0]:
             if self.stream.is_over:
-                return Reason.RESET if self.stream.reset else Reason.PEER_CLOSED
+                return reason_of_lost_connection(self.stream)
             if self.server.closing or self.loop.now() >= deadline:
-                # A request may have arrived just now: closing over it would be a reset
+                # A request may have arrived just now. Closed over unread bytes the connection would be reset,
+                # and the client would have no answer to it
                 self.stream.read_available()
                 if self.stream.inbox or self.stream.eof:
                     continue
-                reason = Reason.STOPPING if self.server.closing else self._unused_reason()
+                reason = reason_of_unused_connection(self.server.closing, self.has_sent_request)
                 return (yield from self._close_gracefully(reason))
             wake_at = deadline
             if self.server.transfer:
@@ -126,15 +168,12 @@
             if self.server.draining_for(DRAIN_CLOSE_IDLE_AFTER_S):
                 wake_at = min(wake_at, self.started_at + DRAIN_FIRST_REQUEST_SECONDS)
                 if self.has_sent_request or self.loop.now() >= wake_at:
-                    reason = Reason.DRAINED if self.has_sent_request else Reason.UNRESPONSIVE
+                    reason = reason_of_drained_connection(self.has_sent_request)
                     return (yield from self._close_gracefully(reason))
             yield wake_at
         self.server.idle.pop(self, None)
         return Reason.TOO_MANY if self.stream.closed else None
 
-    def _unused_reason(self) -> Reason:
-        return Reason.IDLE if self.has_sent_request else Reason.UNRESPONSIVE
-
     @property
     def has_partial_request(self) -> bool:
         """Whether a request has begun to come; h11 keeps what has been taken from the inbox."""
@@ -163,7 +202,7 @@
         if ended := (yield from self._send_response(response)):
             return ended
         self.bypasses_h11 = False
-        return (yield from self._close_gracefully(self._last_reason())) if self.announced_close else None
+        return (yield from self._close_after_last_response()) if self.announced_close else None
 
     def _serve_h11_request(self) -> OptionalReason:
         deadline = self.first_request_deadline
@@ -180,25 +219,17 @@
         if ended := (yield from self._send_response(response)):
             return ended
         if self.http.our_state is not h11.DONE or self.http.their_state is not h11.DONE:
-            return (yield from self._close_gracefully(self._last_reason()))
+            return (yield from self._close_after_last_response())
         self.http.start_next_cycle()
         return None
 
     def _respond_to(self, request: HttpRequest) -> Generator[float | None, None, Response | Reason]:
-        """Route one request by its path and method."""
-        server = self.server
-        if request.path == LIVENESS_PATH:
-            if request.method not in ("GET", "HEAD"):
-                raise RequestError(405, "only GET is known here")
-            live = server.readiness.ready
-            return Response(200 if live else 503, {"live": live})
-        prefix, _, class_name = request.path.rpartition("/")
-        if prefix != SERVICE_PREFIX:
-            raise RequestError(404, "the path is unknown")
-        if request.method != "POST":
-            raise RequestError(405, "only POST is known here")
+        """Answer for the liveness path, or have the statement handled."""
+        if liveness := liveness_response(request, self.server.readiness.ready):
+            return liveness
+        class_name = addressed_class_name(request)
         decoded = decode_request(
-            class_name, server.classes, request.headers, request.body, self._arrived_at()
+            class_name, self.server.classes, request.headers, request.body, self._arrived_at()
         )
         return (yield from self.handler.handle(decoded))
 
@@ -206,7 +237,7 @@
 
     def _send_response(self, response: Response, closing: bool = False) -> OptionalReason:
         """Send, and wait until the client has read enough of it; a reason if it does not."""
-        if closing or self._ends_with_response():
+        if closing or self._is_last_response():
             closing = self.announced_close = True
         if self.bypasses_h11:
             self.stream.write(encode_plain_response(response, closing))
@@ -222,13 +253,14 @@
             yield deadline
         return None
 
-    def _ends_with_response(self) -> bool:
+    def _is_last_response(self) -> bool:
         """Whether the connection ends with the response to be sent."""
         if self.handler.discarded_bytes or self.server.rejects_all or self.handler.rejects_all:
             return True
         if not self.server.closing and not self.server.draining_for():
             return False
-        # A request that has been read behind this one is owed an answer as well
+        # The client may have sent a further request already (pipelining, RFC 9112 section 9.3.2), which a
+        # close with this response would leave unanswered
         self.stream.read_available()
         return not self.stream.inbox and not self.http.trailing_data[0]
 
@@ -242,29 +274,27 @@
         return Reason.FAULT
 
     def _reject(self, status: int, text: str) -> Steps:
-        """Say what is wrong with a request, where the connection still allows a response, and close."""
+        """Send what is wrong with a request, where HTTP still allows a response, and close."""
         if self.http.our_state in (h11.IDLE, h11.SEND_RESPONSE):
             ended = yield from self._send_response(failure_response(status, text), closing=True)
             if ended:
                 return ended
-        reason = Reason.SLOW_REQUEST if status == 408 else Reason.BAD_REQUEST
-        return (yield from self._close_gracefully(reason))
+        return (yield from self._close_gracefully(reason_after_rejection(status)))
 
-    def _last_reason(self) -> Reason:
-        """Why a connection ends with its response."""
-        if self.handler.rejects_all:
-            return Reason.TOO_MANY
-        if self.handler.discarded_bytes:
-            return Reason.BAD_REQUEST
-        if self.server.closing:
-            return Reason.STOPPING
-        return Reason.DRAINED if self.server.draining_for() else Reason.DONE
+    def _close_after_last_response(self) -> Steps:
+        reason = reason_after_last_response(
+            beyond_limit=self.handler.rejects_all,
+            sent_too_much=self.handler.discarded_bytes > 0,
+            closing=self.server.closing,
+            draining=self.server.draining_for(),
+        )
+        return (yield from self._close_gracefully(reason))
 
     def _close_gracefully(self, reason: Reason) -> Steps:
-        """End the connection for a reason.
+        """End the connection as RFC 9112 section 9.6 recommends: half-close, then read on for a while.
 
-        A request behind our half close is not served: its response could not be sent, so its client sends it
-        again elsewhere. A client that has sent too much is not waited for.
+        A request that comes after our half-close is not served: its response could not be sent, and its
+        client sends it again elsewhere. A client that has sent too much is not waited for.
         """
         if self.handler.has_sent_too_much:
             return reason
--- a/query_gateway/http/h11_request.py
+++ b/query_gateway/http/h11_request.py
@@ -25,7 +25,7 @@
 def read_request(
     connection: h11.Connection, stream: Stream, deadline: float
 ) -> Generator[float | None, None, HttpRequest | Reason]:
-    """Read one complete request, or say why there is none.
+    """Read one complete request, or return why there is none.
 
     Raises RequestError for one that is too large or not complete at the deadline (loop time), and h11's
     RemoteProtocolError for bytes that are no HTTP.
@@ -61,7 +61,7 @@
     elif stream.loop.now() >= deadline:
         raise RequestError(408, "the request did not come whole in time")
     else:
-        if connection.they_are_waiting_for_100_continue:
+        if connection.they_are_waiting_for_100_continue:  # RFC 9110 section 10.1.1
             proceed = h11.InformationalResponse(status_code=100, headers=[])
             stream.write(connection.send(proceed) or b"")
         yield deadline
@@ -71,7 +71,8 @@
 def _check_body_length(request: h11.Request) -> None:
     names = {name for name, _ in request.headers}
     if b"content-length" in names and b"transfer-encoding" in names:
-        # Such a body could hide a second request from one of two parsers
+        # The client sent both headers. Two parsers on the way may then disagree on where the body ends, and
+        # one takes the rest of it for another request (request smuggling, RFC 9112 sections 6.1 and 11.2)
         raise RequestError(400, "the body has two lengths")
     for name, value in request.headers:
         if name == b"content-length" and int(value) > MAX_BODY_BYTES:  # h11 has checked that it is a number
--- a/query_gateway/http/plain_request.py
+++ b/query_gateway/http/plain_request.py
@@ -1,7 +1,7 @@
 """A fast parser for the one form that nearly all requests have.
 
-h11 costs too much processor time on the busiest days. Whatever differs from this form in the least (another
-method, odd or repeated headers, an incomplete body, more than one request) is left to h11.
+It takes a fraction of the processor time of h11. Whatever differs from this form (another method, unusual or
+repeated headers, an incomplete body, more than one request) is left to h11.
 """
 
 import re
--- a/query_gateway/http/request_handler.py
+++ b/query_gateway/http/request_handler.py
@@ -2,39 +2,52 @@
 
 from collections.abc import Callable, Generator
 from dataclasses import replace
-from typing import TYPE_CHECKING
+from typing import TYPE_CHECKING, Protocol
 
 from query_gateway.forwarder.exchange import Exchange
+from query_gateway.forwarder.forwarder import Forwarder
 from query_gateway.forwarder.messages import Answer, ClientRequest, Verdict
 from query_gateway.forwarder.readiness import DRAIN_REJECT_AFTER_S
 from query_gateway.http.request_decoding import RequestError
 from query_gateway.http.responses import Response, failure_response, response_to
+from query_gateway.net.loop import Loop
 from query_gateway.net.stream import Reason, Stream
 
 if TYPE_CHECKING:
-    from query_gateway.http.server import HttpServer
     from query_gateway.parsing.service import Classification, StatementService
 
 MAX_LOOP_LAG_SECONDS = 0.25  # above it new requests are rejected before the forwarder spends time on them
 MAX_DISCARDED_BYTES = 1_048_576  # beyond a full inbox that a client may send ahead of its answer
 
 
-def _is_not_awaited() -> bool:
-    """Behind its answer a client is not looked for any more."""
+class RequestContext(Protocol):
+    """What the handling of a request uses of the server."""
+
+    loop: Loop
+    forwarder: Forwarder
+    statements: "StatementService | None"  # None where statements are not parsed
+    rejects_all: bool  # too late before the process ends to begin anything
+
+    def draining_for(self, seconds: float = 0.0) -> bool:
+        """Whether draining began, and at least so many seconds ago."""
+
+
+def _has_left_after_answer() -> bool:
+    """Stands in for the client once it has its answer: nobody looks for it any more."""
     return True
 
 
 class PendingAnswer:
     """The client's side of an exchange: holds the answer once it is there."""
 
-    def __init__(self, wake: Callable[[], None], is_gone: Callable[[], bool]) -> None:
-        """`wake` is called when the answer has come; `is_gone` tells whether the client has closed."""
-        self.wake, self._is_gone = wake, is_gone
+    def __init__(self, wake: Callable[[], None], has_left: Callable[[], bool]) -> None:
+        """`wake` is called when the answer has come; `has_left` returns whether the client has closed."""
+        self.wake, self._has_left = wake, has_left
         self.answer: Answer | None = None
 
     def has_left(self) -> bool:
         """Whether the client has closed its connection."""
-        return self._is_gone()
+        return self._has_left()
 
     def send_page(self, page: bytes, on_sent: Callable[[], None]) -> None:
         """Never called: this front takes complete results."""
@@ -43,22 +56,23 @@
     def send_answer(self, answer: Answer) -> None:
         """Hold the answer and wake the connection that sends it."""
         self.answer = answer
-        # Exchange and attempts refer to each other until they are collected; the connection goes before
-        self._is_gone = _is_not_awaited
+        # Exchange and attempts refer to each other and stay until the garbage collector runs. Without a
+        # reference to the connection from here it is freed at its end, and memory does not grow meanwhile
+        self._has_left = _has_left_after_answer
         self.wake()
 
 
 class RequestHandler:
     """Handles the requests of one connection, one after another."""
 
-    def __init__(self, server: "HttpServer", stream: Stream, wake: Callable[[], None]) -> None:
+    def __init__(self, server: RequestContext, stream: Stream, wake: Callable[[], None]) -> None:
         """`wake` resumes the coroutine of the connection.
 
         While it waits the handler reads ahead on `stream`; it neither writes to it nor closes it.
         """
         self.server, self.stream, self.wake = server, stream, wake
         self.discarded_bytes = 0  # sent ahead of an answer, beyond what the inbox holds
-        self.rejects_all = False  # the connection is one more than there is room for
+        self.rejects_all = False  # the connection is above the limit on connections
         self.has_open_request = False  # one has been read, and no response to it was sent
         self._exchange: Exchange | None = None  # of that request
 
@@ -66,8 +80,9 @@
         """The response, or why the connection ends without one; raises RequestError."""
         self._exchange = None
         self._check_id_is_free(request)
-        pending = PendingAnswer(self.wake, self._client_is_gone)
-        # A client that waited long to be accepted may have left already: then no engine is given its request
+        pending = PendingAnswer(self.wake, self._client_has_left)
+        # A client that waited long to be accepted may have left already; an engine would run its request for
+        # nobody. What has arrived is read here, before anything is forwarded, and shows that it has closed
         self.stream.read_available()
         if self._must_reject_all():
             self._reject(request, pending)
@@ -79,19 +94,19 @@
         return (yield from self._await_answer(pending))
 
     def abandon(self) -> None:
-        """Nobody waits for the request's answer any more."""
+        """The client waits for the request's answer no longer."""
         exchange, self._exchange = self._exchange, None
         if exchange:
             exchange.abandon()
 
-    def _client_is_gone(self) -> bool:
+    def _client_has_left(self) -> bool:
         """Whether the client has closed; what has come since the last poll is read for that."""
         self.stream.read_available()
         return self.stream.is_over
 
     @property
     def has_sent_too_much(self) -> bool:
-        """Whether the client has sent more ahead of its answer than is borne."""
+        """Whether the client has sent more than `MAX_DISCARDED_BYTES` ahead of its answer."""
         return self.discarded_bytes > MAX_DISCARDED_BYTES
 
     def _check_id_is_free(self, request: ClientRequest) -> None:
@@ -102,7 +117,7 @@
         """Whether every new request is rejected at once.
 
         A loop that lags would answer all requests late if it accepted more. Clients that keep sending while
-        they are drained, or to the end of the process, would never let their connections become idle.
+        the gateway drains, or until the process ends, would never let their connections become idle.
         """
         server = self.server
         return (
@@ -155,7 +170,7 @@
                 self.abandon()
                 return failure_response(413, "too much was sent ahead") if sent_too_much else Reason.ABANDONED
             yield None
-        self._exchange = None  # the exchange refers to us: a cycle would be left to the collector
+        self._exchange = None  # the exchange refers to this handler: a cycle, freed by the collector alone
         return response_to(pending.answer)
 
     def _discard_excess_input(self) -> bool:
--- a/query_gateway/http/responses.py
+++ b/query_gateway/http/responses.py
@@ -46,7 +46,7 @@
 
 
 def response_to(answer: Answer) -> Response:
-    """The response that tells a client the forwarder's final answer."""
+    """The response that carries the forwarder's final answer."""
     if answer.verdict is Verdict.REJECTED:
         retry_after_ms = -(-answer.retry_after_ns // NANOSECONDS_PER_MS)  # rounded up
         return Response(429, {"failure": "Overloaded"}, (("X-Throttle-Ms", str(retry_after_ms)),))
@@ -80,7 +80,7 @@
 ) -> bytes:
     """The response to the request that the h11 connection has read; its state moves on with it.
 
-    `with_body` is False for the response to a HEAD, which has the headers alone.
+    `with_body` is False for the response to a HEAD, which has the headers alone (RFC 9110 section 9.3.2).
     """
     headers, body = _headers_and_body(response, closing)
     data = connection.send(h11.Response(status_code=response.status, headers=headers)) or b""
--- /dev/null
+++ b/query_gateway/http/routing.py
@@ -0,0 +1,33 @@
+"""Which request class a request addresses, by its path and method; answers those for the liveness path."""
+
+from query_gateway.http.h11_request import HttpRequest
+from query_gateway.http.request_decoding import RequestError
+from query_gateway.http.responses import Response
+
+SERVICE_PREFIX = "/svc"
+LIVENESS_PATH = "/status/live"
+
+
+def liveness_response(request: HttpRequest, is_ready: bool) -> Response | None:
+    """The response to a request for the liveness path, None for any other path.
+
+    `is_ready`: whether the gateway accepts requests. Raises RequestError for an unsupported method.
+    """
+    if request.path != LIVENESS_PATH:
+        return None
+    if request.method not in ("GET", "HEAD"):
+        raise RequestError(405, "only GET is known here")
+    return Response(200 if is_ready else 503, {"live": is_ready})
+
+
+def addressed_class_name(request: HttpRequest) -> str:
+    """The name of the request class that a POST addresses; raises RequestError for any other request.
+
+    Whether the class exists is for the decoding to find out.
+    """
+    prefix, _, class_name = request.path.rpartition("/")
+    if prefix != SERVICE_PREFIX:
+        raise RequestError(404, "the path is unknown")
+    if request.method != "POST":
+        raise RequestError(405, "only POST is known here")
+    return class_name
--- a/query_gateway/http/server.py
+++ b/query_gateway/http/server.py
@@ -1,7 +1,6 @@
 """The HTTP server: the table of client connections, eviction at its limit, draining, and hot upgrades."""
 
 import socket
-from collections.abc import Callable
 from dataclasses import dataclass
 from itertools import islice
 from typing import TYPE_CHECKING
@@ -9,7 +8,7 @@
 from query_gateway.forwarder.forwarder import Forwarder
 from query_gateway.forwarder.messages import RequestClasses
 from query_gateway.forwarder.readiness import DRAIN_CLOSE_IDLE_AFTER_S, Phase, Readiness
-from query_gateway.http.connection import HttpConnection
+from query_gateway.http.connection import HttpConnection, IdleTransfer
 from query_gateway.net.listener import Listener
 from query_gateway.net.loop import Loop
 from query_gateway.net.stream import Reason, Stream
@@ -17,12 +16,9 @@
 if TYPE_CHECKING:
     from query_gateway.parsing.service import StatementService
 
-MAX_OVERFLOW_CONNECTIONS = 16  # beyond the limit, only to be told that there is no room
+MAX_OVERFLOW_CONNECTIONS = 16  # beyond the limit; their requests are rejected
 MAX_EVICTION_CANDIDATES = 8  # connections of a table that are examined to find one to evict
 
-# Passes an idle connection to the successor: its socket, its peer, whether a request has come on it
-Transfer = Callable[[socket.socket, str, bool], bool]
-
 
 @dataclass(slots=True, frozen=True)
 class HttpServerOptions:
@@ -46,7 +42,7 @@
         self.statements = options.statements
         self.max_connections = options.max_connections
         self.readiness = options.readiness
-        self.transfer: Transfer | None = None  # set while idle connections are transferred
+        self.transfer: IdleTransfer | None = None  # set while idle connections are transferred
         self.connections: dict[HttpConnection, None] = {}
         self.without_request: dict[HttpConnection, None] = {}  # no complete request came yet, oldest first
         self.idle: dict[HttpConnection, None] = {}  # between two requests, longest idle first
@@ -74,25 +70,28 @@
             connection.task.wake()
 
     def add_connection(self, sock: socket.socket, peer: str, has_sent_request: bool = False) -> None:
-        """Serve a connection that was accepted here, or by our predecessor (`has_sent_request` of it).
+        """Serve a connection that was accepted here, or by the predecessor (`has_sent_request` of it).
 
-        At the limit, which keeps descriptors for engines, the connection that has been without a request or
-        idle for longest is evicted: a crowd of clients that send nothing keeps nobody out. Where all have
-        open requests a few more are accepted, whose requests are rejected; the others are closed unread.
+        The limit keeps descriptors for connections to engines. At the limit the connection that has been
+        without a request or idle for longest is evicted, so that many clients that send nothing cannot keep
+        others out. Where all have open requests a few more are accepted, whose requests are rejected; those
+        beyond them are closed unread.
         """
         if len(self.connections) >= self.max_connections and (candidate := self._eviction_candidate()):
             candidate.drop(Reason.TOO_MANY)
         if len(self.connections) >= self.max_connections + MAX_OVERFLOW_CONNECTIONS:
             Stream(self.loop, sock, f"client {peer}").close(Reason.TOO_MANY)
             return
-        connection = HttpConnection(self, sock, peer, has_sent_request)
+        stream = Stream(self.loop, sock, f"client {peer}", waiting_since=self.listener.waiting_since)
+        connection = HttpConnection(self, stream, peer, has_sent_request)
         connection.handler.rejects_all = len(self.connections) >= self.max_connections
         self.connections[connection] = None
 
     def _eviction_candidate(self) -> HttpConnection | None:
-        """The longest silent, else the longest idle, else the oldest whose first request is not complete.
+        """The oldest without a byte, else the longest idle, else the oldest with an incomplete first request.
 
-        Nothing has arrived on one of the first two even now.
+        For the first two, what has arrived is read first: a connection on which a request has come is not
+        evicted as a silent one.
         """
         for connection in islice(self.without_request, MAX_EVICTION_CANDIDATES):
             connection.stream.read_available()
@@ -105,7 +104,7 @@
         begun = (connection for connection in self.without_request if not connection.stream.inbox)
         return next(begun, None)
 
-    def start_transfer(self, transfer: Transfer | None) -> None:
+    def start_transfer(self, transfer: IdleTransfer | None) -> None:
         """Transfer connections that are or become idle; with None close them, as in a plain shutdown."""
         self.transfer = transfer
         if transfer is None:
