--- a/query_gateway/parsing/__init__.py
+++ b/query_gateway/parsing/__init__.py
@@ -1,7 +1,6 @@
-"""Full parses away from the loop: parser processes that may be slow, die or be killed, and the service that
-uses them.
+"""Full parses in processes of their own, and the service that classifies statements for the fronts.
 
-Decides when a parse has taken too long and what is rejected meanwhile. Owns the parser processes and the
-snapshot file of what was learned. Imported by the gateway only where an operator's file has the table
-`statements`, and by the command line.
+A parse may be slow or end its process, so none runs on the loop. Decides when a parse has taken too long and
+what is rejected meanwhile. Owns the parser processes and the snapshot file of cost estimates. Imported by the
+gateway only where an operator's file has the table `statements`, and by the command line.
 """
--- a/query_gateway/parsing/frames.py
+++ b/query_gateway/parsing/frames.py
@@ -1,7 +1,7 @@
-"""Frames between a gateway and its parser processes: a length and a msgpack value each way.
+"""Frames between a gateway and its parser processes: a length and a msgpack value.
 
 The first frame to a process holds the rules; each further one is a ParseRequest. The process answers with
-ParseResponses, the first of which says that it is ready.
+ParseResponses, the first of which has the request number READY.
 """
 
 import struct
@@ -14,22 +14,22 @@
 
 LENGTH = struct.Struct("!I")  # of what follows, in bytes
 MAX_FRAME_BYTES = 1 << 20
-READY = 0  # the request number of the response that says that a process is ready
+READY = 0  # request number of the response that a process sends once it is ready
 
 
 class FrameTooLongError(ValueError):
-    """The peer announces a frame beyond MAX_FRAME_BYTES."""
+    """The peer announces a frame longer than MAX_FRAME_BYTES."""
 
 
 class ParseRequest(msgspec.Struct, frozen=True, array_like=True):
-    """Parse this statement; its literals stay with the gateway."""
+    """Parse this statement. Its literals are not sent, as no parse result depends on them."""
 
     request_number: int
     tokens: list[str]
     literal_count: int
 
     def statement(self) -> NormalizedStatement:
-        """The statement as far as a parse needs it: without fingerprint and literals."""
+        """The statement without its fingerprint and literals, which a parse does not need."""
         return NormalizedStatement(b"", self.tokens, [""] * self.literal_count)
 
 
--- a/query_gateway/parsing/parsers.py
+++ b/query_gateway/parsing/parsers.py
@@ -1,6 +1,11 @@
-"""The state of the parser processes, free of I/O: which parses what, what waits, and what has taken too long.
+"""The state of the parser processes and of the statements that wait for them, free of I/O.
 
-Times are those of the loop, in seconds.
+    STARTING --ready--> IDLE --assign--> PARSING --completed--> IDLE
+    any state --lost or replaced--> STARTING
+
+A parse or a start that exceeds its timeout is overdue: the caller kills the process and reports it as lost.
+The statement of a lost process is quarantined, as it may have caused the loss. Times are loop times in
+seconds.
 """
 
 from collections import deque
@@ -13,20 +18,20 @@
 
 PARSE_TIMEOUT_S = 0.25
 START_TIMEOUT_S = 10.0  # within which a parser process must be ready
-MAX_WAITING = 256  # statements that wait for a parser, and callers of one; beyond, a client has to retry
+MAX_WAITING = 256  # statements that wait for a parser, and callers of one statement
 MAX_WAIT_S = 1.0  # that a statement waits for a parser
-MAX_FAILED_STARTS = 5  # in a row; after them a process is started only now and then
-RESTART_BACKOFF_S = 5.0  # until the next start then
-QUARANTINE_S = 30.0  # that a statement is not parsed again after a parser was lost over it; doubled each time
+MAX_FAILED_STARTS = 5  # in a row until starts are delayed
+RESTART_BACKOFF_S = 5.0  # between delayed starts
+QUARANTINE_S = 30.0  # a statement is not parsed for so long after its parser was lost; doubled each time
 MAX_QUARANTINE_S = 3_600.0
-MAX_QUARANTINED = 1_024  # statements remembered for that
+MAX_QUARANTINED = 1_024  # statements in quarantine
 
 ParseCallback = Callable[[ParseResult | None], None]  # None: not parsed now; the client has to retry
 
 
 @dataclass(slots=True)
 class PendingParse:
-    """A statement that waits or is being parsed, and who wants to know of it."""
+    """A statement that waits or is being parsed, and the callbacks for its result."""
 
     statement: NormalizedStatement
     enqueued_at: float
@@ -38,59 +43,59 @@
     """How long a statement is not parsed again, and why."""
 
     until: float
-    duration: float
+    duration: float  # seconds
     reason: str
 
 
 class SlotState(Enum):
-    """What the process of a slot does."""
+    """The state of a slot's process."""
 
-    STARTING = auto()  # or waiting for its start
+    STARTING = auto()  # started and not ready yet, or its start is scheduled
     IDLE = auto()
     PARSING = auto()
 
 
 @dataclass(slots=True)
 class ParserSlot:
-    """One parser process at a time, and what it works on."""
+    """A place for one parser process, with the statement that it parses."""
 
     number: int
     state: SlotState = SlotState.STARTING
     pending: PendingParse | None = None  # while PARSING
-    since: float = 0.0  # start of the process or of the parse
+    began_at: float = 0.0  # start of the process or of the parse
 
     def start(self, now: float) -> None:
-        """A process is started now, or will be at that time."""
-        self.state, self.pending, self.since = SlotState.STARTING, None, now
+        """A process is started, or scheduled to start, at `now`."""
+        self.state, self.pending, self.began_at = SlotState.STARTING, None, now
 
     def become_idle(self) -> None:
         """The process is ready for a parse."""
         self.state = SlotState.IDLE
 
     def begin_parse(self, pending: PendingParse, now: float) -> None:
-        """The idle process is given a statement."""
-        self.state, self.pending, self.since = SlotState.PARSING, pending, now
+        """The idle process gets a statement."""
+        self.state, self.pending, self.began_at = SlotState.PARSING, pending, now
 
     def end_parse(self) -> PendingParse | None:
-        """The statement is parsed or given up; None if there was none."""
+        """End the parse, if any, and return its statement; None if there was none."""
         pending, self.pending = self.pending, None
         if self.state is SlotState.PARSING:
             self.state = SlotState.IDLE
         return pending
 
     def deadline(self) -> float | None:
-        """When what it does has taken too long; None while it is idle."""
+        """When the start or the parse has taken too long; None while the process is idle."""
         if self.state is SlotState.IDLE:
             return None
         timeout = PARSE_TIMEOUT_S if self.state is SlotState.PARSING else START_TIMEOUT_S
-        return self.since + timeout
+        return self.began_at + timeout
 
 
 class ParserPool:
-    """Each call returns what is to be done; the caller starts, writes to and kills the processes."""
+    """Assigns statements to processes, which the caller starts, kills and exchanges frames with."""
 
     def __init__(self, slot_count: int) -> None:
-        """All slots wait for their start."""
+        """Begin with all slots in the state STARTING."""
         self.slots = [ParserSlot(number) for number in range(slot_count)]
         self.waiting: deque[PendingParse] = deque()
         self.pending: dict[bytes, PendingParse] = {}  # by fingerprint, waiting or being parsed
@@ -99,9 +104,9 @@
         self.timed_out_count = self.lost_count = 0
 
     def quarantined(self, statement: NormalizedStatement, now: float) -> ParseResult | None:
-        """The result of a statement that a parser was lost over; None if it may be parsed.
+        """The result of a statement in quarantine; None if it may be parsed.
 
-        It lasts for a time only: a parser may also be lost by chance.
+        A quarantine ends after a while, as a parser may also be lost for another reason than its statement.
         """
         quarantine = self.quarantine.get(statement.fingerprint)
         if quarantine is None or now >= quarantine.until:
@@ -109,7 +114,10 @@
         return ParseResult(True, reason=quarantine.reason, is_parsed=False)
 
     def add(self, statement: NormalizedStatement, now: float, callback: ParseCallback) -> bool:
-        """Whether it is taken on; `callback` is called once, later. Equal statements are parsed once."""
+        """Queue a statement; equal statements are parsed once. `callback` is called once, later.
+
+        Returns False, without a call, if too many wait already.
+        """
         if pending := self.pending.get(statement.fingerprint):
             if len(pending.callbacks) >= MAX_WAITING:
                 return False
@@ -121,22 +129,21 @@
         self.waiting.append(pending)
         return True
 
-    def assign(self, now: float) -> list[tuple[ParserSlot, PendingParse]]:
-        """Give what waits to idle processes; returns what is to be sent to which."""
+    def assign(self, now: float) -> list[ParserSlot]:
+        """Assign waiting statements to idle processes; returns the slots whose `pending` is to be sent."""
         assigned = []
         for slot in self.slots:
             if slot.state is SlotState.IDLE and self.waiting:
-                pending = self.waiting.popleft()
-                slot.begin_parse(pending, now)
-                assigned.append((slot, pending))
+                slot.begin_parse(self.waiting.popleft(), now)
+                assigned.append(slot)
         return assigned
 
     def starting(self, slot: ParserSlot, now: float) -> None:
-        """A process is started now, or will be at that time."""
+        """A process is started, or scheduled to start, at `now`."""
         slot.start(now)
 
     def start_failed(self) -> None:
-        """A process could not even be started."""
+        """A process could not be started."""
         self.failed_starts += 1
 
     def ready(self, slot: ParserSlot) -> None:
@@ -145,14 +152,14 @@
         self.failed_starts = 0
 
     def completed(self, slot: ParserSlot) -> PendingParse | None:
-        """The process has answered, or is given up; returns whose callbacks are to be called."""
+        """The process has answered; returns the statement whose callbacks are to be called."""
         pending = slot.end_parse()
         if pending:
             del self.pending[pending.statement.fingerprint]
         return pending
 
     def lost(self, slot: ParserSlot, reason: str, now: float) -> PendingParse | None:
-        """A process was killed or died: what it worked on is rejected, and quarantined."""
+        """A process was killed or died: its statement is rejected and quarantined."""
         if slot.state is SlotState.STARTING:
             self.failed_starts += 1
         else:
@@ -164,28 +171,27 @@
         return pending
 
     def _quarantine(self, fingerprint: bytes, reason: str, now: float) -> None:
-        last = self.quarantine.pop(fingerprint, None)
-        duration = min(2 * last.duration, MAX_QUARANTINE_S) if last else QUARANTINE_S
+        previous = self.quarantine.pop(fingerprint, None)
+        duration = min(2 * previous.duration, MAX_QUARANTINE_S) if previous else QUARANTINE_S
         self.quarantine[fingerprint] = Quarantine(now + duration, duration, reason)
         if len(self.quarantine) > MAX_QUARANTINED:
             del self.quarantine[next(iter(self.quarantine))]
 
     def replaced(self, slot: ParserSlot, now: float) -> PendingParse | None:
-        """A process is replaced on purpose: the client of what it worked on has to retry."""
+        """A process is replaced on purpose: the clients of its statement have to retry."""
         pending = self.completed(slot)
         slot.start(now)
         return pending
 
     def overdue(self, now: float) -> list[ParserSlot]:
-        """Whose process has to be killed: a parse or a start that takes too long."""
-        late = [slot for slot in self.slots if _is_late(slot, SlotState.PARSING, PARSE_TIMEOUT_S, now)]
-        self.timed_out_count += len(late)
-        return late + [
-            slot for slot in self.slots if _is_late(slot, SlotState.STARTING, START_TIMEOUT_S, now)
-        ]
+        """The slots whose process is to be killed, because its parse or start takes too long."""
+        parses = [slot for slot in self.slots if _is_overdue(slot, SlotState.PARSING, PARSE_TIMEOUT_S, now)]
+        starts = [slot for slot in self.slots if _is_overdue(slot, SlotState.STARTING, START_TIMEOUT_S, now)]
+        self.timed_out_count += len(parses)
+        return parses + starts
 
     def expire(self, now: float) -> list[PendingParse]:
-        """What has waited too long, removed; its clients have to retry."""
+        """Remove and return statements that have waited too long; their clients have to retry."""
         expired = []
         while self.waiting and now - self.waiting[0].enqueued_at > MAX_WAIT_S:
             pending = self.waiting.popleft()
@@ -194,7 +200,7 @@
         return expired
 
     def next_deadline(self) -> float | None:
-        """When to look again; None while nothing is under way."""
+        """When a timeout is due next; None while nothing waits or runs."""
         deadlines = [deadline for slot in self.slots if (deadline := slot.deadline()) is not None]
         if self.waiting:
             deadlines.append(self.waiting[0].enqueued_at + MAX_WAIT_S)
@@ -206,5 +212,5 @@
         return RESTART_BACKOFF_S if self.failed_starts >= MAX_FAILED_STARTS else 0.0
 
 
-def _is_late(slot: ParserSlot, state: SlotState, timeout_s: float, now: float) -> bool:
-    return slot.state is state and now - slot.since > timeout_s
+def _is_overdue(slot: ParserSlot, state: SlotState, timeout_s: float, now: float) -> bool:
+    return slot.state is state and now - slot.began_at > timeout_s
--- a/query_gateway/parsing/service.py
+++ b/query_gateway/parsing/service.py
@@ -1,6 +1,4 @@
-"""Statements on the loop: a classification at once where the statement is cached, else after a parse in
-another process.
-"""
+"""Classifies statements on the loop: at once if the shape is cached, else after a parse elsewhere."""
 
 from collections.abc import Callable, Collection, Sequence
 from dataclasses import dataclass, field
@@ -18,13 +16,13 @@
 
 SAVE_INTERVAL_S = 30.0  # between two snapshots of what was learned
 FIGURE_PREFIX = "svc_"
-# Failures that may be a statement's own doing
+# Failures that the statement itself may have caused
 STATEMENT_FAULTS = {OutcomeCode.ERROR, OutcomeCode.RESET, OutcomeCode.TIMEOUT}
 
 
 @dataclass(slots=True)
 class Classification:
-    """What the fronts need to know of a statement. Without a decision it cannot be parsed now."""
+    """What the fronts need of a statement. `decision` is None if it cannot be parsed now."""
 
     decision: Decision | None
     fingerprint: bytes = b""
@@ -38,7 +36,7 @@
 
 @dataclass(slots=True, frozen=True)
 class _Call:
-    """A statement to classify: what its client names, and who is to be called."""
+    """A statement to classify, the class and key that its client names, and the callback for the result."""
 
     statement: NormalizedStatement
     requested_class: str | None
@@ -48,7 +46,7 @@
 
 
 class StatementService:
-    """Classifies statements for the fronts; also observes what becomes of them, and learns from it.
+    """Classifies statements for the fronts, and learns costs and limits from their outcomes.
 
     Owns the classifier, the parser processes and the snapshot file. `stop` ends them.
     """
@@ -97,7 +95,7 @@
             callback(Classification(None))
 
     def _parsed(self, call: _Call, result: ParseResult | None) -> None:
-        """The statement is parsed; without a result it was not."""
+        """A parse has ended; `result` is None if the statement could not be parsed now."""
         if result is None:
             call.callback(Classification(None))
             return
@@ -122,7 +120,7 @@
             self.rejected_count += 1
         call.callback(classification)
 
-    # ---- what becomes of statements: the forwarder's observer
+    # ---- outcomes of statements: the forwarder's observer
 
     def may_run(self, fingerprint: bytes, now: int) -> str:
         """Why one more of the shape may not be accepted; empty if it may.
@@ -156,12 +154,12 @@
         elif code in STATEMENT_FAULTS:
             limits.attempt_failed(fingerprint, engine, now)
 
-    # ---- what was learned, kept over restarts and upgrades
+    # ---- estimates over restarts and upgrades
 
     def restore(self, path: str, inherited: object = None) -> None:
-        """Take over what a predecessor transferred, else what the file at `path` holds.
+        """Restore estimates that a predecessor transferred, else those of the file at `path`.
 
-        That file is kept up to date from now on; an empty path names none.
+        The file is saved regularly from now on; with an empty path there is none.
         """
         costs = self.classifier.costs
         is_inherited = inherited is not None and costs.restore(inherited)
@@ -194,14 +192,14 @@
         return [f"{FIGURE_PREFIX}{name} {value:g}" for name, value in figures.items()]
 
     def update_rules(self, rules: Rules, idempotent_classes: Collection[str]) -> None:
-        """New rules for all statements that are classified from now on."""
+        """Use new rules for all statements that are classified from now on."""
         is_changed = rules != self.classifier.rules
         self.classifier.update_rules(rules, idempotent_classes)
         if is_changed:
             self.supervisor.update_rules(rules)
 
     def stop(self) -> None:
-        """Save what was learned and end the parser processes; nothing is parsed any more."""
+        """Save the estimates and end the parser processes. Statements are not parsed any more."""
         if self.snapshot_store and not self.stopped:
             self.snapshot_store.save(self.classifier.costs.snapshot())
         self.stopped = True
--- a/query_gateway/parsing/snapshot_store.py
+++ b/query_gateway/parsing/snapshot_store.py
@@ -1,8 +1,8 @@
-"""A file that holds one value and survives a crash at any moment: a line of header, then JSON.
+"""A file with one JSON value that survives a crash at any moment: a header line, then JSON.
 
 The header is `mothknot-costs 1 DIGEST LENGTH`, DIGEST the blake2b (16 bytes, hex) of the LENGTH bytes that
-follow. A new value is written beside it, synced and put in its place by a rename, so there is always a
-complete one or none.
+follow. A new value is written to a temporary file, synced and renamed, so the file is always complete or
+absent.
 """
 
 import contextlib
@@ -21,7 +21,7 @@
 
 
 class SnapshotError(ValueError):
-    """A file that is not a complete snapshot; the message says what it is instead."""
+    """A file that is not a complete snapshot; the message is what it is instead."""
 
 
 class SnapshotStore:
@@ -32,7 +32,7 @@
         self.path = Path(path)
 
     def save(self, value: Any) -> bool:
-        """Replace what is there; whether that worked. A disk that fails costs the snapshot alone."""
+        """Replace the stored value. Returns False if the disk fails, which is logged and costs only the snapshot."""
         temporary = self.path.with_name(f"{self.path.name}.{os.getpid()}")
         try:
             _write_synced(temporary, _encode(value))
@@ -40,13 +40,13 @@
             _sync_folder(self.path.parent)
         except OSError as error:
             log("statements", f"{self.path} cannot be written: {error.strerror}")
-            with contextlib.suppress(OSError):  # the disk that failed may fail here as well
+            with contextlib.suppress(OSError):  # the disk may fail here as well
                 temporary.unlink(missing_ok=True)
             return False
         return True
 
     def remove_leftovers(self) -> None:
-        """Remove what processes that were killed while they wrote have left beside the file."""
+        """Remove temporary files of processes that were killed while they wrote."""
         with contextlib.suppress(OSError):
             for leftover in self.path.parent.glob(f"{glob.escape(self.path.name)}.[0-9]*"):
                 if not Path(f"/proc/{leftover.suffix[1:]}").exists():
--- a/query_gateway/parsing/supervisor.py
+++ b/query_gateway/parsing/supervisor.py
@@ -1,4 +1,4 @@
-"""The parser processes on the loop: starts, watches and kills them, and exchanges statements with them."""
+"""The parser processes on the loop: starts, watches and kills them, and exchanges frames with them."""
 
 import os
 import socket
@@ -13,19 +13,19 @@
 from query_gateway.statements.normalizer import NormalizedStatement
 
 RECEIVE_BYTES = 65_536
-REQUEST_NUMBER = 1  # one request at a time is out at a process
+REQUEST_NUMBER = 1  # a process has one request at a time
 START_RETRY_S = 1.0  # after a process could not be started
-TIMER_SLACK_S = 0.001  # so that what is due has surely passed when the timer fires
-PROCESS_LOST = "the parser died on it"  # reasons, which reach the client
+TIMER_SLACK_S = 0.001  # added to a deadline, so that it has passed when the timer fires
+PROCESS_LOST = "the parser died on it"  # this and the next two are reasons; the first two reach the client
 TIMED_OUT = "it takes too long to parse"
 RULES_CHANGED = "the rules have changed"
 
 
 class ParserProcess:
-    """A parser process and our end of its socket, which the loop disposes of."""
+    """A parser process and the gateway's end of its socket, which the loop closes."""
 
     def __init__(self, rules: Rules) -> None:
-        """Start it and send it the rules. Raises OSError."""
+        """Start the process and send it the rules. Raises OSError."""
         self.sock, child_end = socket.socketpair()
         with child_end:
             self.child = subprocess.Popen(
@@ -59,25 +59,25 @@
             self._start(slot)
 
     def submit(self, statement: NormalizedStatement, now: float, callback: ParseCallback) -> bool:
-        """Whether it is taken on; `callback` is called once, later."""
+        """Queue a statement; `callback` is called once, later. False, without a call, if too many wait."""
         if self.closed or not self.pool.add(statement, now, callback):
             return False
         self._dispatch()
         return True
 
     def quarantined(self, statement: NormalizedStatement) -> ParseResult | None:
-        """The result of a statement that a parser was lost over; None if it may be parsed."""
+        """The result of a statement in quarantine; None if it may be parsed."""
         return self.pool.quarantined(statement, self.loop.now())
 
     def update_rules(self, rules: Rules) -> None:
-        """Replace the processes by some that parse by the new rules."""
+        """Replace the processes by new ones with these rules."""
         self.rules = rules
         for slot in self.pool.slots:
             if slot.number in self.processes:
                 self._replace(slot)
 
     def close(self) -> None:
-        """End the parser processes; nothing is parsed any more."""
+        """End the parser processes. Statements are not parsed any more."""
         self.closed = True
         for process in self.processes.values():
             self.loop.dispose(process.sock)
@@ -104,14 +104,14 @@
         self._dispatch()
 
     def _lose(self, slot: ParserSlot, reason: str) -> None:
-        """The process has died or is killed; what it worked on is rejected."""
+        """The process has died or is to be killed; its statement is rejected."""
         self._end_process(slot, reason)
         pending = self.pool.lost(slot, reason, self.loop.now())
         self._restart(slot)
         _notify(pending, ParseResult(True, reason=reason, is_parsed=False))
 
     def _replace(self, slot: ParserSlot) -> None:
-        """The process parses by old rules; the client of what it worked on has to retry."""
+        """The process has old rules; the clients of its statement have to retry."""
         self._end_process(slot, RULES_CHANGED)
         pending = self.pool.replaced(slot, self.loop.now())
         self._restart(slot)
@@ -159,13 +159,14 @@
             _notify(self.pool.completed(slot), response.parse_result)
 
     def _dispatch(self) -> None:
-        """Send what waits to idle processes, and look again when something is overdue."""
-        for slot, pending in self.pool.assign(self.loop.now()):
-            statement = pending.statement
+        """Send waiting statements to idle processes, and set the timer for the next timeout."""
+        for slot in self.pool.assign(self.loop.now()):
+            assert slot.pending
+            statement = slot.pending.statement
             request = ParseRequest(REQUEST_NUMBER, statement.tokens, len(statement.literals))
             try:
                 self.processes[slot.number].sock.sendall(encode_frame(request))
-            except OSError:  # its end is noticed as such; until then the parse is overdue at worst
+            except OSError:  # the end of the process is noticed by its socket, or by the parse's timeout
                 continue
         self._schedule()
 
@@ -190,6 +191,6 @@
 
 
 def _notify(pending: PendingParse | None, result: ParseResult | None) -> None:
-    """Call who waits for the statement; without a result they have to retry."""
+    """Call the callbacks of a statement, if any; None as result makes their clients retry."""
     for callback in pending.callbacks if pending else ():
         callback(result)
--- a/query_gateway/parsing/worker.py
+++ b/query_gateway/parsing/worker.py
@@ -1,4 +1,4 @@
-"""A parser process: rules once, then requests in and responses out on its standard input, a socket."""
+"""A parser process. Its standard input is a socket: rules once, then requests in and responses out."""
 
 import contextlib
 import resource
@@ -19,7 +19,9 @@
 from query_gateway.statements.reader import Reader
 
 WARM_UP = ("SELECT a, count(*) FROM b WHERE c = 1 GROUP BY a ORDER BY 1", "DELETE FROM a WHERE b = 1")
-MAX_MEMORY_BYTES = 1 << 30  # of address space: guards the machine against a parse that never stops growing
+# Of address space. A parse whose tree keeps growing would use up the machine's memory; with the limit it
+# fails with a MemoryError and its statement is rejected.
+MAX_MEMORY_BYTES = 1 << 30
 STDIN = 0
 
 
@@ -43,19 +45,20 @@
         return reader.read(statement)
     except (RecursionError, MemoryError):
         return ParseResult(True, reason="it nests too deep", is_parsed=False)
-    except Exception as fault:  # guards the others: a parser's own fault rejects one statement
+    except Exception as fault:  # the parser's own error: it rejects this statement and ends no process
         return ParseResult(True, reason=f"the parser broke on it: {type(fault).__name__}", is_parsed=False)
 
 
 def main() -> None:
     """Parse what is requested until the gateway closes its end of the socket."""
-    signal.signal(signal.SIGINT, signal.SIG_IGN)  # the gateway's own end ends this process
+    signal.signal(signal.SIGINT, signal.SIG_IGN)  # the process ends when the gateway closes its socket
     resource.setrlimit(resource.RLIMIT_AS, (MAX_MEMORY_BYTES, MAX_MEMORY_BYTES))
-    # A gateway that ends does not read what it has asked for
+    # A gateway that ends leaves responses unread, which breaks the socket
     with socket.socket(fileno=STDIN) as sock, contextlib.suppress(BrokenPipeError, ConnectionResetError):
         sock.setblocking(True)
         reader = Reader(decode_rules(_receive_frame(sock)))
-        for text in WARM_UP:  # guards the first statements' time against what the parser builds at first use
+        # The parser builds its tables at first use, which would add to the time of the first statement
+        for text in WARM_UP:
             reader.read(normalize(text))
         sock.sendall(encode_frame(ParseResponse(READY)))
         while True:
--- a/tests/test_parsing.py
+++ b/tests/test_parsing.py
@@ -55,9 +55,11 @@
 def test_a_request_for_a_shape_that_is_being_read_joins() -> None:
     parsers, results = ready(), list[ParseResult | None]()
     assert all(parsers.add(shape(), 0.0, results.append) for _ in range(3))
-    [(slot, pending)] = parsers.assign(0.0)
+    [slot] = parsers.assign(0.0)
+    pending = slot.pending
     assert parsers.add(shape(), 0.1, results.append) and parsers.assign(0.1) == []
-    assert parsers.completed(slot) is pending and len(pending.callbacks) == 4 and not parsers.pending
+    assert pending and parsers.completed(slot) is pending
+    assert len(pending.callbacks) == 4 and not parsers.pending
 
 
 def test_a_parse_beyond_its_budget_is_killed_and_rests_for_longer_each_time() -> None:
@@ -65,11 +67,12 @@
     now, durations = 0.0, []
     for _ in range(3):
         parsers.add(shape(), now, lambda plan: None)
-        [(slot, pending)] = parsers.assign(now)
+        [slot] = parsers.assign(now)
+        pending = slot.pending
         assert parsers.overdue(now + PARSE_TIMEOUT_S - 0.01) == [] and parsers.overdue(
             now + PARSE_TIMEOUT_S + 0.01
         ) == [slot]
-        assert parsers.lost(slot, "it takes too long to parse", now) is pending
+        assert pending and parsers.lost(slot, "it takes too long to parse", now) is pending
         rejected = parsers.quarantined(shape(), now)
         assert rejected and not rejected.is_parsed and rejected.is_write
         duration = parsers.quarantine[shape().fingerprint].duration
