--- a/query_gateway/parsing/snapshot_store.py
+++ b/query_gateway/parsing/snapshot_store.py
@@ -32,7 +32,7 @@
         self.path = Path(path)
 
     def save(self, value: Any) -> bool:
-        """Replace the stored value. Returns False if the disk fails, which is logged and costs only the snapshot."""
+        """Replace the stored value. Returns False if the disk fails, which is logged and costs no more."""
         temporary = self.path.with_name(f"{self.path.name}.{os.getpid()}")
         try:
             _write_synced(temporary, _encode(value))
