--- a/tests/test_parsing.py
+++ b/tests/test_parsing.py
@@ -63,6 +63,11 @@
 
 
 def test_a_parse_beyond_its_budget_is_killed_and_rests_for_longer_each_time() -> None:
+    """A parse exceeds its timeout, again and again for the same statement.
+
+    Parsed each time that its client retries, it would occupy the parsers and delay all other statements. The
+    parser is killed, and the statement is rejected without a parse for a time that doubles with each loss.
+    """
     parsers = ready()
     now, durations = 0.0, []
     for _ in range(3):
@@ -85,6 +90,11 @@
 
 
 def test_what_waits_is_bounded_and_rejected_in_time() -> None:
+    """No parser becomes ready while statements arrive.
+
+    The queue would grow without bound, and clients would wait until their deadline. Beyond MAX_WAITING a
+    statement is not taken, and one that has waited MAX_WAIT_S is given back so that its client can retry.
+    """
     parsers = ParserPool(1)  # not ready yet
     parsers.starting(parsers.slots[0], 0.0)
     taken = [parsers.add(shape(n), 0.0, lambda plan: None) for n in range(MAX_WAITING + 10)]
@@ -95,6 +105,11 @@
 
 
 def test_a_parser_that_never_comes_up_is_started_now_and_then_only() -> None:
+    """Parser processes end before they are ready, one after the other.
+
+    Started again at once each time, they would use a core for nothing. After MAX_FAILED_STARTS in a row each
+    start is delayed, until one becomes ready.
+    """
     parsers = ParserPool(1)
     for _ in range(MAX_FAILED_STARTS):
         assert parsers.restart_delay == 0.0
@@ -106,12 +121,17 @@
 
 
 def test_frames_survive_any_cut() -> None:
+    """The socket delivers frames cut at any byte, or announces one that is too long.
+
+    A reader that expects complete frames would decode parts of them, and a wrong length would make it wait
+    for ever. Frames are taken only when they are complete; a length beyond the limit is an error.
+    """
     sent = encode_frame(ParseRequest(1, ["select", "#"], 1)) + encode_frame(
         ParseResponse(2, ParseResult(True, reason="é"))
     )
-    for at in range(len(sent) + 1):
+    for cut in range(len(sent) + 1):
         buffer, frames = bytearray(), []
-        for part in (sent[:at], sent[at:]):
+        for part in (sent[:cut], sent[cut:]):
             buffer += part
             while frame := take_frame(buffer):
                 frames.append(frame)
@@ -136,11 +156,11 @@
     assert loop.faults == 0
 
 
-def classify(service: StatementService, sql: str, named: str | None = None) -> Classification:
-    """One answer; a `come back` is followed, as a client would."""
+def classify(service: StatementService, sql: str, requested_class: str | None = None) -> Classification:
+    """One classification; a statement that cannot be parsed now is tried again, as a client would."""
     for _ in range(100):
         answers: list[Classification] = []
-        service.classify(sql, named, None, answers.append)
+        service.classify(sql, requested_class, None, answers.append)
         while not answers:
             service.loop.turn()
         if answers[0].decision is not None:
@@ -148,42 +168,55 @@
     raise AssertionError("no answer")
 
 
-def cls(judged: Classification) -> str | None:
-    assert judged.decision
-    return judged.decision.class_name
+def class_of(classification: Classification) -> str | None:
+    assert classification.decision
+    return classification.decision.class_name
 
 
 READ = "SELECT due FROM lending_7.loans WHERE member = 42"
 
 
 def test_a_miss_is_read_elsewhere_and_a_hit_at_once(service: StatementService) -> None:
-    assert cls(classify(service, READ)) == "lookup"
+    assert class_of(classify(service, READ)) == "lookup"
     answers: list[Classification] = []
     service.classify(READ.replace("42", "43"), None, None, answers.append)
-    assert answers and cls(answers[0]) == "lookup"
+    assert answers and class_of(answers[0]) == "lookup"
     assert service.classifier.shapes.hits >= 1
 
 
 def test_a_parser_that_is_killed_costs_its_own_shape_a_while_and_no_other(service: StatementService) -> None:
-    assert cls(classify(service, READ)) == "lookup"
+    """A parser process hangs over a statement; the test stops it with SIGSTOP.
+
+    All statements behind it would wait for its parse. The process is killed after the timeout and replaced;
+    the statement that it parsed is in quarantine, other shapes are classified as before.
+    """
+    assert class_of(classify(service, READ)) == "lookup"
     process = service.supervisor.processes[0]
     os.kill(process.child.pid, signal.SIGSTOP)  # as a parse without end would
     slow = classify(service, "SELECT title FROM lending_7.loans WHERE member = 42")
     assert slow.decision and not slow.decision.is_accepted and "too long" in slow.decision.reason
     assert service.supervisor.pool.timed_out_count == 1
-    assert cls(classify(service, "SELECT copy FROM lending_7.loans WHERE member = 42")) == "lookup"
-    assert cls(classify(service, READ)) == "lookup"
+    assert class_of(classify(service, "SELECT copy FROM lending_7.loans WHERE member = 42")) == "lookup"
+    assert class_of(classify(service, READ)) == "lookup"
     again = classify(service, "SELECT title FROM lending_7.loans WHERE member = 42")
     assert again.decision and not again.decision.is_accepted
     service.supervisor.pool.quarantine.clear()  # as its time does
-    assert cls(classify(service, "SELECT title FROM lending_7.loans WHERE member = 42")) == "lookup"
+    assert class_of(classify(service, "SELECT title FROM lending_7.loans WHERE member = 42")) == "lookup"
 
 
 def test_a_parser_that_dies_is_replaced(service: StatementService) -> None:
-    assert cls(classify(service, READ)) == "lookup"
+    """A parser process is killed from outside.
+
+    The gateway would reject every new shape if it kept the dead process. The end of its socket is noticed,
+    and another process takes its place.
+    """
+    assert class_of(classify(service, READ)) == "lookup"
     service.supervisor.processes[0].child.kill()
-    assert cls(classify(service, "SELECT copy FROM lending_7.loans WHERE member = 42")) in ("lookup", None)
-    assert cls(classify(service, "SELECT title FROM lending_7.loans WHERE member = 42")) == "lookup"
+    assert class_of(classify(service, "SELECT copy FROM lending_7.loans WHERE member = 42")) in (
+        "lookup",
+        None,
+    )
+    assert class_of(classify(service, "SELECT title FROM lending_7.loans WHERE member = 42")) == "lookup"
 
 
 def test_a_crowd_that_asks_for_one_shape_is_answered_together(service: StatementService) -> None:
@@ -193,13 +226,14 @@
         service.classify(f"SELECT copy FROM lending_7.loans WHERE member = {n}", None, None, answers.append)
     while len(answers) < 50:
         service.loop.turn()
-    assert {cls(one) for one in answers} == {"lookup"} and len({one.fingerprint for one in answers}) == 1
+    assert {class_of(answer) for answer in answers} == {"lookup"}
+    assert len({answer.fingerprint for answer in answers}) == 1
 
 
 def test_new_rules_are_read_by_from_then_on(service: StatementService) -> None:
-    assert cls(classify(service, READ)) == "lookup"
+    assert class_of(classify(service, READ)) == "lookup"
     service.update_rules(Rules(keys=KEYS, lookup="quick"), ("quick", "report"))
-    assert cls(classify(service, READ)) == "quick"
+    assert class_of(classify(service, READ)) == "quick"
     service.update_rules(service.classifier.rules, ("report",))
     answers = classify(service, READ)
     assert answers.decision and not answers.decision.is_idempotent
@@ -225,18 +259,23 @@
 ]
 
 
-@pytest.mark.parametrize("at", range(len(HOSTILE)))
+@pytest.mark.parametrize("sql", HOSTILE, ids=[str(number) for number in range(len(HOSTILE))])
 def test_a_statement_built_to_be_slow_is_answered_and_the_next_one_too(
-    service: StatementService, at: int
+    service: StatementService, sql: str
 ) -> None:
-    assert classify(service, HOSTILE[at]).decision is not None
-    assert cls(classify(service, READ)) == "lookup"
+    """A client sends a statement that is built to make a parser slow, deep or large.
+
+    On the loop it would stop all requests. It is classified or rejected within its timeout, and the next
+    statement is classified as usual.
+    """
+    assert classify(service, sql).decision is not None
+    assert class_of(classify(service, READ)) == "lookup"
 
 
 # ---- the file
 
 
-FIXTURES = Path(__file__).parent / "fixtures"  # its README says how the files were made
+FIXTURES = Path(__file__).parent / "fixtures"  # its README describes how the files were made
 STORED = FIXTURES / "statement-costs.snapshot"
 
 
@@ -271,20 +310,31 @@
 
 
 def test_a_file_is_whole_or_counts_as_none(tmp_path: Path) -> None:
+    """A snapshot file is cut at any byte, or one bit in it has changed.
+
+    Estimates restored from a part of it would be wrong for all shapes. Length and digest are checked, so a
+    damaged file counts as absent, and the next save replaces it.
+    """
     store = SnapshotStore(str(tmp_path / "costs"))
     assert store.load() is None
     assert store.save({"a": 1}) and store.load() == {"a": 1}
-    whole = store.path.read_bytes()
-    for at in range(len(whole)):
-        store.path.write_bytes(whole[:at])
+    complete = store.path.read_bytes()
+    for position in range(len(complete)):
+        store.path.write_bytes(complete[:position])
         assert store.load() is None
-        store.path.write_bytes(whole[:at] + bytes([whole[at] ^ 1]) + whole[at + 1 :])
+        flipped = bytes([complete[position] ^ 1])
+        store.path.write_bytes(complete[:position] + flipped + complete[position + 1 :])
         assert store.load() in (None, {"a": 1})
     assert store.save({"a": 2}) and store.load() == {"a": 2}
     assert list(tmp_path.iterdir()) == [store.path]
 
 
 def test_a_disk_that_fails_costs_the_snapshot_alone(tmp_path: Path) -> None:
+    """The folder of the snapshot does not exist.
+
+    Raised out of the periodic save, the error would be a fault of the loop. The save returns False, and the
+    gateway goes on without a stored snapshot.
+    """
     assert not SnapshotStore(str(tmp_path / "missing" / "costs")).save({"a": 1})
 
 
