--- a/tests/test_race_shutdown.py
+++ b/tests/test_race_shutdown.py
@@ -16,10 +16,10 @@
 from query_gateway.composition import GatewayOptions
 from query_gateway.configuration.operator_file import OperatorSettings
 from query_gateway.gateway import Gateway
+from query_gateway.lifecycle.inherited_state import request_inherited_state
 from query_gateway.lifecycle.reload import ConfigurationSources
 from query_gateway.lifecycle.shutdown import ANSWER_SECONDS
 from query_gateway.lifecycle.upgrade_messages import MAX_DESCRIPTORS, MAX_PACKET_BYTES, PROTOCOL_VERSION
-from query_gateway.lifecycle.upgrade_socket import request_inherited_state
 from tests.race_helpers import (
     SEC,
     PausedReaderEngine,
@@ -42,7 +42,7 @@
     return [
         due_at - gateway.loop.now()
         for due_at, _, timer in gateway.loop.timers
-        if timer.callback == gateway.shutdown.give_up
+        if timer.callback == gateway.shutdown.abort_open_requests
     ]
 
 
@@ -93,7 +93,7 @@
         with ThreadPoolExecutor() as executor:
             waiting = executor.submit(post, gateway, "report", SQL, ttl=600_000)
             until(lambda: gateway.engine_pool.connections)
-            gateway.loop.call_soon(gateway.shutdown.give_up)
+            gateway.loop.call_soon(gateway.shutdown.abort_open_requests)
             assert waiting.result()[0] == 429
         engine.accept_connections()
     assert engine.statements == []
@@ -125,7 +125,7 @@
 def stop_before_successor_is_ready(deployment: Site, end_successor: Callable[[Any], None]) -> int:
     """Stop before the successor is ready, connect a client, end the successor; its status is returned."""
     predecessor = deployment.start()
-    deployment.journal.silent = True
+    deployment.discovery.silent = True
     successor = deployment.start(ready=False)
     log_output = b""
     while b"a successor starts" not in log_output:
@@ -202,7 +202,7 @@
     The predecessor had closed its listener and its idle connections, so clients had no gateway until the
     next start. It goes on accepting and serving until its shutdown ends.
     """
-    monkeypatch.setattr("query_gateway.lifecycle.shutdown.LAST_CALL_SECONDS", 600.0)
+    monkeypatch.setattr("query_gateway.lifecycle.shutdown.ACCEPT_GRACE_SECONDS", 600.0)
     with gateway_with_successor(tmp_path, Engine()) as (gateway, link):
         assert gateway.hot_upgrade
         connection = http.client.HTTPConnection(*gateway.http_server.listener.address, timeout=10)
