--- a/tests/test_send_guard.py
+++ b/tests/test_send_guard.py
@@ -270,7 +270,8 @@
     def __init__(self, instances: int = 1, process_count: int = 1) -> None:
         raw = copy.deepcopy(SETTINGS)
         raw["instances"] = instances
-        raw["rules"] |= {name.replace("_", "-"): value for name, value in COLD.items()}  # type: ignore[operator]
+        rules = {name.replace("_", "-"): value for name, value in COLD.items()}
+        raw["rules"] |= rules  # type: ignore[operator]
         self.settings = parse_settings(flatten_settings(raw))
         self.budgets = SlowStartBudgets(process_count)
         self.info = EndpointInfo("a", EndpointState.UP, 0, 0, 0, 100 * SEC, 1.0)
