--- a/query_gateway/model/gossip.py
+++ b/query_gateway/model/gossip.py
@@ -1,4 +1,4 @@
-"""Request counts of each tenant, our own and those that other gateways report."""
+"""Request counts of each tenant: those of this gateway, and those that other gateways report."""
 
 import math
 from dataclasses import dataclass, field
@@ -40,7 +40,7 @@
         return self.peer_requests(tenant, now, lifetime) * peers / max(1, min(peers, reporting))
 
     def message(self, now: int, lifetime: int, observed: int) -> str:
-        """Our own report: counts by tenant, separated by commas."""
+        """This gateway's report: counts by tenant, separated by commas."""
         tenants = range(len(self.counts))
         requests = (self.local_requests(tenant, now, lifetime, observed) for tenant in tenants)
         return ",".join(str(round(count)) for count in requests)
--- a/query_gateway/model/settings.py
+++ b/query_gateway/model/settings.py
@@ -25,9 +25,9 @@
 class MemoryShortage(Enum):
     """What an engine does when the memory granted passes what it has."""
 
-    WAIT = "wait"
-    SHRINK = "shrink"
-    PAGE = "page"
+    WAIT = "wait"  # queries wait at the engine until memory is free
+    SHRINK = "shrink"  # they run with less memory, and spill
+    PAGE = "page"  # it swaps; only memory in use counts
 
 
 @dataclass(slots=True, frozen=True)
--- a/query_gateway/planner/learned_state.py
+++ b/query_gateway/planner/learned_state.py
@@ -72,7 +72,7 @@
         engine.fault_rate, engine.last_received_at = self.fault_rate, self.last_received_at
         engine.ejected_until, engine.ejection_time = self.ejected_until, self.ejection_time
         engine.warm_table_groups = self.warm_table_groups
-        # Ejected and not heard since: one query at a time, as it was
+        # Ejected, and nothing was received since: still on probation
         engine.on_probation = self.ejected_until > self.last_received_at
 
 
@@ -209,7 +209,7 @@
         return LearnedClass(request_class, means, self._average(raw["rate"]), longest_timeout)
 
     def _engine(self, engine: EngineState | None, raw: Any) -> LearnedEngine | None:
-        """None for an engine that is unknown here or has started since: its past says nothing."""
+        """None for an engine that is unknown here, or has started since: it is another process."""
         listed_start, started_at, slowdown, fault_rate, *times, ejection_time, table_groups = raw
         if engine is None or not _is_same_start(engine.info.started_at, self._time(listed_start)):
             return None
@@ -226,11 +226,11 @@
         )
 
 
-def _is_same_start(ours: int, theirs: int) -> bool:
+def _is_same_start(listed_here: int, listed_there: int) -> bool:
     """Whether both processes mean one start; each has read its own clocks to place it on the steady clock."""
-    if not ours or not theirs:
-        return ours == theirs
-    return abs(ours - theirs) < START_TOLERANCE_NS
+    if not listed_here or not listed_there:
+        return listed_here == listed_there
+    return abs(listed_here - listed_there) < START_TOLERANCE_NS
 
 
 def _encode_mean(mean: RunningMean) -> list[float]:
--- a/query_gateway/policy/repetition.py
+++ b/query_gateway/policy/repetition.py
@@ -1,4 +1,4 @@
-"""Repetition: may a request run once more, until when, where; and may its client be told to retry.
+"""Repetition: may a request run once more, until when, where; and may its client retry it.
 
     no attempt may have run yet              another attempt may start until the client's deadline
     an attempt may have run, and the class is
@@ -46,15 +46,15 @@
     return now < repeat_deadline(settings, first_executed_at)
 
 
-def recognises_duplicate(settings: ClassSettings, first: EndpointInfo, other: EndpointInfo) -> bool:
+def recognises_duplicate(settings: ClassSettings, executed_at: EndpointInfo, other: EndpointInfo) -> bool:
     """Whether an engine drops a duplicate by its idempotency key, when another one ran it first."""
     match settings.deduplication_scope:
         case DeduplicationScope.ALL:
             return True
         case DeduplicationScope.ZONE:
-            return other.zone == first.zone
+            return other.zone == executed_at.zone
         case DeduplicationScope.CELL:
-            return other.group == first.group
+            return other.group == executed_at.group
 
 
 def client_may_retry(settings: ClassSettings) -> bool:
--- a/tests/test_decisions_page.py
+++ b/tests/test_decisions_page.py
@@ -4,6 +4,8 @@
 import tomllib
 from pathlib import Path
 
+from query_gateway.model.actions import EndReason
+
 ROOT = Path(__file__).parent.parent
 PAGE = (ROOT / "docs/decisions.md").read_text()
 
@@ -57,3 +59,7 @@
             private = path.name == "scheduler.py" and constant in ("HANDLERS", "IGNORED")
             general = path.name == "repetition.py" and constant in ("NO_DEADLINE", "NEVER")
             assert grouped or private or general or f"`{constant}`" in PAGE, (path.name, constant)
+
+
+def test_every_reason_of_an_end_is_on_the_page() -> None:
+    assert not [reason.value for reason in EndReason if f"`{reason.value}`" not in PAGE]
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -87,7 +87,7 @@
     assert {forward.endpoint for forward in world.sent} == {"b"}
 
 
-def test_engine_left_out_of_a_snapshot_is_gone() -> None:
+def test_engine_left_out_of_a_snapshot_gets_nothing() -> None:
     world = World(engines=TWO)
     world.notify(EndpointUpdate(EndpointUpdateKind.SNAPSHOT, (engine("b"),)))
     for _ in range(9):
@@ -158,95 +158,97 @@
 
 
 class Referee:
-    """Checks what was sent against what was told."""
+    """Checks actions against the seven rules, by the events that the scheduler was handed."""
 
     def __init__(self, site: Settings) -> None:
         self.site = site
-        self.entries: dict[str, EndpointInfo] = {}
+        self.endpoints: dict[str, EndpointInfo] = {}
         self.requests: dict[int, Request] = {}
-        self.order: list[int] = []
-        self.done: set[int] = set()
-        self.out: dict[tuple[int, int], tuple[EndpointInfo, int]] = {}
-        self.copies: dict[int, int] = {}
-        self.ran: dict[int, tuple[int, EndpointInfo]] = {}
-        self.may_run: set[int] = set()
-        self.rest: dict[str, int] = {}
-        self.extra: list[int] = []
-        self.taken: list[int] = []
-
-    def listed(self, change: EndpointUpdate) -> None:
+        self.arrival_order: list[int] = []
+        self.ended: set[int] = set()
+        self.in_flight: dict[tuple[int, int], tuple[EndpointInfo, int]] = {}
+        self.attempt_numbers: dict[int, int] = {}
+        self.first_executed: dict[int, tuple[int, EndpointInfo]] = {}
+        self.may_have_run: set[int] = set()
+        self.quarantined_until: dict[str, int] = {}
+        self.retries_at: list[int] = []
+        self.requests_at: list[int] = []
+
+    def update_endpoints(self, change: EndpointUpdate) -> None:
         if change.kind is not EndpointUpdateKind.DELTA:
-            self.entries = {}
+            self.endpoints = {}
         for info in change.endpoints:
-            self.entries[info.name] = info
+            self.endpoints[info.name] = info
 
     def check(self, now: int, actions: list[Action]) -> None:
         for action in actions:
             if isinstance(action, Reject | Fail):
-                assert action.request_id in self.requests and action.request_id not in self.done
+                assert action.request_id in self.requests and action.request_id not in self.ended
                 request = self.requests[action.request_id]
                 rules = self.site.classes[request.class_index]
-                if isinstance(action, Reject) and action.request_id in self.may_run:
+                if isinstance(action, Reject) and action.request_id in self.may_have_run:
                     assert rules.idempotency is Idempotency.IDEMPOTENT or (
                         rules.idempotency is Idempotency.KEYED
                         and rules.deduplication_scope is DeduplicationScope.ALL
                     )
-                self.done.add(action.request_id)
+                self.ended.add(action.request_id)
             elif isinstance(action, Forward):
-                self.sent(now, action)
+                self.check_forward(now, action)
             elif isinstance(action, Cancel):
-                assert action.attempt_number <= self.copies[action.request_id]
+                assert action.attempt_number <= self.attempt_numbers[action.request_id]
 
-    def sent(self, now: int, action: Forward) -> None:
+    def check_forward(self, now: int, action: Forward) -> None:
         request = self.requests[action.request_id]
         rules = self.site.classes[request.class_index]
-        info = self.entries[action.endpoint]
-        assert action.request_id not in self.done and now < request.deadline
+        info = self.endpoints[action.endpoint]
+        assert action.request_id not in self.ended and now < request.deadline
         assert info.state is EndpointState.UP
         assert rules.allowed_zones is None or info.zone in rules.allowed_zones
         assert rules.allowed_kinds is None or info.kind in rules.allowed_kinds
-        alive = [request_id for request_id, _ in self.out if request_id == action.request_id]
-        assert not alive or (self.site.allows_hedging and rules.idempotency is not Idempotency.NON_IDEMPOTENT)
+        attempts = [request_id for request_id, _ in self.in_flight if request_id == action.request_id]
+        assert not attempts or (
+            self.site.allows_hedging and rules.idempotency is not Idempotency.NON_IDEMPOTENT
+        )
         if rules.idempotency is Idempotency.NON_IDEMPOTENT:
-            assert action.request_id not in self.may_run
-        if rules.idempotency is Idempotency.KEYED and action.request_id in self.ran:
-            since, first = self.ran[action.request_id]
+            assert action.request_id not in self.may_have_run
+        if rules.idempotency is Idempotency.KEYED and action.request_id in self.first_executed:
+            since, first = self.first_executed[action.request_id]
             assert now - since < rules.deduplication_window
             assert rules.deduplication_scope is not DeduplicationScope.ZONE or info.zone == first.zone
             assert rules.deduplication_scope is not DeduplicationScope.CELL or info.group == first.group
-        attempt_number = self.copies.get(action.request_id, -1) + 1
+        attempt_number = self.attempt_numbers.get(action.request_id, -1) + 1
         assert attempt_number < self.site.max_attempts
         if attempt_number and self.site.retry_allowance is not None:
             since = now - self.site.retry_window
-            taken = sum(time > since for time in self.taken)
-            assert sum(time > since for time in self.extra) + 1 <= (
-                self.site.retry_allowance + self.site.retries_per_request * taken
+            requests = sum(time > since for time in self.requests_at)
+            assert sum(time > since for time in self.retries_at) + 1 <= (
+                self.site.retry_allowance + self.site.retries_per_request * requests
             )
         if attempt_number:
-            self.extra.append(now)
+            self.retries_at.append(now)
         if rules.ordered_by_key and request.key:
-            for earlier in self.order[: self.order.index(action.request_id)]:
+            for earlier in self.arrival_order[: self.arrival_order.index(action.request_id)]:
                 before = self.requests[earlier]
                 if before.key == request.key and self.site.classes[before.class_index].ordered_by_key:
-                    assert earlier in self.done and not any(
-                        request_id == earlier for request_id, _ in self.out
+                    assert earlier in self.ended and not any(
+                        request_id == earlier for request_id, _ in self.in_flight
                     )
-            assert attempt_number or now >= self.rest.get(request.key, 0)
-        self.copies[action.request_id] = attempt_number
-        self.out[action.request_id, attempt_number] = info, now
-        self.may_run.add(action.request_id)
+            assert attempt_number or now >= self.quarantined_until.get(request.key, 0)
+        self.attempt_numbers[action.request_id] = attempt_number
+        self.in_flight[action.request_id, attempt_number] = info, now
+        self.may_have_run.add(action.request_id)
 
-    def outcome(self, now: int, outcome: AttemptOutcome) -> None:
-        info, at = self.out.pop((outcome.request_id, outcome.attempt_number))
+    def record_outcome(self, now: int, outcome: AttemptOutcome) -> None:
+        info, sent_at = self.in_flight.pop((outcome.request_id, outcome.attempt_number))
         if outcome.code not in NEVER_RAN:
-            self.ran.setdefault(outcome.request_id, (at, info))
-        elif outcome.request_id not in self.ran:
-            self.may_run.discard(outcome.request_id)
+            self.first_executed.setdefault(outcome.request_id, (sent_at, info))
+        elif outcome.request_id not in self.first_executed:
+            self.may_have_run.discard(outcome.request_id)
         request = self.requests[outcome.request_id]
         if outcome.code in (OutcomeCode.TIMEOUT, OutcomeCode.RESET, OutcomeCode.CANCELLED) and request.key:
-            self.rest[request.key] = now + self.site.key_quarantine
+            self.quarantined_until[request.key] = now + self.site.key_quarantine
         if outcome.final:
-            self.done.add(outcome.request_id)
+            self.ended.add(outcome.request_id)
 
 
 PLACES = st.sampled_from([None, (0,), (1,)])
@@ -296,16 +298,16 @@
     site: Settings, first: list[EndpointInfo], data: st.DataObject
 ) -> None:
     now = 100 * SEC
-    ref, scheduler = Referee(site), Scheduler(site, 3)
+    referee, scheduler = Referee(site), Scheduler(site, 3)
     start = EndpointUpdate(
         EndpointUpdateKind.CACHED, tuple(info for info in first if info.state is not EndpointState.REMOVED)
     )
-    ref.listed(start)
-    ref.check(now, scheduler.handle(now, [start]))
+    referee.update_endpoints(start)
+    referee.check(now, scheduler.handle(now, [start]))
     for step in range(data.draw(st.integers(1, 40))):
         now += data.draw(st.sampled_from([0, 5 * MS, 150 * MS, 900 * MS, 4 * SEC]))  # it may stand or leap
         event: Event
-        live = sorted(ref.out)
+        live = sorted(referee.in_flight)
         match data.draw(st.sampled_from("rrrrooooltngmp")):
             case "r":
                 class_index = data.draw(st.integers(0, 1))
@@ -313,29 +315,30 @@
                 event = Request(
                     step, class_index, now + site.classes[class_index].timeout, 0, 1.0, key, None, 0.0, False
                 )
-                ref.requests[step] = event
-                ref.order.append(step)
-                ref.taken.append(now)
+                referee.requests[step] = event
+                referee.arrival_order.append(step)
+                referee.requests_at.append(now)
             case "o" if live:
                 request_id, attempt_number = data.draw(st.sampled_from(live))
                 code = data.draw(st.sampled_from(OutcomeCode))
-                name = ref.out[request_id, attempt_number][0].name
-                final = code is OutcomeCode.OK or request_id in ref.done
+                name = referee.in_flight[request_id, attempt_number][0].name
+                final = code is OutcomeCode.OK or request_id in referee.ended
                 event = AttemptOutcome(
                     request_id, final, code, 200 * MS, attempt_number, name, None, None, ()
                 )
-                ref.outcome(now, event)
+                referee.record_outcome(now, event)
             case "n" if live:
                 request_id, attempt_number = data.draw(st.sampled_from(live))
-                name, share = ref.out[request_id, attempt_number][0].name, data.draw(st.floats(0, 1))
-                event = ProgressNote(request_id, attempt_number, name, ProgressKind.PROGRESS, share)
-            case "g" if ref.order:
-                event = RequestAbandoned(data.draw(st.sampled_from(ref.order)))
-                ref.done.add(event.request_id)
+                name = referee.in_flight[request_id, attempt_number][0].name
+                progress = data.draw(st.floats(0, 1))
+                event = ProgressNote(request_id, attempt_number, name, ProgressKind.PROGRESS, progress)
+            case "g" if referee.arrival_order:
+                event = RequestAbandoned(data.draw(st.sampled_from(referee.arrival_order)))
+                referee.ended.add(event.request_id)
             case "l":
                 scope = data.draw(st.sampled_from([EndpointUpdateKind.DELTA, EndpointUpdateKind.SNAPSHOT]))
                 event = EndpointUpdate(scope, tuple(data.draw(LISTED)))
-                ref.listed(event)
+                referee.update_endpoints(event)
             case "m":
                 data_ = data.draw(st.sampled_from(["", "3", "7,1", "-1", "x", "9" * 300]))
                 event = GossipMessage(data.draw(st.integers(0, 9)), data_)
@@ -345,7 +348,7 @@
                 )
             case _:
                 event = TimerFired(0)
-        ref.check(now, scheduler.handle(now, [event]))
+        referee.check(now, scheduler.handle(now, [event]))
 
 
 @pytest.mark.parametrize("left", [120 * MS, 150 * MS, 294 * MS, 340 * MS])
