--- a/query_gateway/engine_protocol/frames.py
+++ b/query_gateway/engine_protocol/frames.py
@@ -20,7 +20,7 @@
 FETCH_PAGE = "FETCH"
 END_RESULT = "END"
 
-# Second words of an engine's lines
+# Second words of an engine's lines: the kind of a frame
 OK = "ok"
 REFUSED = "refused"
 ERROR = "error"
@@ -29,7 +29,7 @@
 PAGE = "batch"
 YES = "yes"
 NO = "no"
-RESPONSE_WORDS = frozenset((OK, REFUSED, ERROR, STALE, PROGRESS, PAGE, YES, NO))
+RESPONSE_KINDS = frozenset((OK, REFUSED, ERROR, STALE, PROGRESS, PAGE, YES, NO))
 
 # Fields of a request, in the order in which they are sent
 CLASS_FIELD = "queue"
@@ -54,14 +54,14 @@
     """One response line with its body. `client_request_id` names the request that it belongs to."""
 
     client_request_id: str
-    word: str
+    kind: str
     fields: dict[str, str] = field(default_factory=dict)
     data: bytes = b""
 
 
 class _FrameHead(NamedTuple):
     client_request_id: str
-    word: str
+    kind: str
     fields: dict[str, str]
     body_length: int
 
@@ -121,7 +121,7 @@
                 return None
             if line not in (b"", b"\r"):
                 self._head = _decode_head(line)
-        client_request_id, word, fields, length = self._head
+        client_request_id, kind, fields, length = self._head
         if length and len(self.buffer) < length + len(LINE_END):
             return None
         body = bytes(self.buffer[:length])
@@ -130,7 +130,7 @@
                 raise FrameError("no CR LF behind the body")
             del self.buffer[: length + len(LINE_END)]
         self._head = None
-        return Frame(client_request_id, word, fields, body)
+        return Frame(client_request_id, kind, fields, body)
 
     def _next_line(self) -> bytes | None:
         """The next line without its line feed, None if it is not complete."""
@@ -151,12 +151,12 @@
         words = line[:-1].decode("ascii").split(" ")
     except UnicodeDecodeError:
         raise FrameError("a line is not ASCII") from None
-    if len(words) != 4 or words[1] not in RESPONSE_WORDS:
+    if len(words) != 4 or words[1] not in RESPONSE_KINDS:
         raise FrameError(f"{line[:60]!r} is no response")
-    client_request_id, word, fields, length = words
+    client_request_id, kind, fields, length = words
     if not length.isdigit() or len(length) > MAX_LENGTH_DIGITS or int(length) > MAX_BODY_BYTES:
         raise FrameError("the length is no number or too large")
-    return _FrameHead(client_request_id, word, _decode_fields(fields), int(length))
+    return _FrameHead(client_request_id, kind, _decode_fields(fields), int(length))
 
 
 def _decode_fields(text: str) -> dict[str, str]:
--- a/query_gateway/engine_protocol/liveness.py
+++ b/query_gateway/engine_protocol/liveness.py
@@ -1,58 +1,66 @@
-"""Whether an engine's connection is still of use, judged by when bytes and whole responses came on it."""
+"""Whether an engine's connection is still of use, judged by when bytes and complete responses came on it.
+
+Inputs  when bytes came last, when the last frame was complete, the attempts in flight and their pages
+Answer  until when the next byte must come (`deadline`), and how old an incomplete response may be
+Reason  an engine that hangs keeps its connections open, so that nothing but silence shows the fault
+"""
 
 from collections.abc import Collection
+from typing import Final
 
 from query_gateway.engine_protocol.open_attempt import OpenAttempt
 
 # Progress intervals without a byte, though an attempt is in flight: first nothing new is sent, then the
-# connection is given up
-SUSPECT_INTERVALS = 1.2
-UNRESPONSIVE_INTERVALS = 1.6
+# connection ends
+SUSPECT_INTERVALS: Final = 1.2
+UNRESPONSIVE_INTERVALS: Final = 1.6
 STALL_TIMEOUT_SECONDS = 0.3  # without a byte within a response, or while a page is due
 RESPONSE_TIMEOUT_SECONDS = 2.0  # until a response that began is complete, whatever else comes meanwhile
 
 
 class ConnectionLiveness:
-    """When a connection was last heard of. Times are loop times in seconds."""
+    """When something came on a connection. Times are loop times in seconds."""
 
     def __init__(self, now: float) -> None:
-        """Nothing has come; the connection counts as heard of now."""
-        self.last_heard_at = now
+        """Begin as if bytes had come now."""
+        self.last_received_at = now
         self.last_frame_end_at = now  # when no response was incomplete, or one was completed
 
     def on_bytes(self, now: float, within_frame: bool) -> None:
         """Bytes have come; `within_frame`: behind the beginning of a response."""
-        self.last_heard_at = now
+        self.last_received_at = now
         if not within_frame:
             self.last_frame_end_at = now
 
     def on_frame(self) -> None:
         """A response was completed by the bytes that came last."""
-        self.last_frame_end_at = self.last_heard_at
+        self.last_frame_end_at = self.last_received_at
 
     def deadline(
         self, attempts: Collection[OpenAttempt], within_frame: bool, progress_wait: float
     ) -> float | None:
         """Until when a byte must come; None if none is due.
 
-        Finds a connection that stays open and is of no use: within a response or with a page due something
-        comes at once, and while an attempt is in flight the engine reports its progress now and then.
+        Finds a connection that stays open and is of no use: within a response, or with a page due, bytes
+        follow each other closely, and while an attempt is in flight the engine reports its progress.
         `attempts` are those in flight, oldest first; `progress_wait`: seconds after which a report is missed,
         0 where engines report nothing.
         """
         if within_frame:
-            return self.last_heard_at + STALL_TIMEOUT_SECONDS
+            return self.last_received_at + STALL_TIMEOUT_SECONDS
         page_times = [entry.last_page_at for entry in attempts if entry.last_page_at is not None]
-        deadlines = [max(self.last_heard_at, min(page_times)) + STALL_TIMEOUT_SECONDS] if page_times else []
+        deadlines = (
+            [max(self.last_received_at, min(page_times)) + STALL_TIMEOUT_SECONDS] if page_times else []
+        )
         if attempts and progress_wait:
             oldest = next(iter(attempts)).assigned_at
-            deadlines.append(max(self.last_heard_at, oldest) + progress_wait)
+            deadlines.append(max(self.last_received_at, oldest) + progress_wait)
         return min(deadlines, default=None)
 
     @property
     def latest_response_start(self) -> float:
-        """A response that began before then and is not complete has taken too long.
+        """A response that began by then and is not complete has taken too long.
 
-        While bytes keep coming no deadline passes, so a response without an end would not be found.
+        As long as bytes keep coming no `deadline` passes, so a response without an end needs this bound.
         """
-        return self.last_heard_at - RESPONSE_TIMEOUT_SECONDS
+        return self.last_received_at - RESPONSE_TIMEOUT_SECONDS
--- a/query_gateway/engine_protocol/open_attempt.py
+++ b/query_gateway/engine_protocol/open_attempt.py
@@ -1,23 +1,27 @@
 """An attempt that is in flight on an engine's connection, and its request as the engine reads it."""
 
+from typing import Final
+
 from query_gateway.engine_protocol import frames
 from query_gateway.engine_protocol.results import MAX_RESULT_BYTES
 from query_gateway.forwarder.messages import AttemptHandle
 
-NANOSECONDS_PER_MS = 1_000_000
+NANOSECONDS_PER_MS: Final = 1_000_000
 
 
 class OpenAttempt:
     """An attempt in flight, with the pages that have come. Times are loop times in seconds."""
 
     __slots__ = (
-        "attempt", "assigned_at", "request_sent", "page_count", "pages", "response_started_at",
-        "last_page_at",
+        "attempt", "client_request_id", "assigned_at", "request_sent", "page_count", "pages",
+        "response_started_at", "last_page_at",
     )  # fmt: skip
 
-    def __init__(self, attempt: AttemptHandle, assigned_at: float) -> None:
+    def __init__(self, attempt: AttemptHandle, client_request_id: str, assigned_at: float) -> None:
         """`assigned_at`: when the attempt was given to the connection, which may still be dialling."""
-        self.attempt, self.assigned_at = attempt, assigned_at
+        self.attempt = attempt
+        self.client_request_id = client_request_id
+        self.assigned_at = assigned_at
         self.request_sent = False  # to the last byte
         self.page_count = 0
         self.pages: dict[int, bytes] = {}  # by number
@@ -34,6 +38,11 @@
         self.pages.setdefault(number, page)
         self.last_page_at = now
 
+    @property
+    def has_response(self) -> bool:
+        """Whether the response has begun."""
+        return self.last_page_at is not None
+
     @property
     def has_all_pages(self) -> bool:
         """Whether the result is complete."""
--- a/query_gateway/engine_protocol/pool.py
+++ b/query_gateway/engine_protocol/pool.py
@@ -1,7 +1,14 @@
-"""The connections to every engine, and which of them an attempt uses."""
+"""The connections to every engine, and which of them an attempt uses.
+
+An attempt takes the first connection to its engine that can take it; if none can, a new one is dialled. The
+modules import downwards only:
+
+    pool > connection > request_writer, response_handler > attempt_table, liveness > open_attempt > frames
+"""
 
 from collections.abc import Callable
 from dataclasses import dataclass
+from typing import Final
 
 from query_gateway.engine_protocol.connection import EngineConnection
 from query_gateway.forwarder.messages import AttemptHandle, Endpoint
@@ -10,13 +17,13 @@
 from query_gateway.net.loop import Loop
 
 # Of the engines' idle timeout, after which we close first, so that no request crosses an engine's close
-IDLE_TIMEOUT_SHARE = 0.8
-POSTPONE_SECONDS = 0.02  # until an attempt for which no socket could be made is started again
+IDLE_TIMEOUT_SHARE: Final = 0.8
+POSTPONE_SECONDS: Final = 0.02  # until an attempt for which no socket could be made is started again
 
 
 @dataclass(slots=True, frozen=True)
 class ConnectionLimits:
-    """What the platform says of connections to engines. Times are in seconds."""
+    """The platform's limits on connections to engines. Durations are in seconds."""
 
     streams_per_connection: int
     dial_timeout: float
@@ -30,7 +37,7 @@
     streams_results = False
 
     def __init__(self, loop: Loop, clock: Callable[[], int], limits: ConnectionLimits) -> None:
-        """`clock` tells the time in nanoseconds, as the requests' deadlines do."""
+        """`clock` gives nanoseconds, as the requests' deadlines are."""
         self.loop, self.clock = loop, clock
         self.update_limits(limits)
         self.endpoints: dict[str, Endpoint] = {}  # by engine
@@ -54,24 +61,31 @@
         """
         engine, client_request_id = attempt.endpoint, attempt.request.client_request_id
         endpoint = self.endpoints.get(engine)
-        if endpoint is None or "web" not in endpoint.addresses or self._is_in_flight(client_request_id):
+        # Engines know one attempt an id, whatever connection it came on
+        is_in_flight = client_request_id in self.by_client_request_id
+        if endpoint is None or "web" not in endpoint.addresses or is_in_flight:
             self.postponed.pop(client_request_id, None)
             attempt.on_ended(OutcomeCode.NOT_SENT)
             return
-        connections = self.connections.setdefault(engine, [])
-        free = (candidate for candidate in connections if candidate.can_take(client_request_id))
-        connection = next(free, None)
+        connection = self._free_connection(engine, client_request_id)
         if connection is None:
             try:
                 connection = EngineConnection(self, engine, endpoint)
             except OSError:  # out of descriptors or buffers just now
                 self._postpone(attempt)
                 return
-            connections.append(connection)
+            self.connections.setdefault(engine, []).append(connection)
         self.postponed.pop(client_request_id, None)
         self.by_client_request_id[client_request_id] = connection
         connection.send(attempt)
 
+    def _free_connection(self, engine: str, client_request_id: str) -> EngineConnection | None:
+        """The first connection to an engine that can take an attempt."""
+        for connection in self.connections.get(engine, ()):
+            if connection.can_take(client_request_id):
+                return connection
+        return None
+
     def _postpone(self, attempt: AttemptHandle) -> None:
         """Start an attempt again soon; it ends as not sent once that was tried for the time of a dial."""
         client_request_id, now = attempt.request.client_request_id, self.loop.now()
@@ -88,10 +102,6 @@
 
         self.loop.call_at(now + POSTPONE_SECONDS, start_again)
 
-    def _is_in_flight(self, client_request_id: str) -> bool:
-        """Whether an attempt under this id is on some connection: engines know one attempt an id."""
-        return client_request_id in self.by_client_request_id
-
     def withdraw(self, attempt: AttemptHandle) -> bool:
         """Take an attempt back if nothing of it has left; whether that was so."""
         client_request_id = attempt.request.client_request_id
@@ -114,7 +124,13 @@
         if connection := self.by_client_request_id.get(attempt.request.client_request_id):
             connection.set_priority(attempt.request.client_request_id, attempt.priority)
 
-    def forget(self, connection: EngineConnection) -> None:
+    # ---- reports of the connections, see `ConnectionOwner`
+
+    def on_attempt_ended(self, client_request_id: str) -> None:
+        """An attempt is no longer in flight on its connection."""
+        self.by_client_request_id.pop(client_request_id, None)
+
+    def on_connection_closed(self, connection: EngineConnection) -> None:
         """Drop a connection that has ended; engines without one leave the table."""
         connections = self.connections.get(connection.engine, [])
         if connection in connections:
@@ -123,12 +139,14 @@
             self.connections.pop(connection.engine, None)
         ended = [
             client_request_id
-            for client_request_id, used in self.by_client_request_id.items()
-            if used is connection
+            for client_request_id, its_connection in self.by_client_request_id.items()
+            if its_connection is connection
         ]
         for client_request_id in ended:
             del self.by_client_request_id[client_request_id]
 
+    # ---- the endpoint list
+
     def update_endpoints(self, endpoints: list[Endpoint], is_snapshot: bool) -> None:
         """Apply a change of the endpoint list; engines that a snapshot lacks are retired."""
         if is_snapshot:
@@ -140,11 +158,11 @@
 
     def _update_endpoint(self, endpoint: Endpoint) -> None:
         engine = endpoint.info.name
-        known = self.endpoints.get(engine)
+        previous = self.endpoints.get(engine)
         restarted_or_moved = (
-            known is None
-            or known.info.started_at != endpoint.info.started_at
-            or known.addresses != endpoint.addresses
+            previous is None
+            or previous.info.started_at != endpoint.info.started_at
+            or previous.addresses != endpoint.addresses
         )
         if endpoint.info.state is not EndpointState.UP or restarted_or_moved:
             # Its connections may lead to a process that has ended, and what waits for a dial must not be sent
@@ -159,10 +177,9 @@
         """Send nothing more on an engine's connections, and take back what has not left yet."""
         self.endpoints.pop(engine, None)
         for connection in list(self.connections.get(engine, [])):
-            connection.retired = True
-            for entry in list(connection.open.values()):
+            connection.retire()
+            for entry in list(connection.attempts.open.values()):
                 if self.withdraw(entry.attempt):
                     entry.attempt.on_ended(OutcomeCode.CONNECT_FAILED)
-            connection.task.wake()
         if not self.connections.get(engine):
             self.connections.pop(engine, None)
--- a/query_gateway/engine_protocol/response_handler.py
+++ b/query_gateway/engine_protocol/response_handler.py
@@ -1,57 +1,92 @@
-"""What an engine's frames mean for the attempts in flight on its connection."""
+"""What an engine's frames mean for the attempts in flight on its connection.
 
-from typing import TYPE_CHECKING
+awaiting the response --OK--> awaiting pages --the last page--> finished, served
+awaiting the response --REFUSED, ERROR, STALE--> finished, with the outcome in `OUTCOMES`
+awaiting pages --ERROR, or any other of these--> finished, as an error
+either --a response that cannot be read, or takes too long--> finished, as an error
+"""
+
+from typing import Final, Protocol
 
 from query_gateway.engine_protocol import frames
+from query_gateway.engine_protocol.attempt_table import AttemptTable
+from query_gateway.engine_protocol.liveness import ConnectionLiveness
 from query_gateway.engine_protocol.open_attempt import OpenAttempt
 from query_gateway.engine_protocol.results import MAX_PAGES, is_valid_page
 from query_gateway.forwarder.messages import AttemptHandle
 from query_gateway.model.events import OutcomeCode, ProgressKind
 
-if TYPE_CHECKING:
-    from query_gateway.engine_protocol.connection import EngineConnection
-
-PROGRESS_KINDS = {
+PROGRESS_KINDS: Final = {
     "share": ProgressKind.PROGRESS,
     "short": ProgressKind.SPILLING,
     "held": ProgressKind.WAITING,
 }
-OUTCOMES = {
+OUTCOMES: Final = {
     frames.REFUSED: OutcomeCode.FULL,
     frames.ERROR: OutcomeCode.ERROR,
     frames.STALE: OutcomeCode.NOT_SENT,
 }
-MAX_NUMBER_DIGITS = 9
-MAX_PROGRESS_LEVEL = 1e12
+MAX_NUMBER_DIGITS: Final = 9
+MAX_PROGRESS_LEVEL: Final = 1e12
+
+
+class ResponseActions(Protocol):
+    """What responses ask of their connection."""
+
+    def write(self, data: bytes) -> None:
+        """Send a line to the engine."""
+
+    def finish(self, client_request_id: str, outcome: OutcomeCode) -> None:
+        """End an attempt with its outcome."""
+
+    def fail_malformed(self, client_request_id: str) -> None:
+        """End an attempt whose response cannot be read."""
 
 
 class ResponseHandler:
-    """Applies frames to a connection's attempts.
+    """Applies what was read from a connection to its attempts.
 
-    Frames of an attempt that is no longer in flight, second copies, and words that do not fit the attempt's
-    state change nothing. A response that cannot be read ends its attempt as an error and retires the
-    connection.
+    Frames of an attempt that is no longer in flight, second copies, and frames that do not fit the attempt's
+    state change nothing. A response that cannot be read ends its attempt as an error.
     """
 
-    def __init__(self, connection: "EngineConnection") -> None:
-        """Handle the frames of one connection, whose `liveness.last_heard_at` is when they came."""
+    def __init__(
+        self, attempts: AttemptTable, liveness: ConnectionLiveness, connection: ResponseActions
+    ) -> None:
+        """Handle the frames of one connection."""
+        self.attempts = attempts
+        self.liveness = liveness
         self.connection = connection
-
-    def handle(self, frame: frames.Frame) -> None:
-        """Apply one frame."""
-        entry = self.connection.open.get(frame.client_request_id)
+        self.decoder = frames.FrameDecoder()
+
+    def receive(self, data: bytes, now: float) -> None:
+        """Apply what was read at a loop time.
+
+        Raises FrameError, after which the connection is of no more use: the bytes are no frames, or a frame
+        does not end.
+        """
+        self.liveness.on_bytes(now, self.decoder.partial)
+        received = self.decoder.feed(data)
+        for frame in received:
+            self._handle(frame)
+        if received:
+            self.liveness.on_frame()
+        self._end_overlong_responses()
+
+    def _handle(self, frame: frames.Frame) -> None:
+        entry = self.attempts.open.get(frame.client_request_id)
         if entry is None:
             return  # a late response to an attempt that was cancelled
-        if frame.word == frames.PROGRESS:
+        if frame.kind == frames.PROGRESS:
             self._on_progress(entry.attempt, frame)
-        elif frame.word == frames.OK:
-            if entry.last_page_at is None:
+        elif frame.kind == frames.OK:
+            if not entry.has_response:
                 self._on_first_page(entry, frame)
-        elif frame.word == frames.PAGE:
-            if entry.last_page_at is not None:
+        elif frame.kind == frames.PAGE:
+            if entry.has_response:
                 self._on_further_page(entry, frame)
-        elif frame.word in OUTCOMES:
-            outcome = OUTCOMES[frame.word] if entry.last_page_at is None else OutcomeCode.ERROR
+        elif frame.kind in OUTCOMES:
+            outcome = OutcomeCode.ERROR if entry.has_response else OUTCOMES[frame.kind]
             self.connection.finish(frame.client_request_id, outcome)
 
     @staticmethod
@@ -64,7 +99,7 @@
             attempt.on_progress(kind, level)
 
     def _on_first_page(self, entry: OpenAttempt, frame: frames.Frame) -> None:
-        entry.response_started_at = entry.last_page_at = self.connection.liveness.last_heard_at
+        entry.response_started_at = entry.last_page_at = self.liveness.last_received_at
         entry.attempt.on_executed()
         page_count = _integer(frame.fields.get(frames.PAGE_COUNT_FIELD, "1"), 1, MAX_PAGES)
         if page_count is None:
@@ -75,7 +110,7 @@
             fetches = (
                 frames.encode_fetch(frame.client_request_id, number) for number in range(1, page_count)
             )
-            self.connection.stream.write(b"".join(fetches))
+            self.connection.write(b"".join(fetches))
         self._add_page(entry, 0, frame)
 
     def _on_further_page(self, entry: OpenAttempt, frame: frames.Frame) -> None:
@@ -89,17 +124,32 @@
         if not is_valid_page(frame.data):
             self.connection.fail_malformed(frame.client_request_id)
             return
-        entry.add_page(number, frame.data, self.connection.liveness.last_heard_at)
-        if not entry.has_all_pages:
-            return
+        entry.add_page(number, frame.data, self.liveness.last_received_at)
+        if entry.has_all_pages:
+            self._on_all_pages(entry)
+
+    def _on_all_pages(self, entry: OpenAttempt) -> None:
         if entry.page_count > 1:
-            self.connection.stream.write(frames.encode_end(frame.client_request_id))
+            self.connection.write(frames.encode_end(entry.client_request_id))
         if entry.is_too_large:
-            self.connection.fail_malformed(frame.client_request_id)
+            self.connection.fail_malformed(entry.client_request_id)
             return
         for page_number in range(entry.page_count):
             entry.attempt.on_page(entry.pages[page_number])
-        self.connection.finish(frame.client_request_id, OutcomeCode.OK)
+        self.connection.finish(entry.client_request_id, OutcomeCode.OK)
+
+    def _end_overlong_responses(self) -> None:
+        """End attempts whose response began too long ago; raises FrameError if an incomplete frame did."""
+        latest_start = self.liveness.latest_response_start
+        overlong = [
+            client_request_id
+            for client_request_id, entry in self.attempts.open.items()
+            if entry.last_page_at is not None and entry.response_started_at <= latest_start
+        ]
+        for client_request_id in overlong:
+            self.connection.fail_malformed(client_request_id)
+        if self.decoder.partial and self.liveness.last_frame_end_at <= latest_start:
+            raise frames.FrameError("a frame has not ended for too long")
 
 
 def _integer(text: str, minimum: int, maximum: int) -> int | None:
--- a/query_gateway/forwarder/messages.py
+++ b/query_gateway/forwarder/messages.py
@@ -1,6 +1,9 @@
 """What servers and engine clients exchange with the forwarder: small typed values, free of any wire.
 
-Times are clock times in nanoseconds, durations are nanoseconds unless a name says otherwise.
+Times are clock times in nanoseconds, durations are nanoseconds unless a name has another unit.
+
+Events of an engine client go up through `AttemptHandle`, commands go down through `EngineClient`; results and
+the answer go up to the `Client`.
 """
 
 from collections.abc import Callable
@@ -59,7 +62,7 @@
     estimated_work: int | None  # estimated work in nanoseconds on one core
     estimated_memory_mb: float
     table_group: float | None
-    is_update: bool = False  # a statement without a result, on a wire that tells these apart
+    is_update: bool = False  # a statement without a result, on a wire that distinguishes these
     fingerprint: bytes = b""  # of the parsed statement; empty: not parsed, so nothing is learned from it
 
 
@@ -110,9 +113,9 @@
         """Whether the attempt has not ended; an ended one changes nothing by what is reported."""
 
     def may_be_written(self) -> bool:
-        """Whether the request may leave now; to be asked just before its first byte does.
+        """Whether the request may leave now; must be called just before its first byte leaves.
 
-        If not, the attempt has ended, or is to be ended as not sent.
+        If not, the caller ends the attempt as not sent, unless it has ended.
         """
 
     def on_written(self) -> None:
@@ -162,10 +165,10 @@
         """Whether nothing of the attempt had left, so that it surely never ran; then nothing will leave."""
 
     def cancel(self, attempt: AttemptHandle) -> None:
-        """Tell the engine to stop the attempt; its end is not reported for that."""
+        """Stop the attempt at the engine; its end is not reported for that."""
 
     def set_priority(self, attempt: AttemptHandle) -> None:
-        """Tell the engine the attempt's new priority."""
+        """Pass the attempt's new priority on to the engine."""
 
     def update_endpoints(self, endpoints: list[Endpoint], is_snapshot: bool) -> None:
         """Take in the endpoint list: a snapshot replaces what is known, else these entries have changed."""
--- a/query_gateway/forwarder/readiness.py
+++ b/query_gateway/forwarder/readiness.py
@@ -1,14 +1,21 @@
-"""Whether this process accepts requests: the one state that every server and announcement reads."""
+"""Whether this process accepts requests: the one state that every server and announcement reads.
+
+STARTING --start, and a planner is available--> READY
+READY --the last planner is lost--> STARTING
+STARTING, READY --drain--> DRAINING --undrain--> STARTING, READY
+any --stop--> STOPPING, which is final
+"""
 
 from collections.abc import Callable
 from enum import Enum
+from typing import Final
 
 # Seconds after the start of draining in which clients still send on idle connections: they poll readiness
 # every 0.1 s and take up to 0.2 s more to act on it. Idle connections are closed only after that.
-DRAIN_CLOSE_IDLE_AFTER_S = 0.5
+DRAIN_CLOSE_IDLE_AFTER_S: Final = 0.5
 # Seconds after the start of draining from which new requests are rejected: a client that still sends by then
 # has missed the change, and its requests would keep the connection from ever becoming idle.
-DRAIN_REJECT_AFTER_S = 1.5
+DRAIN_REJECT_AFTER_S: Final = 1.5
 
 
 class Phase(Enum):
@@ -24,7 +31,7 @@
     """The readiness of one process. Watchers are called after every change of the phase."""
 
     def __init__(self) -> None:
-        """Not started, with a planner assumed to be available until the forwarder says otherwise."""
+        """Not started, with a planner assumed to be available until `set_planner_available` changes that."""
         self.started = self.draining = self.stopping = False
         self.planner_available = True
         self.watchers: list[Callable[[], None]] = []
@@ -44,38 +51,38 @@
         return self.phase is Phase.READY
 
     def start(self) -> None:
-        """The process accepts requests from here on."""
-        before = self.phase
+        """Accept requests from here on."""
+        previous_phase = self.phase
         self.started = True
-        self._notify_if_changed(before)
+        self._notify_if_changed(previous_phase)
 
     def set_planner_available(self, available: bool) -> None:
-        """Whether any planner can decide; without one the process is not ready."""
-        before = self.phase
+        """Note whether any planner can decide; without one the process is not ready."""
+        previous_phase = self.phase
         self.planner_available = available
-        self._notify_if_changed(before)
+        self._notify_if_changed(previous_phase)
 
     def drain(self) -> bool:
         """Send clients away; False if the process is stopping anyway."""
-        before = self.phase
+        previous_phase = self.phase
         self.draining = True
-        self._notify_if_changed(before)
+        self._notify_if_changed(previous_phase)
         return not self.stopping
 
     def undrain(self) -> bool:
         """Accept clients again; False if the process is stopping, which nothing takes back."""
-        before = self.phase
+        previous_phase = self.phase
         self.draining = False
-        self._notify_if_changed(before)
+        self._notify_if_changed(previous_phase)
         return not self.stopping
 
     def stop(self) -> None:
-        """The process finishes what is open and exits; this is final."""
-        before = self.phase
+        """Finish what is open and exit; this is final."""
+        previous_phase = self.phase
         self.stopping = True
-        self._notify_if_changed(before)
+        self._notify_if_changed(previous_phase)
 
-    def _notify_if_changed(self, before: Phase) -> None:
-        if self.phase is not before:
+    def _notify_if_changed(self, previous_phase: Phase) -> None:
+        if self.phase is not previous_phase:
             for watcher in self.watchers:
                 watcher()
--- a/tests/test_race_abandoned_requests.py
+++ b/tests/test_race_abandoned_requests.py
@@ -7,6 +7,7 @@
 
 import pytest
 
+from query_gateway.engine_protocol.connection import ConnectionState
 from tests.race_helpers import (
     ABANDONED_SQL,
     SEC,
@@ -26,7 +27,11 @@
 
 @pytest.mark.parametrize("cancelling", [True, False])
 def test_request_abandoned_while_its_connection_is_being_opened_is_not_forwarded(cancelling: bool) -> None:
-    """Guards against a request written for nobody: with cancellation off nothing withdrew it."""
+    """A client leaves while the connection for its attempt is being dialled.
+
+    With cancellation off no planner withdrew the attempt, and the request was written for nobody as the
+    connection came up. The exchange itself withdraws what has not left.
+    """
     engine = SlowToAcceptEngine()
     raw = settings_without_timeouts(cancelling=cancelling, dial_timeout=20 * SEC)
     with running(engine, settings=raw) as gateway:
@@ -42,7 +47,11 @@
 
 
 def test_request_abandoned_while_the_planner_process_is_stalled_is_not_forwarded() -> None:
-    """Guards against waiting for the planner: its cancel never came, and the connection came up."""
+    """A client leaves while its attempt waits for the dial and the planner process is stalled.
+
+    The planner's cancel does not come, and the connection comes up. The exchange withdraws what has not left
+    without waiting for its planner.
+    """
     engine = SlowToAcceptEngine()
     with gateway_with_planner_process(engine, dial_timeout=20 * SEC) as (gateway, planner_process):
         client = send_request(gateway, ABANDONED_SQL)
@@ -60,7 +69,10 @@
         until(
             lambda: (
                 not gateway.engine_pool.connections
-                or all(connection.established for connection in gateway.engine_pool.connections["e0"])
+                or all(
+                    connection.state is ConnectionState.ESTABLISHED
+                    for connection in gateway.engine_pool.connections["e0"]
+                )
             )
         )
         resume.set()
@@ -70,6 +82,11 @@
 
 
 def test_request_abandoned_before_the_planner_process_decides_is_not_forwarded() -> None:
+    """A client leaves before the stalled planner process has decided on its request.
+
+    The planner may forward the request as it goes on. The exchange is gone by then, so nothing is sent and
+    the planner gets the outcome of an attempt that was not sent.
+    """
     engine = Engine()
     with gateway_with_planner_process(engine) as (gateway, planner_process):
         stalled, resume = threading.Event(), threading.Event()
@@ -92,7 +109,11 @@
 
 @pytest.mark.parametrize("cancelling", [True, False])
 def test_request_abandoned_while_it_is_unwritten_is_not_forwarded(cancelling: bool) -> None:
-    """Guards against a buffered request that was still sent, followed by its own STOP or by none."""
+    """A client leaves while its request waits behind others that the engine does not read.
+
+    The request was in the output buffer and left all the same, followed by its own STOP or by none. Requests
+    are now encoded as they leave, and one that is unwritten is withdrawn.
+    """
     unanswered, large = "SELECT 1 FROM lending_7.loans", "SELECT '" + "x" * 200_000 + "' FROM lending_7.loans"
     engine = PausedReaderEngine(script={unanswered: ["mute"]})
     with running(engine, settings=settings_without_timeouts(cancelling=cancelling)) as gateway:
@@ -115,7 +136,11 @@
 
 
 def test_request_abandoned_before_its_connection_is_accepted_is_not_forwarded() -> None:
-    """Guards engines: the request was read and forwarded before the end of its connection was seen."""
+    """A client sends a request and closes before its connection is accepted.
+
+    The request was read and forwarded before the end of its connection was seen, and an engine worked for
+    nobody. The send guard looks at the client's socket as the first byte is about to leave.
+    """
     engine = Engine()
     with running(engine, settings=settings_without_timeouts()) as gateway:
         gateway.loop.lag = lambda: 0.0  # type: ignore[method-assign]
@@ -136,6 +161,11 @@
 
 
 def test_request_abandoned_while_its_key_is_in_use_is_not_forwarded() -> None:
+    """A client leaves while its request waits for an earlier one of the same key.
+
+    Forwarded when its turn comes, it would change rows for nobody, and hold up the next one of its key. It
+    leaves the queue of its key with its client.
+    """
     engine = PausedReaderEngine(script={LOAD: ["mute"]})
     engine.may_read.set()
     second, third = (f"INSERT INTO lending_7.loans VALUES ({n})" for n in (2, 3))
@@ -153,7 +183,11 @@
 
 
 def test_request_abandoned_before_its_attempt_is_reset_is_not_retried() -> None:
-    """With cancellation off the attempt stays in flight; its reset must start no other."""
+    """A client leaves, and then the connection of its attempt is reset.
+
+    With cancellation off the attempt stays in flight, and its reset would make the planner retry it for
+    nobody. The outcome says that the exchange has ended, so no other attempt starts.
+    """
     engine = Engine(script={ABANDONED_SQL: ["mute"]})
     with running(engine, settings=settings_without_timeouts(cancelling=False)) as gateway:
         client = send_request(gateway, ABANDONED_SQL)
@@ -169,7 +203,11 @@
 
 @pytest.mark.parametrize("extra_bytes", [300_000, 900_000])
 def test_client_that_leaves_behind_a_full_receive_buffer_is_noticed(extra_bytes: int) -> None:
-    """Guards the engine: with a full receive buffer nothing was read, so the end behind it was not found."""
+    """A client sends more than the receive buffer takes behind its request, and leaves.
+
+    Reading pauses at a full buffer, so the end behind those bytes was not found and the engine went on for
+    nobody. What a client sends ahead of its answer is read and discarded, up to a limit.
+    """
     engine = Engine(script={ABANDONED_SQL: ["mute"]})
     with running(engine, settings=settings_without_timeouts()) as gateway:
         client = send_request(gateway, ABANDONED_SQL)
@@ -181,6 +219,11 @@
 
 
 def test_client_that_sends_too_much_ahead_is_disconnected_and_others_are_served(capfd: Any) -> None:
+    """A client sends without end while it waits for its answer.
+
+    What it sends ahead would fill the memory, or keep the process busy. Beyond a limit its connection ends
+    with a reason in the log, and its request is stopped.
+    """
     engine = Engine(script={ABANDONED_SQL: ["mute"]})
     with running(engine, settings=settings_without_timeouts()) as gateway:
         with send_request(gateway, ABANDONED_SQL) as client:
@@ -193,6 +236,11 @@
 
 
 def test_bytes_sent_ahead_beyond_the_receive_buffer_close_the_connection_after_the_answer() -> None:
+    """A client sends more than the receive buffer takes ahead of its answer.
+
+    Part of it was discarded, so what follows on the connection can no longer be read as requests. The answer
+    says that the connection closes, and it does.
+    """
     engine = PausedReaderEngine(script={ABANDONED_SQL: ["mute"]})
     engine.may_read.set()
     with running(engine, settings=settings_without_timeouts()) as gateway:
--- a/tests/test_race_engine_connections.py
+++ b/tests/test_race_engine_connections.py
@@ -53,6 +53,10 @@
 
 
 def test_non_idempotent_request_that_was_sent_is_not_retried_after_a_reset() -> None:
+    """An engine resets the connection after it has read a non-idempotent request.
+
+    The request may have run, and a retry would double its effect. It fails, and the next request is served.
+    """
     engine = Engine(script={SQL: ["reset"]})
     with running(engine, settings=settings_with_non_idempotent_reports()) as gateway:
         assert post(gateway, "report", SQL, ttl=600_000)[:2] == (500, {"failure": "Internal"})
@@ -61,8 +65,10 @@
 
 
 def test_attempt_not_sent_because_of_a_drain_is_ended_at_the_planner_process() -> None:
-    """Guards the planner's view of engines: the next attempt had the same number, so its end was ignored and
-    the engine counted as in use for good.
+    """A drain is announced after the planner process has decided and before its decision is read here.
+
+    The attempt is not sent. The next one had the same number, so the planner ignored its end and the engine
+    counted as in use for good. An attempt that is not sent has a number of its own.
     """
     engine, other_engine = Engine(), Engine()
     with gateway_with_planner_process(engine) as (gateway, planner_process):
@@ -97,7 +103,11 @@
 
 
 def test_retry_is_not_sent_when_its_connection_comes_up_after_the_deduplication_window() -> None:
-    """Guards against a doubled load: engines deduplicate only so long, and the connection came up later."""
+    """The connection for a retry comes up when the deduplication window is over.
+
+    The engines no longer recognised the retry, and the load ran twice. The attempt is withdrawn at the end of
+    the window if nothing of it has left.
+    """
     engine, other_engine = Engine(script={LOAD: ["mute"]}), SlowToAcceptEngine()
     raw = settings_without_timeouts(dial_timeout=600 * SEC)
     raw["services"][2] |= {"memory-span": 3 * SEC}
@@ -123,8 +133,11 @@
     "last_bytes", [b"", b"ffffffffffffffff progress detail=share,val=0.1 0\r\n", b"ffff"]
 )
 def test_close_by_the_engine_is_found_before_a_request_is_written(last_bytes: bytes) -> None:
-    """Guards a non-idempotent class: written after the engine's close a request counts as executed. The close
-    may follow a late progress note, or a partial line.
+    """An engine closes an idle connection just before a request is given to it.
+
+    Written after the close, a non-idempotent request counts as executed and fails, although it never ran. The
+    close may follow a late progress note or a partial line. The connection reads all that has arrived before
+    it takes an attempt, and another connection is dialled.
     """
     engine = Engine()
     with running(engine, settings=settings_with_non_idempotent_reports()) as gateway:
@@ -147,14 +160,18 @@
 
 
 def test_partial_line_on_an_idle_connection_corrupts_no_answer(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Guards a non-idempotent class: its answer was appended to the partial line."""
+    """Part of a line comes on an idle connection, and then a request is given to it.
+
+    The answer to the request was appended to that part and could not be read, so a non-idempotent request
+    failed. A connection with half a line and no attempt takes no more attempts.
+    """
     monkeypatch.setattr("query_gateway.engine_protocol.liveness.STALL_TIMEOUT_SECONDS", 600.0)
     engine = Engine()
     with running(engine, settings=settings_with_non_idempotent_reports()) as gateway:
         assert post(gateway, "lookup", SQL, ttl=600_000)[0] == 200
         idle_connection = gateway.engine_pool.connections["e0"][0]
         engine.socks[0].sendall(b"ffff")
-        until(lambda: idle_connection.decoder.partial)
+        until(lambda: idle_connection.responses.decoder.partial)
         assert post(gateway, "report", SQL, ttl=600_000)[1] == {"rows": ROWS}
     assert engine.connections == 2
 
@@ -163,7 +180,11 @@
 def test_answer_that_never_ends_while_bytes_arrive_is_retried(
     how: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Guards the client: each byte restarted the timeout, up to its deadline."""
+    """The answer of an engine comes byte by byte without an end, or repeats one page for ever.
+
+    Each byte restarted the timeout of the response, so the client waited up to its deadline. A response must
+    be complete within a time from its beginning, whatever else comes.
+    """
     monkeypatch.setattr("query_gateway.engine_protocol.liveness.RESPONSE_TIMEOUT_SECONDS", 0.2)
     monkeypatch.setattr("query_gateway.engine_protocol.liveness.STALL_TIMEOUT_SECONDS", 600.0)
     engine = EndlessAnswerEngine(how)
@@ -174,7 +195,11 @@
 
 
 def test_non_idempotent_request_not_sent_in_full_is_retried_when_its_connection_breaks() -> None:
-    """Guards a non-idempotent class: its connection broke with the request still in the buffer."""
+    """A connection breaks while a request still waits behind others that the engine does not read.
+
+    The non-idempotent request counted as executed and failed, although it never left. It ends as not sent,
+    and is sent over another connection.
+    """
     unanswered, large = "SELECT 1 FROM lending_7.loans", "SELECT '" + "x" * 200_000 + "' FROM lending_7.loans"
     engine = PausedReaderEngine(script={unanswered: ["mute"]})
     with (
@@ -199,6 +224,11 @@
 
 
 def test_request_waiting_for_its_connection_is_not_sent_to_a_draining_engine() -> None:
+    """An engine drains while a dial to it is under way.
+
+    The request that waits for the dial would be written to the draining engine, which may close it
+    unanswered. The pool withdraws it as the drain is announced, and it goes to another engine.
+    """
     engine, other_engine = SlowToAcceptEngine(), Engine()
     with (
         running(engine, settings=settings_without_timeouts(dial_timeout=20 * SEC)) as gateway,
@@ -220,7 +250,11 @@
 
 
 def test_unwritten_request_is_not_sent_to_a_draining_engine() -> None:
-    """Guards the drain: what an engine had not read yet was sent whenever it read on."""
+    """An engine drains while a request waits behind others that the engine does not read.
+
+    The request was in the output buffer and left whenever the engine read on, past its drain. Requests are
+    encoded as they leave, and the pool withdraws what is unwritten as the drain is announced.
+    """
     unanswered, large = "SELECT 1 FROM lending_7.loans", "SELECT '" + "x" * 200_000 + "' FROM lending_7.loans"
     engine, other_engine = PausedReaderEngine(script={unanswered: ["mute"]}), Engine()
     with running(engine, settings=settings_without_timeouts()) as gateway, ThreadPoolExecutor() as executor:
@@ -248,7 +282,11 @@
 
 
 def test_what_the_machine_does_not_take_is_not_queued() -> None:
-    """Guards a request's budget: encoded as it leaves, it never lies here while its client's time runs."""
+    """A connection does not take a request at once, as earlier bytes are still in its output buffer.
+
+    A request that lies in that buffer has an outdated time budget when it leaves, and cannot be withdrawn.
+    `write_if_taken` writes nothing unless the first byte leaves at once, and calls again when it may.
+    """
     loop, listener = Loop(), socket.create_server(("127.0.0.1", 0))
     near_socket = socket.create_connection(listener.getsockname())
     far_socket, tried = listener.accept()[0], list[bool]()
@@ -278,6 +316,11 @@
 
 
 def test_a_full_socket_takes_nothing_until_there_is_room_again() -> None:
+    """The send buffer of the machine is full, and the output buffer here is empty.
+
+    `write_if_taken` would not be called again if only the output buffer were watched. It asks epoll for the
+    moment when the socket takes bytes again.
+    """
     loop, listener = Loop(), socket.create_server(("127.0.0.1", 0))
     near_socket = socket.create_connection(listener.getsockname())
     far_socket, tried = listener.accept()[0], list[bool]()
--- a/tests/test_send_guard.py
+++ b/tests/test_send_guard.py
@@ -1,4 +1,4 @@
-"""The guard that every attempt passes, the checks behind it, and the trace of what happens to a request."""
+"""The send guard, the invariant checks behind it, slow-start budgets, and the trace of a request."""
 
 import copy
 from collections.abc import Callable
@@ -166,9 +166,15 @@
         (answer, "a not-open"),
     ],
 )
-def test_attempt_that_waits_is_held_back_when_its_ground_is_gone(
+def test_attempt_that_waits_is_not_written_when_it_may_no_longer_be_sent(
     change: Callable[[World], None], reason: str
 ) -> None:
+    """Something changes between the start of an attempt and its first byte.
+
+    The client leaves, the engine drains, the deadline passes or the request is answered while the attempt
+    waits for its connection. Without a second look an engine would work for nobody, or past its drain. The
+    guard is asked again as the first byte is about to leave.
+    """
     world = World()
     world.forward()
     change(world)
@@ -178,6 +184,11 @@
 
 
 def test_client_found_to_have_left_is_owed_no_answer() -> None:
+    """The send guard is the first to notice that a client has left.
+
+    Its server has not seen the close yet. The exchange is abandoned right there, so that nothing is answered
+    and the planner does not retry.
+    """
     world = World()
     world.forward()
     leave(world)
@@ -187,7 +198,12 @@
 
 
 def test_non_idempotent_request_that_may_have_run_is_not_started_again() -> None:
-    """Guards against a planner in error: the forwarder knows what has ended how."""
+    """A faulty planner forwards a non-idempotent request again after its connection was reset.
+
+    The first attempt may have run, so the request would have its effect twice; a rejection would invite the
+    client to do the same. The forwarder keeps how each attempt ended, refuses to start another one, and turns
+    the rejection into a failure.
+    """
     world = World(class_index=1)
     world.forward()
     [attempt] = world.engine_client.held
@@ -209,6 +225,11 @@
     ],
 )
 def test_what_leaves_past_the_guard_is_counted(change: Callable[[World], None], violation: Invariant) -> None:
+    """An engine client writes an attempt without asking the send guard.
+
+    Nothing can be taken back then, but the violation must show in the log of a running process. The check
+    after the last byte counts and reports it.
+    """
     world = World()
     world.forward()
     [attempt] = world.engine_client.held
@@ -340,7 +361,11 @@
 
 
 def test_attempts_behind_a_late_connection_to_a_cold_engine_do_not_leave_together() -> None:
-    """Guards slow start: the planner had spaced them, and all left as the connection came up."""
+    """Attempts at an engine in slow start wait for one connection, which comes up late.
+
+    The planner had spaced them, and all left together as the connection came up, more than the engine takes
+    within a window. The budget counts what leaves and refuses the rest.
+    """
     world = World(started_at=100 * SEC, rules=COLD)
     for number in range(60):
         request_id = world.accept(f"{number:015x}f", work=SEC)
