--- a/tests/test_layers.py
+++ b/tests/test_layers.py
@@ -7,9 +7,11 @@
 import ast
 import subprocess
 import sys
-from collections.abc import Iterator
+from collections.abc import Collection, Iterator
 from pathlib import Path
 
+import pytest
+
 PACKAGE = Path(__file__).parent.parent / "query_gateway"
 
 # The wires and what they need: above the forwarder, below what starts and joins the parts
@@ -83,11 +85,16 @@
     path = PACKAGE / (module.replace(".", "/") + ".py")
     if not path.exists():
         path = PACKAGE / module.replace(".", "/") / "__init__.py"
+    return names_imported_by(path)
+
+
+def names_imported_by(path: Path) -> Iterator[str]:
+    """The full names that a source file imports, also in a function or for type checking."""
     for node in ast.walk(ast.parse(path.read_text())):
         if isinstance(node, ast.Import):
             yield from (alias.name for alias in node.names)
         elif isinstance(node, ast.ImportFrom):
-            assert node.level == 0, f"{module} has a relative import, which these tests do not follow"
+            assert node.level == 0, f"{path} has a relative import, which these tests do not follow"
             assert node.module
             yield from (f"{node.module}.{alias.name}" for alias in node.names)
 
@@ -136,6 +143,41 @@
     assert not upward
 
 
+def modules_in_circles(imports: dict[str, set[str]]) -> set[str]:
+    """The modules that import each other, directly or around a circle of several."""
+    left = dict(imports)
+    while True:
+        lowest = {module for module, below in left.items() if not below & left.keys()}
+        highest = left.keys() - set().union(*left.values())
+        if not lowest | highest:
+            return set(left)
+        left = {module: below for module, below in left.items() if module not in lowest | highest}
+
+
+def imports_between_modules(package: Path) -> dict[str, set[str]]:
+    """What each module below a package imports of the others, by full names; a package is its `__init__`."""
+    top = package.parent
+    paths = {".".join(path.relative_to(top).with_suffix("").parts): path for path in package.rglob("*.py")}
+    names = {name.removesuffix(".__init__"): path for name, path in paths.items()}
+    return {
+        name: {
+            found for used in names_imported_by(path) if (found := module_of(used, names)) and found != name
+        }
+        for name, path in names.items()
+    }
+
+
+def module_of(name: str, known_modules: Collection[str]) -> str | None:
+    """The module that an imported name is, or stands in."""
+    return next((each for each in (name, name.rpartition(".")[0]) if each in known_modules), None)
+
+
+@pytest.mark.parametrize("package", ["query_gateway", "bench"])
+def test_no_modules_import_each_other(package: str) -> None:
+    """Also where an import is for type checking alone: within a package, too, there is one direction."""
+    assert modules_in_circles(imports_between_modules(PACKAGE.parent / package)) == set()
+
+
 def test_shared_rules_know_settings_and_times_but_no_state() -> None:
     """They import no decision and no record of the scheduler, so that either caller may ask them."""
     allowed = ("query_gateway.model.endpoints", "query_gateway.model.events", "query_gateway.model.settings")
