--- a/query_gateway/engine_protocol/attempt_table.py
+++ b/query_gateway/engine_protocol/attempt_table.py
@@ -23,6 +23,7 @@
         # Those of which nothing has been written. A request is encoded as it leaves: the time that its client
         # still waits is part of it, and would be too long after a wait in a buffer
         self.unwritten: dict[str, OpenAttempt] = {}
+        self.responding: dict[str, OpenAttempt] = {}  # those whose response has begun
         # Attempts that ended without a complete result. A late response would count for the next attempt
         # under the same id, so that one uses another connection
         self.ended_ids: dict[str, None] = {}
@@ -50,6 +51,11 @@
         """Nothing of the attempt was written after all: it is the oldest unwritten one again."""
         self.unwritten = {entry.client_request_id: entry, **self.unwritten}
 
+    def note_response(self, entry: OpenAttempt, now: float) -> None:
+        """Note that the response to an attempt has begun, at a loop time."""
+        entry.on_response_started(now)
+        self.responding[entry.client_request_id] = entry
+
     def withdraw(self, client_request_id: str) -> bool:
         """Remove an attempt if it is unwritten; whether that was so."""
         if self.unwritten.pop(client_request_id, None) is None:
@@ -61,6 +67,7 @@
         """Remove an attempt; whether its engine may have it and has to be notified of that."""
         is_open = self.open.pop(client_request_id, None) is not None
         was_written = self.unwritten.pop(client_request_id, None) is None
+        self.responding.pop(client_request_id, None)
         if not is_open or not was_written:
             return False
         self.ended_ids[client_request_id] = None
@@ -69,6 +76,7 @@
     def remove(self, client_request_id: str, may_respond: bool) -> OpenAttempt:
         """Remove an attempt that is in flight; `may_respond`: late responses to it may still come."""
         entry = self.open.pop(client_request_id)
+        self.responding.pop(client_request_id, None)
         if may_respond:
             self.ended_ids[client_request_id] = None
         return entry
@@ -78,4 +86,5 @@
         entries = list(self.open.values())
         self.open.clear()
         self.unwritten.clear()
+        self.responding.clear()
         return entries
--- a/query_gateway/engine_protocol/connection.py
+++ b/query_gateway/engine_protocol/connection.py
@@ -246,8 +246,7 @@
     def _response_deadline(self, progress_intervals: float) -> float | None:
         """Until when a byte must come; None if none is due."""
         progress_wait = self.owner.progress_interval * progress_intervals
-        in_flight = self.attempts.open.values()
-        return self.liveness.deadline(in_flight, self.responses.decoder.partial, progress_wait)
+        return self.liveness.deadline(self.attempts, self.responses.decoder.partial, progress_wait)
 
     def _close(self, reason: Reason, outcome: OutcomeCode) -> None:
         """End the connection, and all attempts on it with this outcome.
--- a/query_gateway/engine_protocol/frames.py
+++ b/query_gateway/engine_protocol/frames.py
@@ -10,6 +10,7 @@
 MAX_LINE_BYTES = 4_096
 MAX_BODY_BYTES = 1_048_576
 MAX_LENGTH_DIGITS = 7
+MAX_ERROR_BYTES = 60  # of what was received, in the text of an error
 LINE_END = b"\r\n"
 NO_FIELDS = "-"
 
@@ -46,7 +47,7 @@
 
 
 class FrameError(Exception):
-    """Bytes that are no response of an engine; the text says what is wrong with them."""
+    """Bytes that are no response of an engine; the text shows what is wrong with which of them."""
 
 
 @dataclass(slots=True, frozen=True)
@@ -127,7 +128,7 @@
         body = bytes(self.buffer[:length])
         if length:
             if self.buffer[length : length + len(LINE_END)] != LINE_END:
-                raise FrameError("no CR LF behind the body")
+                raise FrameError(f"no CR LF behind the body of {length} bytes for {client_request_id}")
             del self.buffer[: length + len(LINE_END)]
         self._head = None
         return Frame(client_request_id, kind, fields, body)
@@ -136,7 +137,7 @@
         """The next line without its line feed, None if it is not complete."""
         length = self.buffer.find(b"\n")
         if length > MAX_LINE_BYTES or (length < 0 and len(self.buffer) > MAX_LINE_BYTES):
-            raise FrameError("a line is too long")
+            raise FrameError(f"a line has more than {MAX_LINE_BYTES} bytes")
         if length < 0:
             return None
         line = bytes(self.buffer[:length])
@@ -146,16 +147,16 @@
 
 def _decode_head(line: bytes) -> _FrameHead:
     if not line.endswith(b"\r"):
-        raise FrameError("a line ends without CR")
+        raise FrameError(f"{line[:MAX_ERROR_BYTES]!r} ends without CR")
     try:
         words = line[:-1].decode("ascii").split(" ")
     except UnicodeDecodeError:
-        raise FrameError("a line is not ASCII") from None
+        raise FrameError(f"{line[:MAX_ERROR_BYTES]!r} is not ASCII") from None
     if len(words) != 4 or words[1] not in RESPONSE_KINDS:
-        raise FrameError(f"{line[:60]!r} is no response")
+        raise FrameError(f"{line[:MAX_ERROR_BYTES]!r} is no response")
     client_request_id, kind, fields, length = words
     if not length.isdigit() or len(length) > MAX_LENGTH_DIGITS or int(length) > MAX_BODY_BYTES:
-        raise FrameError("the length is no number or too large")
+        raise FrameError(f"{length[:MAX_ERROR_BYTES]!r} is no length up to {MAX_BODY_BYTES}")
     return _FrameHead(client_request_id, kind, _decode_fields(fields), int(length))
 
 
@@ -166,6 +167,6 @@
     for pair in text.split(","):
         name, separator, value = pair.partition("=")
         if not separator or not name:
-            raise FrameError(f"{pair[:40]!r} is not name=value")
+            raise FrameError(f"{pair[:MAX_ERROR_BYTES]!r} is not name=value")
         fields[name] = value
     return fields
--- a/query_gateway/engine_protocol/liveness.py
+++ b/query_gateway/engine_protocol/liveness.py
@@ -5,10 +5,9 @@
 Reason  an engine that hangs keeps its connections open, so that nothing but silence shows the fault
 """
 
-from collections.abc import Collection
 from typing import Final
 
-from query_gateway.engine_protocol.open_attempt import OpenAttempt
+from query_gateway.engine_protocol.attempt_table import AttemptTable
 
 # Progress intervals without a byte, though an attempt is in flight: first nothing new is sent, then the
 # connection ends
@@ -36,25 +35,22 @@
         """A response was completed by the bytes that came last."""
         self.last_frame_end_at = self.last_received_at
 
-    def deadline(
-        self, attempts: Collection[OpenAttempt], within_frame: bool, progress_wait: float
-    ) -> float | None:
+    def deadline(self, attempts: AttemptTable, within_frame: bool, progress_wait: float) -> float | None:
         """Until when a byte must come; None if none is due.
 
         Finds a connection that stays open and is of no use: within a response, or with a page due, bytes
         follow each other closely, and while an attempt is in flight the engine reports its progress.
-        `attempts` are those in flight, oldest first; `progress_wait`: seconds after which a report is missed,
-        0 where engines report nothing.
+        `progress_wait`: seconds after which a report is missed, 0 where engines report nothing.
         """
         if within_frame:
             return self.last_received_at + STALL_TIMEOUT_SECONDS
-        page_times = [entry.last_page_at for entry in attempts if entry.last_page_at is not None]
-        deadlines = (
-            [max(self.last_received_at, min(page_times)) + STALL_TIMEOUT_SECONDS] if page_times else []
-        )
-        if attempts and progress_wait:
-            oldest = next(iter(attempts)).assigned_at
-            deadlines.append(max(self.last_received_at, oldest) + progress_wait)
+        deadlines: list[float] = []
+        if attempts.responding:
+            oldest_page_at = min(entry.last_page_at for entry in attempts.responding.values())
+            deadlines.append(max(self.last_received_at, oldest_page_at) + STALL_TIMEOUT_SECONDS)
+        if attempts.open and progress_wait:
+            oldest = next(iter(attempts.open.values()))
+            deadlines.append(max(self.last_received_at, oldest.assigned_at) + progress_wait)
         return min(deadlines, default=None)
 
     @property
--- a/query_gateway/engine_protocol/open_attempt.py
+++ b/query_gateway/engine_protocol/open_attempt.py
@@ -13,7 +13,7 @@
     """An attempt in flight, with the pages that have come. Times are loop times in seconds."""
 
     __slots__ = (
-        "attempt", "client_request_id", "assigned_at", "request_sent", "page_count", "pages",
+        "attempt", "client_request_id", "assigned_at", "request_sent", "has_response", "page_count", "pages",
         "response_started_at", "last_page_at",
     )  # fmt: skip
 
@@ -23,26 +23,26 @@
         self.client_request_id = client_request_id
         self.assigned_at = assigned_at
         self.request_sent = False  # to the last byte
+        self.has_response = False  # the response has begun; its first page comes with it
         self.page_count = 0
         self.pages: dict[int, bytes] = {}  # by number
-        self.response_started_at = 0.0
-        self.last_page_at: float | None = None  # the first page comes with the response itself
+        self.response_started_at = self.last_page_at = 0.0
 
     def on_request_sent(self) -> None:
         """The machine has taken the request to its last byte."""
         self.request_sent = True
         self.attempt.on_written()
 
+    def on_response_started(self, now: float) -> None:
+        """The response has begun."""
+        self.has_response = True
+        self.response_started_at = self.last_page_at = now
+
     def add_page(self, number: int, page: bytes, now: float) -> None:
         """Keep a page; a repeated one changes nothing but the time of the last page."""
         self.pages.setdefault(number, page)
         self.last_page_at = now
 
-    @property
-    def has_response(self) -> bool:
-        """Whether the response has begun."""
-        return self.last_page_at is not None
-
     @property
     def has_all_pages(self) -> bool:
         """Whether the result is complete."""
--- a/query_gateway/engine_protocol/pool.py
+++ b/query_gateway/engine_protocol/pool.py
@@ -3,7 +3,7 @@
 An attempt takes the first connection to its engine that can take it; if none can, a new one is dialled. The
 modules import downwards only:
 
-    pool > connection > request_writer, response_handler > attempt_table, liveness > open_attempt > frames
+    pool > connection > request_writer, response_handler > liveness > attempt_table > open_attempt > frames
 """
 
 from collections.abc import Callable
--- a/query_gateway/engine_protocol/response_handler.py
+++ b/query_gateway/engine_protocol/response_handler.py
@@ -99,7 +99,7 @@
             attempt.on_progress(kind, level)
 
     def _on_first_page(self, entry: OpenAttempt, frame: frames.Frame) -> None:
-        entry.response_started_at = entry.last_page_at = self.liveness.last_received_at
+        self.attempts.note_response(entry, self.liveness.last_received_at)
         entry.attempt.on_executed()
         page_count = _integer(frame.fields.get(frames.PAGE_COUNT_FIELD, "1"), 1, MAX_PAGES)
         if page_count is None:
@@ -141,15 +141,12 @@
     def _end_overlong_responses(self) -> None:
         """End attempts whose response began too long ago; raises FrameError if an incomplete frame did."""
         latest_start = self.liveness.latest_response_start
-        overlong = [
-            client_request_id
-            for client_request_id, entry in self.attempts.open.items()
-            if entry.last_page_at is not None and entry.response_started_at <= latest_start
-        ]
-        for client_request_id in overlong:
-            self.connection.fail_malformed(client_request_id)
+        if self.attempts.responding:
+            for client_request_id, entry in list(self.attempts.open.items()):
+                if entry.has_response and entry.response_started_at <= latest_start:
+                    self.connection.fail_malformed(client_request_id)
         if self.decoder.partial and self.liveness.last_frame_end_at <= latest_start:
-            raise frames.FrameError("a frame has not ended for too long")
+            raise frames.FrameError("an incomplete frame takes too long")
 
 
 def _integer(text: str, minimum: int, maximum: int) -> int | None:
