--- a/tests/test_race_shutdown.py
+++ b/tests/test_race_shutdown.py
@@ -6,7 +6,6 @@
 import os
 import signal
 import socket
-import threading
 from collections.abc import Callable, Iterator
 from concurrent.futures import ThreadPoolExecutor
 from pathlib import Path
@@ -17,10 +16,10 @@
 from query_gateway.composition import GatewayOptions
 from query_gateway.configuration.operator_file import OperatorSettings
 from query_gateway.gateway import Gateway
+from query_gateway.lifecycle.inherited_state import request_inherited_state
 from query_gateway.lifecycle.reload import ConfigurationSources
 from query_gateway.lifecycle.shutdown import ANSWER_SECONDS
 from query_gateway.lifecycle.upgrade_messages import MAX_DESCRIPTORS, MAX_PACKET_BYTES, PROTOCOL_VERSION
-from query_gateway.lifecycle.upgrade_socket import request_inherited_state
 from tests.race_helpers import (
     SEC,
     PausedReaderEngine,
@@ -30,7 +29,7 @@
     settings_with_timeout,
     settings_without_timeouts,
 )
-from tests.stand_ins import SETTINGS, Engine, config, host, post
+from tests.stand_ins import SETTINGS, Engine, config, host, post, running_gateway
 from tests.test_hot_upgrade import Site, site
 from tests.test_local import until
 from tests.test_web import LOAD, ROWS, SQL, running
@@ -38,6 +37,15 @@
 pytestmark = pytest.mark.usefixtures("reset_log_rate_limit")
 
 
+def abort_delays(gateway: Gateway) -> list[float]:
+    """Seconds until the shutdown aborts open requests, one for each timer that does so."""
+    return [
+        due_at - gateway.loop.now()
+        for due_at, _, timer in gateway.loop.timers
+        if timer.callback == gateway.shutdown.abort_open_requests
+    ]
+
+
 def test_shutdown_aborts_open_requests_before_the_process_is_killed() -> None:
     """A request is still open when the platform is about to send SIGKILL.
 
@@ -48,12 +56,8 @@
         gateway = Gateway(config([], settings=settings), OperatorSettings(), signals=False)
         gateway.begin_shutdown()
         gateway.begin_shutdown()  # a second SIGTERM starts no second shutdown
-        abort_delays = [
-            when - gateway.loop.now()
-            for when, _, timer in gateway.loop.timers
-            if timer.callback == gateway.shutdown.give_up
-        ]
-        assert len(abort_delays) == 1 and longest_deadline < abort_delays[0] < longest_deadline + 0.7
+        [abort_delay] = abort_delays(gateway)
+        assert longest_deadline < abort_delay < longest_deadline + 0.7
         gateway.loop.close()
 
 
@@ -69,12 +73,8 @@
     gateway = Gateway(config([]), OperatorSettings(), signals=False, options=GatewayOptions(sources=sources))
     gateway.reload()
     gateway.begin_shutdown()
-    abort_delays = [
-        when - gateway.loop.now()
-        for when, _, timer in gateway.loop.timers
-        if timer.callback == gateway.shutdown.give_up
-    ]
-    assert len(abort_delays) == 1 and 1.0 < abort_delays[0] < 1.7
+    [abort_delay] = abort_delays(gateway)
+    assert 1.0 < abort_delay < 1.7
     gateway.loop.close()
 
 
@@ -93,7 +93,7 @@
         with ThreadPoolExecutor() as executor:
             waiting = executor.submit(post, gateway, "report", SQL, ttl=600_000)
             until(lambda: gateway.engine_pool.connections)
-            gateway.loop.call_soon(gateway.shutdown.give_up)
+            gateway.loop.call_soon(gateway.shutdown.abort_open_requests)
             assert waiting.result()[0] == 429
         engine.accept_connections()
     assert engine.statements == []
@@ -125,7 +125,7 @@
 def stop_before_successor_is_ready(deployment: Site, end_successor: Callable[[Any], None]) -> int:
     """Stop before the successor is ready, connect a client, end the successor; its status is returned."""
     predecessor = deployment.start()
-    deployment.journal.silent = True
+    deployment.discovery.silent = True
     successor = deployment.start(ready=False)
     log_output = b""
     while b"a successor starts" not in log_output:
@@ -178,10 +178,10 @@
     """A gateway, and its link to a successor that the test plays."""
     configuration = config([host(engine)], settings=settings_without_timeouts())
     options = GatewayOptions(upgrade_path=str(folder / "upgrade.sock"))
-    gateway = Gateway(configuration, OperatorSettings(), signals=False, options=options)
-    thread = threading.Thread(target=gateway.loop.run, daemon=True)
-    thread.start()
-    with socket.socket(socket.AF_UNIX, socket.SOCK_SEQPACKET) as link:
+    with (
+        running_gateway(configuration, options=options) as gateway,
+        socket.socket(socket.AF_UNIX, socket.SOCK_SEQPACKET) as link,
+    ):
         link.settimeout(10)
         link.connect(str(folder / "upgrade.sock"))
         link.send(json.dumps({"hello": PROTOCOL_VERSION}).encode())
@@ -189,10 +189,6 @@
         for message in messages:
             link.send(json.dumps({message: True}).encode())
         yield gateway, link
-        gateway.loop.stop()
-        thread.join(10)
-        assert gateway.loop.faults == 0
-        gateway.loop.close()
     for descriptor in descriptors:
         os.close(descriptor)
     engine.close()
@@ -206,7 +202,7 @@
     The predecessor had closed its listener and its idle connections, so clients had no gateway until the
     next start. It goes on accepting and serving until its shutdown ends.
     """
-    monkeypatch.setattr("query_gateway.lifecycle.shutdown.LAST_CALL_SECONDS", 600.0)
+    monkeypatch.setattr("query_gateway.lifecycle.shutdown.ACCEPT_GRACE_SECONDS", 600.0)
     with gateway_with_successor(tmp_path, Engine()) as (gateway, link):
         assert gateway.hot_upgrade
         connection = http.client.HTTPConnection(*gateway.http_server.listener.address, timeout=10)
@@ -279,20 +275,14 @@
         inherited = inheriting.result(10)
         assert (inherited is None) is (step == "connected")
     options = GatewayOptions(upgrade_path=path, inherited=inherited)
-    gateway = Gateway(config([host(engine)]), OperatorSettings(), signals=False, options=options)
-    thread = threading.Thread(target=gateway.loop.run, daemon=True)
-    thread.start()
-    if step in ("ready", "leaving"):
-        assert json.loads(link.recv(MAX_PACKET_BYTES)) == {"ready": True}
-    if step == "leaving":
-        link.send(json.dumps({"leaving": True}).encode())
-    link.close()
-    until(lambda: gateway.hot_upgrade and not gateway.hot_upgrade.predecessor and gateway.readiness.ready)
-    assert post(gateway, "lookup", SQL, ttl=5_000)[0] == 200
-    gateway.loop.stop()
-    thread.join(10)
-    assert gateway.loop.faults == 0
-    gateway.loop.close()
+    with running_gateway(config([host(engine)]), options=options) as gateway:
+        if step in ("ready", "leaving"):
+            assert json.loads(link.recv(MAX_PACKET_BYTES)) == {"ready": True}
+        if step == "leaving":
+            link.send(json.dumps({"leaving": True}).encode())
+        link.close()
+        until(lambda: gateway.hot_upgrade and not gateway.hot_upgrade.predecessor and gateway.readiness.ready)
+        assert post(gateway, "lookup", SQL, ttl=5_000)[0] == 200
     http_listener.close()
     engine.close()
 
--- a/tests/test_upgrade_compatibility.py
+++ b/tests/test_upgrade_compatibility.py
@@ -16,6 +16,7 @@
 from query_gateway.composition import GatewayOptions
 from query_gateway.configuration.operator_file import OperatorSettings, StatementSettings
 from query_gateway.gateway import Gateway
+from query_gateway.lifecycle.inherited_state import InheritedState, request_inherited_state
 from query_gateway.lifecycle.upgrade_messages import (
     MAX_DESCRIPTORS,
     MAX_PACKET_BYTES,
@@ -30,11 +31,7 @@
     decode_packet,
     encode,
 )
-from query_gateway.lifecycle.upgrade_socket import (
-    InheritedState,
-    request_inherited_state,
-    upgrade_socket_path,
-)
+from query_gateway.lifecycle.upgrade_socket import upgrade_socket_path
 from query_gateway.statements.messages import Rules
 from tests.stand_ins import Engine, config, host
 from tests.test_local import until
@@ -127,7 +124,7 @@
     statements = StatementSettings(Rules(lookup="lookup", report="report", load="load"), covers_http=True)
     operator = OperatorSettings(flight_address=("127.0.0.1", 0), statements=statements)
     options = GatewayOptions(upgrade_path=str(folder / "successor"), inherited=inherited)
-    site = config([host(engine, born_ms=1_700_000_000_000)])
+    site = config([host(engine, started_at_ms=1_700_000_000_000)])
     gate = Gateway(site, operator, signals=False, options=options)
     yield gate
     assert gate.statements
@@ -154,16 +151,16 @@
             request_class = scheduler.state.classes[gate.config.classes[name].index]
             value, _, count = before["learned"]["classes"][name]["work"]
             assert request_class.work.value == value and request_class.work.count == count == counts
-        assert scheduler.state.usual_threads == before["learned"]["usual"]
-        assert scheduler.state.lag_ratio == before["learned"]["lag"]
-        assert scheduler.state.engines["e0"].warm_table_groups == [7.0]
+        assert scheduler.state.fleet.usual_threads == before["learned"]["usual"]
+        assert scheduler.state.controller.lag_ratio == before["learned"]["lag"]
+        assert scheduler.state.fleet.engines["e0"].warm_table_groups == [7.0]
         assert gate.statements
         costs = gate.statements.classifier.costs
         assert {digest.hex() for digest in costs.shapes} == set(before["statements"]["shapes"])
         fronts = [listener.address for listener in gate.fronts.listeners]
         assert fronts == [listener.getsockname() for listener in inherited.listeners.values()]
         # And what this version would tell the next one has the same form, key for key
-        assert same_form(json.loads(encode(gate.overlap.offer()[0])), before)
+        assert same_form(json.loads(encode(gate.overlap.offer().message)), before)
 
 
 def test_a_successor_heeds_what_the_version_before_says_and_takes_its_connections(tmp_path: Path) -> None:
--- a/tests/test_web.py
+++ b/tests/test_web.py
@@ -20,8 +20,9 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
+from query_gateway.configuration.errors import ConfigurationError
 from query_gateway.configuration.operator_file import OperatorSettings, parse_operator_settings
-from query_gateway.configuration.platform import ConfigurationError, parse_configuration
+from query_gateway.configuration.platform import parse_configuration
 from query_gateway.engine_protocol import frames
 from query_gateway.forwarder.messages import Verdict
 from query_gateway.forwarder.table_group import table_group
@@ -256,7 +257,9 @@
         assert engine.wait("REQ")
         assert post(gate, "lookup", "SELECT 2", X_Txn="c" * 16)[0] == 409
         assert post(gate, "lookup", "SELECT a FROM lending_8.loans")[0] == 200
-        assert len(engine.statements) == 2 and not gate.planner.scheduler.state.engines["e0"].ejected_until
+        assert (
+            len(engine.statements) == 2 and not gate.planner.scheduler.state.fleet.engines["e0"].ejected_until
+        )
 
 
 def test_pipelined_requests_are_answered_in_order() -> None:
