--- a/query_gateway/http/connection.py
+++ b/query_gateway/http/connection.py
@@ -35,12 +35,8 @@
 from query_gateway.http.plain_request import PlainRequest, parse_plain_request
 from query_gateway.http.request_decoding import RequestError, decode_request
 from query_gateway.http.request_handler import RequestContext, RequestHandler
-from query_gateway.http.responses import (
-    Response,
-    encode_h11_response,
-    encode_plain_response,
-    failure_response,
-)
+from query_gateway.http.response_sender import ResponseSender
+from query_gateway.http.responses import Response, failure_response
 from query_gateway.http.routing import addressed_class_name, liveness_response
 from query_gateway.net.log import log
 from query_gateway.net.loop import Task
@@ -49,7 +45,6 @@
 
 FIRST_REQUEST_TIMEOUT_SECONDS = 2.0  # from the connection's start until its first request is complete
 REQUEST_TIMEOUT_SECONDS = 5.0  # from the start of a later request until it is complete
-RESPONSE_TIMEOUT_SECONDS = 30.0  # until the client has read a response
 IDLE_TIMEOUT_SECONDS = 6.0  # clients close what was idle for 4 s; those that never do are closed soon after
 LINGER_SECONDS = 1.0  # how long input is still read after our half-close
 TRANSFER_RETRY_SECONDS = 0.02  # until a connection that could not be transferred is tried again
@@ -95,12 +90,10 @@
         self.http = h11.Connection(h11.SERVER, max_incomplete_event_size=MAX_HEADER_BYTES)
         self.task: Task = server.loop.spawn(self._run())
         self.handler = RequestHandler(server, self.stream, self.task.wake)
+        self.sender = ResponseSender(self.stream, self.http)
         self.stream.on_activity = self.task.wake
         self.stream.start()
-        self.bypasses_h11 = False  # the current request was read by the fast parser
-        self.wants_body = True  # the current request is no HEAD
         self.has_sent_request = has_sent_request
-        self.announced_close = False  # the last response said that the connection ends with it
         self.started_at = self.loop.now()
         self.first_request_deadline = self.started_at + FIRST_REQUEST_TIMEOUT_SECONDS
         if not has_sent_request:
@@ -174,11 +167,6 @@
         self.server.idle.pop(self, None)
         return Reason.TOO_MANY if self.stream.closed else None
 
-    @property
-    def has_partial_request(self) -> bool:
-        """Whether a request has begun to come; h11 keeps what has been taken from the inbox."""
-        return bool(self.stream.inbox) or self.stream.arrivals.received > 0
-
     def _on_complete_request(self) -> None:
         self.has_sent_request = self.handler.has_open_request = True
         self.server.without_request.pop(self, None)
@@ -193,7 +181,7 @@
     def _serve_plain_request(self, plain: PlainRequest) -> OptionalReason:
         self.stream.take_inbox()
         self._on_complete_request()
-        self.bypasses_h11 = True
+        self.sender.bypasses_h11 = True
         server, class_name = self.server, plain.path.rpartition("/")[2]
         request = decode_request(class_name, server.classes, plain.headers, plain.body, self._arrived_at())
         response = yield from self.handler.handle(request)
@@ -201,8 +189,8 @@
             return response
         if ended := (yield from self._send_response(response)):
             return ended
-        self.bypasses_h11 = False
-        return (yield from self._close_after_last_response()) if self.announced_close else None
+        self.sender.bypasses_h11 = False
+        return (yield from self._close_after_last_response()) if self.sender.announced_close else None
 
     def _serve_h11_request(self) -> OptionalReason:
         deadline = self.first_request_deadline
@@ -212,7 +200,7 @@
         if isinstance(request, Reason):
             return request
         self._on_complete_request()
-        self.wants_body = request.method != "HEAD"
+        self.sender.wants_body = request.method != "HEAD"
         response = yield from self._respond_to(request)
         if isinstance(response, Reason):
             return response
@@ -237,21 +225,9 @@
 
     def _send_response(self, response: Response, closing: bool = False) -> OptionalReason:
         """Send, and wait until the client has read enough of it; a reason if it does not."""
-        if closing or self._is_last_response():
-            closing = self.announced_close = True
-        if self.bypasses_h11:
-            self.stream.write(encode_plain_response(response, closing))
-        else:
-            self.stream.write(encode_h11_response(self.http, response, closing, self.wants_body))
+        self.sender.write(response, closing or self._is_last_response())
         self.handler.has_open_request = False
-        deadline = self.loop.now() + RESPONSE_TIMEOUT_SECONDS
-        while self.stream.outbox:
-            if self.stream.reset:
-                return Reason.RESET
-            if self.loop.now() >= deadline:
-                return Reason.SLOW_READER
-            yield deadline
-        return None
+        return self.sender.wait_until_sent()
 
     def _is_last_response(self) -> bool:
         """Whether the connection ends with the response to be sent."""
@@ -275,19 +251,14 @@
 
     def _reject(self, status: int, text: str) -> Steps:
         """Send what is wrong with a request, where HTTP still allows a response, and close."""
-        if self.http.our_state in (h11.IDLE, h11.SEND_RESPONSE):
+        if self.sender.may_send:
             ended = yield from self._send_response(failure_response(status, text), closing=True)
             if ended:
                 return ended
         return (yield from self._close_gracefully(reason_after_rejection(status)))
 
     def _close_after_last_response(self) -> Steps:
-        reason = reason_after_last_response(
-            beyond_limit=self.handler.rejects_all,
-            sent_too_much=self.handler.discarded_bytes > 0,
-            closing=self.server.closing,
-            draining=self.server.draining_for(),
-        )
+        reason = reason_after_last_response(self.handler, self.server.closing, self.server.draining_for())
         return (yield from self._close_gracefully(reason))
 
     def _close_gracefully(self, reason: Reason) -> Steps:
--- a/query_gateway/http/end_reasons.py
+++ b/query_gateway/http/end_reasons.py
@@ -4,6 +4,7 @@
 (`h11_request`, `request_handler`); `docs/on-call.md` says what to do about each code.
 """
 
+from query_gateway.http.request_handler import RequestHandler
 from query_gateway.net.stream import Reason, Stream
 
 REQUEST_TIMEOUT_STATUS = 408
@@ -31,18 +32,14 @@
     return Reason.SLOW_REQUEST if status == REQUEST_TIMEOUT_STATUS else Reason.BAD_REQUEST
 
 
-def reason_after_last_response(
-    beyond_limit: bool, sent_too_much: bool, closing: bool, draining: bool
-) -> Reason:
-    """Of one that ended with a response; the first of these that holds is the reason.
+def reason_after_last_response(handler: RequestHandler, closing: bool, draining: bool) -> Reason:
+    """Of one that ended with a response, as its handler, the server's close or a drain required.
 
-    `beyond_limit`: the connection was above the limit on connections. `sent_too_much`: input ahead of the
-    response was discarded. `closing`: the server closes. `draining`: the gateway drains. Otherwise the
-    connection ended as HTTP asks.
+    If none of them did, the connection ended as HTTP asks.
     """
-    if beyond_limit:
+    if handler.rejects_all:
         return Reason.TOO_MANY
-    if sent_too_much:
+    if handler.discarded_bytes:
         return Reason.BAD_REQUEST
     if closing:
         return Reason.STOPPING
--- a/query_gateway/http/server.py
+++ b/query_gateway/http/server.py
@@ -95,7 +95,7 @@
         """
         for connection in islice(self.without_request, MAX_EVICTION_CANDIDATES):
             connection.stream.read_available()
-            if not connection.has_partial_request:
+            if not connection.stream.arrivals.received:
                 return connection
         for connection in islice(self.idle, MAX_EVICTION_CANDIDATES):
             connection.stream.read_available()
