--- a/query_gateway/net/arrivals.py
+++ b/query_gateway/net/arrivals.py
@@ -1,4 +1,4 @@
-"""When the bytes of a connection came: a peer's time runs from then, however long we took to turn to them."""
+"""When the bytes of a connection came: a peer's time runs from then, however late the loop reads them."""
 
 from typing import NamedTuple
 
@@ -6,27 +6,39 @@
 
 
 class _Arrival(NamedTuple):
-    end: int  # how many bytes had been received with it
-    at: float
+    end_position: int  # how many bytes had been received with it
+    arrived_at: float
 
 
 class ArrivalLog:
     """The reads of one connection. Times are loop times in seconds."""
 
-    def __init__(self) -> None:
-        """Nothing has come."""
+    def __init__(self, unread_since: float | None = None) -> None:
+        """Nothing has been read; `unread_since`: what is read first may have waited since then."""
         self.received = 0  # bytes since the connection began
+        self.unread_since = unread_since  # what is read next may have waited since then; None: not long
         self._arrivals: list[_Arrival] = []  # few; an empty list is smaller than a deque
 
-    def record(self, size: int, at: float) -> None:
-        """Note that so many further bytes have come, `at` the earliest."""
+    def record_read(self, size: int, arrived_at: float, more_waits: bool) -> None:
+        """Note a read of so many bytes, which came at `arrived_at`, or earlier where they were left unread.
+
+        `more_waits`: further bytes that came with them may be unread still.
+        """
+        if self.unread_since is not None:
+            arrived_at = min(arrived_at, self.unread_since)
+            if not more_waits:
+                self.unread_since = None
+        self.record(size, arrived_at)
+
+    def record(self, size: int, arrived_at: float) -> None:
+        """Note that so many further bytes have come, `arrived_at` the earliest."""
         self.received += size
         if len(self._arrivals) >= MAX_ENTRIES:
-            at = self._arrivals.pop().at
-        self._arrivals.append(_Arrival(self.received, at))
+            arrived_at = self._arrivals.pop().arrived_at
+        self._arrivals.append(_Arrival(self.received, arrived_at))
 
     def time_of(self, position: int, default: float) -> float:
         """When the byte at a position, counted from 1, had come; the bytes before it are forgotten."""
-        while self._arrivals and self._arrivals[0].end < position:
+        while self._arrivals and self._arrivals[0].end_position < position:
             del self._arrivals[0]
-        return self._arrivals[0].at if self._arrivals else default
+        return self._arrivals[0].arrived_at if self._arrivals else default
--- a/tests/test_momentary_errors.py
+++ b/tests/test_momentary_errors.py
@@ -284,7 +284,7 @@
     loop.watch(sock, stream.mask | OUT, stream._ready)
     while not stream.eof:
         loop.turn()
-    assert stream.dial_refused and not stream.connected
+    assert not (stream.connected or stream.is_local_failure or stream.reset)  # so the peer has refused it
     stream.close(Reason.DIAL_REFUSED)
     loop.close()
 
