--- a/query_gateway/discovery/watch_client.py
+++ b/query_gateway/discovery/watch_client.py
@@ -1,26 +1,48 @@
-"""The client of the discovery service: long polls for the events behind the last position, for ever."""
+"""The client of the discovery service: long polls for the events behind the last position.
+
+The states of the watch, each a part of its coroutine:
+
+    CONNECTING --connected--> POLLING --answer--> POLLING
+        |                        |
+        +--refused, timed out----+--connection ended, or its answers cannot be used--> BACKOFF --> CONNECTING
+
+    `stop` ends any of them; a new address leads from any of them to CONNECTING
+"""
 
 import json
 from collections.abc import Callable, Generator
+from dataclasses import dataclass
 from random import Random
 from typing import Any
 
-import h11
-
+from query_gateway.discovery.poll_connection import PollConnection
 from query_gateway.net.log import log
 from query_gateway.net.loop import Loop
 from query_gateway.net.stream import Reason, Stream, address_of
 
-POLL_HOLD_MS = 2_000  # how long the service may hold a poll: short, so that one that is dead is soon noticed
-SHORT_POLL_HOLD_MS = 1  # and until the first answer, where somebody waits for it
-ANSWER_GRACE_SECONDS = 0.8  # past the hold, after which the connection counts as dead
+POLL_HOLD_MS = 2_000  # how long the service may hold a poll; also bounds how late its death is noticed
+SHORT_POLL_HOLD_MS = 1  # the same until the first answer, where a successor waits for it
+ANSWER_GRACE_SECONDS = 0.8  # beyond the hold, after which the service counts as unresponsive
 SHORT_POLL_TIMEOUT_SECONDS = 0.8
 CONNECT_TIMEOUT_SECONDS = 0.5
-# Before a new connection, half less or more at random: gateways whose watches break together shall not come
-# back together
+# The backoff is randomized by half of it, either way: gateways whose watches end together would otherwise
+# reconnect at the same moments
 MIN_BACKOFF_SECONDS = 0.1
 MAX_BACKOFF_SECONDS = 0.2
-MAX_ANSWER_BYTES = 4_194_304
+MS_PER_SECOND = 1_000
+
+
+@dataclass(slots=True, frozen=True)
+class WatchCallbacks:
+    """What the watch client calls.
+
+    `on_answer` gets the JSON of each answer, and whether the event at our position was polled for once more;
+    it returns the position to poll from next, and may raise any exception at an answer that it cannot decode.
+    `on_caught_up` is called once, after the first answer; where it is set, polls are not held until then.
+    """
+
+    on_answer: Callable[[Any, bool], int]
+    on_caught_up: Callable[[], None] | None = None
 
 
 class EndpointWatchClient:
@@ -29,24 +51,12 @@
     Owns that connection and the task that serves it.
     """
 
-    def __init__(  # noqa: PLR0913 - the parts that it joins; no two of them belong together
-        self,
-        loop: Loop,
-        address: str,
-        position: int,
-        on_update: Callable[[Any, bool], int],
-        *,
-        on_caught_up: Callable[[], None] | None = None,
-        seed: int = 0,
+    def __init__(
+        self, loop: Loop, address: str, position: int, callbacks: WatchCallbacks, seed: int = 0
     ) -> None:
-        """Begin to poll for the events behind `position`.
-
-        `on_update` gets the JSON of each answer, and whether the event at our position was polled for once
-        more; it returns the position to poll from next, and may raise anything at what it cannot read.
-        `on_caught_up` is called once, after the first answer; until then polls are not held.
-        """
-        self.loop, self.address, self.position, self.on_update = loop, address, position, on_update
-        self.on_caught_up = on_caught_up
+        """Begin to poll for the events behind `position`; `seed` is that of the randomized backoff."""
+        self.loop, self.address, self.position = loop, address, position
+        self.on_answer, self.on_caught_up = callbacks.on_answer, callbacks.on_caught_up
         self._stopped = self._address_changed = False
         self._answered = False  # at least once
         self._connection_lost = False  # since the last answer
@@ -59,7 +69,7 @@
         self.task.wake()
 
     def set_address(self, address: str) -> None:
-        """Poll another address from now on; the positions go on."""
+        """Poll another address from now on, from the same position."""
         if address != self.address:
             self.address, self._address_changed = address, True
             self.task.wake()
@@ -86,7 +96,7 @@
                 yield reconnect_at
 
     def _interruption(self) -> Reason | None:
-        """Why the present connection is not wanted any longer, if so."""
+        """Why the present connection must end, if it must."""
         if self._stopped:
             return Reason.STOPPING
         return Reason.REPLACED if self._address_changed else None
@@ -96,14 +106,13 @@
         failure = yield from self._connect(stream)
         if failure:
             return failure
-        connection = h11.Connection(h11.CLIENT)
+        connection = PollConnection(self.loop, stream, self._interruption)
         while True:
-            failure = yield from self._poll(stream, connection)
+            failure = yield from self._poll(connection)
             if failure:
                 return failure
-            if connection.our_state is not h11.DONE or connection.their_state is not h11.DONE:
+            if not connection.start_next_poll():
                 return Reason.DONE
-            connection.start_next_cycle()
 
     def _connect(self, stream: Stream) -> Generator[float | None, None, Reason | None]:
         timeout_at = self.loop.now() + CONNECT_TIMEOUT_SECONDS
@@ -117,85 +126,46 @@
             yield timeout_at
         return None
 
-    def _poll(
-        self, stream: Stream, connection: h11.Connection
-    ) -> Generator[float | None, None, Reason | None]:
+    def _poll(self, connection: PollConnection) -> Generator[float | None, None, Reason | None]:
         """Poll once; return why the connection must end, or None."""
         position, polled_at = self.position, self.loop.now()
-        # Guards against a service that restarted its numbering and has passed our position: the event there
-        # is polled for once more, and differs
-        verifies = self._connection_lost and position > 0
-        self._send_poll(stream, connection, position - 1 if verifies else position)
+        # A service that restarted its numbering while there was no connection may have passed our position.
+        # Its answer would seem to continue our events, and the list would lack those before. So after a lost
+        # connection the event at our position is polled for once more: another event there shows the restart.
+        verifies_newest = self._connection_lost and position > 0
+        hold_ms = SHORT_POLL_HOLD_MS if self.on_caught_up else POLL_HOLD_MS
+        connection.send_poll(self.address, position - 1 if verifies_newest else position, hold_ms)
         try:
-            body = yield from self._read_answer(stream, connection)
+            body = yield from connection.read_answer(self.loop.now() + self._poll_timeout())
             if isinstance(body, Reason):
                 return body
-            self.position = self.on_update(json.loads(body), verifies)
+            self.position = self.on_answer(json.loads(body), verifies_newest)
             self._answered, self._connection_lost = True, False
             is_first = self._notify_caught_up()
-        except Exception as error:  # guards the watch: no answer, however odd, may end it for good
+        except Exception as error:
+            # An exception that leaves this coroutine ends the watch, and the endpoint list would not change
+            # again before a restart. Whatever an answer contains, it ends its connection alone.
             log("discovery", f"invalid answer: {error!r}")
             return Reason.MALFORMED_RESPONSE
-        is_idle = self.position == position and not is_first and not verifies
+        is_idle = self.position == position and not is_first and not verifies_newest
         is_early = self.loop.now() < polled_at + MIN_BACKOFF_SECONDS
         if self.position < position or (is_idle and is_early):
-            return Reason.RESYNC  # guards the service, and us, against polls without a pause
+            # The next poll is for a snapshot, or the service answers at once with nothing new. Polled again
+            # without a pause, a service that does so every time would keep both processes busy. The end of
+            # the connection leads to the backoff.
+            return Reason.RESYNC
         self._backoff = MIN_BACKOFF_SECONDS
         return None
 
+    def _poll_timeout(self) -> float:
+        """Seconds until the service counts as unresponsive."""
+        if self.on_caught_up:
+            return SHORT_POLL_TIMEOUT_SECONDS
+        return POLL_HOLD_MS / MS_PER_SECOND + ANSWER_GRACE_SECONDS
+
     def _notify_caught_up(self) -> bool:
         """Call `on_caught_up` after the first answer; whether this was it."""
         callback, self.on_caught_up = self.on_caught_up, None
         if callback:
             callback()
         return callback is not None
-
-    def _send_poll(self, stream: Stream, connection: h11.Connection, position: int) -> None:
-        wait_ms = SHORT_POLL_HOLD_MS if self.on_caught_up else POLL_HOLD_MS
-        target = f"/journal?tail={position}&max_wait={wait_ms}"
-        request = h11.Request(method="GET", target=target, headers=[("Host", self.address)])
-        stream.write((connection.send(request) or b"") + (connection.send(h11.EndOfMessage()) or b""))
-
-    def _read_answer(
-        self, stream: Stream, connection: h11.Connection
-    ) -> Generator[float | None, None, Reason | bytes]:
-        """Read the body of an answer; return why the connection must end if there is none."""
-        held_poll_timeout = POLL_HOLD_MS / 1000 + ANSWER_GRACE_SECONDS
-        timeout_at = self.loop.now() + (
-            SHORT_POLL_TIMEOUT_SECONDS if self.on_caught_up else held_poll_timeout
-        )
-        body = bytearray()
-        status = 0
-        while True:
-            event = yield from self._next_event(stream, connection, timeout_at)
-            if isinstance(event, Reason):
-                return event
-            if isinstance(event, h11.Response):
-                status = event.status_code
-            elif isinstance(event, h11.Data):
-                body += event.data
-                if len(body) > MAX_ANSWER_BYTES:
-                    return Reason.MALFORMED_RESPONSE
-            elif isinstance(event, h11.EndOfMessage):
-                return bytes(body) if status == 200 else Reason.MALFORMED_RESPONSE
-            else:
-                return Reason.PEER_CLOSED
-
-    def _next_event(
-        self, stream: Stream, connection: h11.Connection, timeout_at: float
-    ) -> Generator[float | None, None, Any]:
-        """Wait for the next h11 event; return a Reason if none can come any more."""
-        while True:
-            event = connection.next_event()
-            if event is not h11.NEED_DATA:
-                return event
-            if stream.inbox:
-                connection.receive_data(stream.take_inbox())
-            elif stream.eof:
-                return Reason.RESET if stream.reset else Reason.PEER_CLOSED
-            elif interruption := self._interruption():
-                return interruption
-            elif self.loop.now() >= timeout_at:
-                return Reason.UNRESPONSIVE
-            else:
-                yield timeout_at
