--- a/query_gateway/configuration/platform.py
+++ b/query_gateway/configuration/platform.py
@@ -18,7 +18,7 @@
     MissingValueError,
 )
 from query_gateway.configuration.settings_flattening import collect_key_paths, flatten_settings
-from query_gateway.configuration.settings_parser import DEDUPLICATED, parse_settings
+from query_gateway.configuration.settings_parser import parse_settings
 from query_gateway.discovery.endpoint_list import (
     EndpointListAnswer,
     EndpointListError,
@@ -102,12 +102,15 @@
             raise InvalidValueError(f"{key} has no value for each class")
 
 
-def _parse_classes(services: Any) -> RequestClasses:
+def _request_classes(services: Any, settings: Settings) -> RequestClasses:
+    """Each class by its name, as the fronts use it; all but the name follows from the decoded settings."""
     return {
         str(service["name"]): RequestClass(
-            index, service.get("repeat") == DEDUPLICATED, bool(service.get("in-turn"))
+            index=index,
+            needs_idempotency_key=class_settings.idempotency is Idempotency.KEYED,
+            ordered_by_key=class_settings.ordered_by_key,
         )
-        for index, service in enumerate(services)
+        for index, (service, class_settings) in enumerate(zip(services, settings.classes, strict=True))
     }
 
 
@@ -118,7 +121,6 @@
     _check_settings(settings_raw)
     settings = parse_settings(flatten_settings(settings_raw))
     settings.check()
-    classes_raw = settings_raw["services"]
     site_limits = settings_raw.get("limits", {})
     zones, kinds = settings_raw.get("zones", []), settings_raw.get("flavors", [])
     names = ZoneAndKindNames([str(zone) for zone in zones], [str(kind) for kind in kinds])
@@ -137,7 +139,7 @@
         initial_endpoints=initial_endpoints,
         settings=settings,
         zones_and_kinds=names,
-        classes=_parse_classes(classes_raw),
+        classes=_request_classes(settings_raw["services"], settings),
         streams_per_connection=int(site_limits.get("streams-per-conn", DEFAULT_STREAMS_PER_CONNECTION)),
         dial_timeout=int(dial_timeout) / NANOSECONDS_PER_SECOND,
         connection_idle_timeout=int(idle_timeout) / NANOSECONDS_PER_SECOND,
--- a/query_gateway/configuration/settings_parser.py
+++ b/query_gateway/configuration/settings_parser.py
@@ -17,10 +17,9 @@
 
 T = TypeVar("T")
 
-DEDUPLICATED = "deduplicated"  # of a class: its requests carry a key, and engines drop a repeat
 IDEMPOTENCY_WORDS = {
     "idempotent": Idempotency.IDEMPOTENT,
-    DEDUPLICATED: Idempotency.KEYED,
+    "deduplicated": Idempotency.KEYED,
     "at_most_once": Idempotency.NON_IDEMPOTENT,
 }
 BOOLEAN_WORDS = {"true": True, "false": False, "1": True, "0": False}
--- a/tests/test_bad_input.py
+++ b/tests/test_bad_input.py
@@ -17,6 +17,7 @@
 from query_gateway.configuration.platform import Configuration, parse_configuration
 from query_gateway.gateway import Gateway
 from query_gateway.model.events import Request
+from query_gateway.model.settings import Idempotency
 from tests.stand_ins import SETTINGS
 
 BAD_VALUES: tuple[Any, ...] = (
@@ -99,6 +100,28 @@
     assert broken == [] and rejected > 500
 
 
+@pytest.mark.parametrize(
+    ("changes", "needs_key", "is_ordered"),
+    [({"in-turn": "false"}, True, False), ({"in-turn": "0"}, True, False),
+     ({"repeat": ["deduplicated"]}, True, True)],
+)  # fmt: skip
+def test_fronts_and_scheduler_decode_a_malformed_class_alike(
+    changes: dict[str, Any], needs_key: bool, is_ordered: bool
+) -> None:
+    """A class states "false" as a string, or its idempotency as a list.
+
+    The fronts decoded both keys a second time, by another rule: the string counted as true and the list as no
+    idempotency with a key. So a front could take requests for ordered, or accept them without a key, where
+    the scheduler did not. Both use the one decoded value.
+    """
+    raw = copy.deepcopy(RAW)
+    raw["settings"]["services"][2] |= changes
+    config = parse_configuration(raw, {})
+    at_fronts, at_scheduler = config.classes["load"], config.settings.classes[2]
+    assert at_fronts.needs_idempotency_key is (at_scheduler.idempotency is Idempotency.KEYED) is needs_key
+    assert at_fronts.ordered_by_key is at_scheduler.ordered_by_key is is_ordered
+
+
 def test_a_malformed_endpoint_list_event_leaves_a_gateway_that_works() -> None:
     """A value of an endpoint list event is malformed.
 
