--- a/tests/test_upgrade_compatibility.py
+++ b/tests/test_upgrade_compatibility.py
@@ -32,6 +32,7 @@
     encode,
 )
 from query_gateway.lifecycle.upgrade_socket import upgrade_socket_path
+from query_gateway.parsing.parsers import SlotState
 from query_gateway.statements.messages import Rules
 from tests.stand_ins import Engine, config, host
 from tests.test_local import until
@@ -136,13 +137,21 @@
 
 @contextlib.contextmanager
 def turning(gate: Gateway) -> Iterator[None]:
+    """Run the gateway's loop, from when it can classify a statement: a parser process is ready."""
     thread = threading.Thread(target=gate.loop.run, daemon=True)
     thread.start()
+    until(lambda: has_ready_parser(gate))
     yield
     gate.loop.stop()
     thread.join(10)
 
 
+def has_ready_parser(gate: Gateway) -> bool:
+    assert gate.statements
+    slots = gate.statements.supervisor.pool.slots
+    return any(slot.state is not SlotState.STARTING for slot in slots)
+
+
 def test_a_successor_restores_what_the_version_before_learned(tmp_path: Path) -> None:
     before = json.loads(recorded(OFFER))
     with predecessor(tmp_path) as (inherited, _), gateway(tmp_path, inherited) as gate:
