--- a/tests/test_local.py
+++ b/tests/test_local.py
@@ -8,6 +8,7 @@
 import sys
 import threading
 import time
+from collections import Counter
 from collections.abc import Callable, Iterator
 from contextlib import contextmanager
 from pathlib import Path
@@ -19,6 +20,7 @@
 from hypothesis import strategies as st
 
 from query_gateway.configuration.operator_file import OperatorSettings
+from query_gateway.forwarder.trace import TraceStep
 from query_gateway.gateway import Gateway
 from query_gateway.model.actions import Cancel, Fail, Forward, Reject, SetTerms
 from query_gateway.model.endpoints import EndpointInfo, EndpointState, EndpointUpdateKind
@@ -199,6 +201,14 @@
         return int(sock.getsockname()[1])
 
 
+def answers_by_process(trace: Path) -> Counter[str]:
+    """How many requests each process has answered, by its id, as the request trace says."""
+    if not trace.exists():
+        return Counter()
+    steps = [line.split() for line in trace.read_text().splitlines()]
+    return Counter(step[1] for step in steps if step[4] == TraceStep.ANSWERED.value)
+
+
 def test_planners_and_forwarders_run_as_processes(tmp_path: Path) -> None:
     engine, listen = Engine(), ("127.0.0.1", free_port())
     known = {"pos": 1, "entries": [{"pos": 1, "hosts": {"seq": 1, "whole": True, "hosts": [host(engine)]}}]}
@@ -209,18 +219,24 @@
     environ = os.environ | {
         "ROUTER_CONFIG": str(tmp_path / "config.json"),
         "QUERY_GATEWAY_OPERATOR_FILE": str(tmp_path / "operator.toml"),
+        "QUERY_GATEWAY_TRACE": str(tmp_path / "trace"),
     }
     gate = SimpleNamespace(http_server=SimpleNamespace(listener=SimpleNamespace(address=listen)))
     run = [sys.executable, "-m", "query_gateway"]
     with ended_on_exit(subprocess.Popen(run, env=environ, stderr=subprocess.DEVNULL)) as process:
 
-        def served() -> bool:
+        def both_forwarders_serve() -> bool:
+            """Both have answered two requests in a row, which they pass to one planner after the other."""
+            answers_before = answers_by_process(tmp_path / "trace")
             try:
-                return all(post(gate, "lookup", SQL)[0] == 200 for _ in range(8))
+                if not all(post(gate, "lookup", SQL)[0] == 200 for _ in range(8)):
+                    return False
             except OSError:
                 return False
+            answers = answers_by_process(tmp_path / "trace") - answers_before
+            return len(answers) == 2 and min(answers.values()) >= 2
 
-        until(served)
+        until(both_forwarders_serve)
         rows = [f"{n:016x}" for n in range(6)]
         assert [post(gate, "load", LOAD, row=row)[0] for row in rows] == [200] * 6
         process.send_signal(signal.SIGTERM)
