--- a/tests/test_hot_upgrade.py
+++ b/tests/test_hot_upgrade.py
@@ -333,14 +333,14 @@
     Restored by number, what was learned of one class would be used for another. It is transferred by name.
     """
     old, new = scheduler_with_one_outcome(), Scheduler(config([]).settings, 2)
-    new.state.engines = {name: engine for name, engine in scheduler_with_one_outcome().state.engines.items()}
-    new.state.engines["e0"].warm_table_groups = []
+    new.state.fleet.engines = dict(scheduler_with_one_outcome().state.fleet.engines)
+    new.state.fleet.engines["e0"].warm_table_groups = []
     exported = json.loads(json.dumps(export_state(old, CLASS_NUMBERS)))
     assert restore_state(new, {"lookup": 1, "report": 2, "load": 0}, exported)
     assert new.state.classes[2].work == old.state.classes[1].work and new.state.classes[2].work.count == 1
     assert (
-        new.state.engines["e0"].warm_table_groups == [7.0]
-        and new.state.engines["e0"].log_slowdown == old.state.engines["e0"].log_slowdown
+        new.state.fleet.engines["e0"].warm_table_groups == [7.0]
+        and new.state.fleet.engines["e0"].log_slowdown == old.state.fleet.engines["e0"].log_slowdown
     )
 
 
@@ -359,5 +359,5 @@
     exported["lag"] = 2.0
     assert (
         not restore_state(new, CLASS_NUMBERS, exported | changes if isinstance(changes, dict) else changes)
-        and new.state.lag_ratio == 1.0
+        and new.state.controller.lag_ratio == 1.0
     )
--- a/tests/test_upgrade_compatibility.py
+++ b/tests/test_upgrade_compatibility.py
@@ -125,7 +125,7 @@
     statements = StatementSettings(Rules(lookup="lookup", report="report", load="load"), covers_http=True)
     operator = OperatorSettings(flight_address=("127.0.0.1", 0), statements=statements)
     options = GatewayOptions(upgrade_path=str(folder / "successor"), inherited=inherited)
-    site = config([host(engine, born_ms=1_700_000_000_000)])
+    site = config([host(engine, started_at_ms=1_700_000_000_000)])
     gate = Gateway(site, operator, signals=False, options=options)
     yield gate
     assert gate.statements
@@ -160,9 +160,9 @@
             request_class = scheduler.state.classes[gate.config.classes[name].index]
             value, _, count = before["learned"]["classes"][name]["work"]
             assert request_class.work.value == value and request_class.work.count == count == counts
-        assert scheduler.state.usual_threads == before["learned"]["usual"]
-        assert scheduler.state.lag_ratio == before["learned"]["lag"]
-        assert scheduler.state.engines["e0"].warm_table_groups == [7.0]
+        assert scheduler.state.fleet.usual_threads == before["learned"]["usual"]
+        assert scheduler.state.controller.lag_ratio == before["learned"]["lag"]
+        assert scheduler.state.fleet.engines["e0"].warm_table_groups == [7.0]
         assert gate.statements
         costs = gate.statements.classifier.costs
         assert {digest.hex() for digest in costs.shapes} == set(before["statements"]["shapes"])
