--- a/query_gateway/discovery/reconciliation.py
+++ b/query_gateway/discovery/reconciliation.py
@@ -1,12 +1,14 @@
 """The sequence check: what an answer changes in the endpoint list, and whether events are missing from it.
 
-the answer                                              anomaly    next position
-continues behind our position                           none       of its last event
-has only events up to our position                      DUPLICATE  as before
-leaves out an event, or ends before the position that   GAP        0: poll for a snapshot
-it states
-states a position below ours, or has another event at   RESET      of its last event, or 0 if events
-our position than we received                                      are missing
+    the answer                                              anomaly    next position
+    continues behind our position                           none       of its last event
+    has only events up to our position                      DUPLICATE  as before
+    leaves out an event, or ends before the position that   GAP        0: poll for a snapshot
+    it states
+    states a position below ours, or has another event at   RESET      of its last event, or 0 if events
+    our position than we received                                      are missing
+
+Free of I/O and of state: the caller holds the position.
 """
 
 from dataclasses import dataclass
--- a/query_gateway/discovery/tombstones.py
+++ b/query_gateway/discovery/tombstones.py
@@ -1,7 +1,9 @@
 """The tombstones: endpoints that drained or were removed, kept after the list has dropped them.
 
-none --reported as draining or removed, or left out by a snapshot--> tombstone
-tombstone --reported as up--> none
+    none --reported as draining or removed, or left out by a snapshot--> tombstone
+    tombstone --reported as up--> none
+
+They are lost with the process.
 """
 
 from collections.abc import Iterable
--- a/query_gateway/lifecycle/planner_links.py
+++ b/query_gateway/lifecycle/planner_links.py
@@ -1,15 +1,15 @@
 """The planners of one gateway: one in this process, or several that are processes of their own.
 
-The states of a planner as this process sees it; the one in this process is always CONNECTED:
+The states of a planner as this process sees it; one in this process is replaced and CONNECTED again at once:
 
     LOST --connection up--> CONNECTED --connection ended, or the module raised an error--> LOST
 
-When a planner is lost, its queues, its view of the engines and what it learned are lost with it; of its open
-requests it knows nothing any more. The forwarder ends them all at once (`Forwarder.on_planner_lost`): each is
-rejected where its client may safely send it again, else it fails. Requests with a key then wait for a while
-(`KeyQuarantine`), since an engine may still run an earlier one of the same key. New requests for that planner
-are rejected until it is connected again; without any planner the gateway is not ready. A planner that
-connects gets its settings and the endpoint list.
+When a planner is lost, its queues, its view of the engines and what it learned are lost with it. The
+forwarder ends all of its open requests at once (`Forwarder.on_planner_lost`): each is rejected where its
+client may safely send it again, else it fails. Requests with a key then wait for a while (`KeyQuarantine`),
+since an engine may still run an earlier one of the same key. New requests for that planner are rejected until
+it is connected again; without any planner the gateway is not ready. A planner that connects gets its settings
+and the endpoint list.
 """
 
 from collections.abc import Callable
--- a/query_gateway/lifecycle/process.py
+++ b/query_gateway/lifecycle/process.py
@@ -1,8 +1,10 @@
 """The entry of a process: reads the configuration, starts this process's part, and runs it to its end.
 
-no worker, no [processes] in the operator's file   the whole gateway, which may follow a predecessor
-no worker, [processes]                             the supervisor of worker processes
-a worker named by the supervisor                   one planner, or one forwarder
+    no worker, no [processes] in the operator's file   the whole gateway, which may follow a predecessor
+    no worker, [processes]                             the supervisor of worker processes
+    a worker named by the supervisor                   one planner, or one forwarder
+
+A start that fails prints one line and exits with code 2.
 """
 
 import contextlib
--- a/query_gateway/planner/learned_state.py
+++ b/query_gateway/planner/learned_state.py
@@ -1,7 +1,17 @@
-"""What a scheduler has learned, as JSON values for its successor: versioned, bounded, checked as a whole.
+"""What a scheduler has learned, as JSON values for its successor: versioned, bounded, checked before use.
 
-The keys and the order of the values are a stored form that earlier and later versions read: they stay. Times
-there are those of the wall clock, in nanoseconds; 0 stands for never.
+The keys and the order of the values are a stored form that earlier and later versions read, so they do not
+change. They stand in this module alone:
+
+    version, lag, usual   format version; lag ratio; usual threads
+    paces                 slowdown over the fleet, a decayed average
+    costs                 weight of requests, of rejections and of late answers, each a decayed average
+    classes               by class name: the means of `MEANS`; rate (slowdown); first_span (longest timeout)
+    engines               by engine name, a list: listed start, observed start, slowdown, fault rate, last
+                          received at, ejected until, ejection time, warm table groups
+
+Times in it are wall-clock times in nanoseconds, which each process converts to its steady clock; 0 stands for
+never. Durations are nanoseconds.
 """
 
 import math
@@ -20,7 +30,7 @@
 MAX_ENGINES = 512  # engines written at most
 MAX_TABLE_GROUPS = 16  # warm table groups read of each engine
 MAX_LAG_RATIO = 1e3  # beyond any that a controller can reach
-START_TOLERANCE_NS = 1_000_000_000  # no engine starts twice within it
+START_TOLERANCE_NS = 1_000_000_000  # starts that differ by less are the same one
 # The stored key of each running mean and the attribute that holds it
 MEANS = {
     "work": "work",
@@ -37,7 +47,7 @@
 
 @dataclass(slots=True, frozen=True)
 class LearnedClass:
-    """What was learned of one class, whose record here it belongs to."""
+    """What was learned of one class, and the record of that class in this process."""
 
     state: ClassState
     means: dict[str, RunningMean]  # by attribute
@@ -54,7 +64,7 @@
 
 @dataclass(slots=True, frozen=True)
 class LearnedEngine:
-    """What was learned of one engine, whose record here it belongs to. Times are nanoseconds."""
+    """What was learned of one engine, and its record in this process. Times are nanoseconds."""
 
     state: EngineState
     started_at: int
@@ -72,13 +82,13 @@
         engine.fault_rate, engine.last_received_at = self.fault_rate, self.last_received_at
         engine.ejected_until, engine.ejection_time = self.ejected_until, self.ejection_time
         engine.warm_table_groups = self.warm_table_groups
-        # Ejected and not heard since: one query at a time, as it was
+        # An engine that was ejected and has sent nothing since goes on with probation: one query at a time
         engine.on_probation = self.ejected_until > self.last_received_at
 
 
 @dataclass(slots=True, frozen=True)
 class LearnedState:
-    """All that was learned, checked against the classes and engines known here."""
+    """All that was learned of classes and engines that this process has, checked."""
 
     lag_ratio: float
     usual_threads: float
@@ -103,7 +113,7 @@
 ) -> dict[str, Any]:
     """What a scheduler has learned, its classes by their names.
 
-    `wall_clock_offset`: what the wall clock is ahead of the scheduler's, in nanoseconds.
+    `wall_clock_offset`: by how much the wall clock is ahead of the scheduler's clock, in nanoseconds.
     """
     return _Encoder(wall_clock_offset).encode(scheduler.state, class_indexes)
 
@@ -111,7 +121,7 @@
 def restore_state(
     scheduler: Scheduler, class_indexes: Mapping[str, int], raw: Any, wall_clock_offset: int = 0
 ) -> bool:
-    """Take over what a predecessor exported: all of it or, if anything in it is unusable, nothing."""
+    """Restore what a predecessor exported: all of it or, if any value of it is unusable, nothing."""
     try:
         learned = _Decoder(wall_clock_offset).decode(scheduler.state, class_indexes, raw)
     except (KeyError, TypeError, ValueError, AttributeError):
@@ -209,7 +219,7 @@
         return LearnedClass(request_class, means, self._average(raw["rate"]), longest_timeout)
 
     def _engine(self, engine: EngineState | None, raw: Any) -> LearnedEngine | None:
-        """None for an engine that is unknown here or has started since: its past says nothing."""
+        """None for an engine that this process does not have, or that has started again since."""
         listed_start, started_at, slowdown, fault_rate, *times, ejection_time, table_groups = raw
         if engine is None or not _is_same_start(engine.info.started_at, self._time(listed_start)):
             return None
@@ -227,7 +237,7 @@
 
 
 def _is_same_start(ours: int, theirs: int) -> bool:
-    """Whether both processes mean one start; each has read its own clocks to place it on the steady clock."""
+    """Whether both processes mean one start, which each has translated to the steady clock by itself."""
     if not ours or not theirs:
         return ours == theirs
     return abs(ours - theirs) < START_TOLERANCE_NS
--- a/query_gateway/planner/supervisor.py
+++ b/query_gateway/planner/supervisor.py
@@ -10,7 +10,7 @@
 
 The supervisor holds no state of requests. What a worker knew is lost with it: with a planner its queues and
 what it learned, while its forwarders answer its open requests (`forwarder`, `on_planner_lost`); with a
-forwarder its clients' connections and open requests, while its planners take them off their books
+forwarder its clients' connections and open requests, while its planners end those requests
 (`planner.process`, `on_session_ended`). If the supervisor dies, its workers stop as at SIGTERM.
 """
 
@@ -35,7 +35,8 @@
 
     A supervisor that is killed cannot stop its workers. They would go on listening, and the next start would
     fail because its addresses are in use. A worker whose parent process has ended gets another parent, which
-    is looked for here.
+    is looked for here. The parent at this call counts as the supervisor: one that ended before is not
+    noticed.
     """
     supervisor_pid = os.getppid()
 
