--- a/tests/test_hot_upgrade.py
+++ b/tests/test_hot_upgrade.py
@@ -40,7 +40,7 @@
 from query_gateway.policy.scheduler import Scheduler
 from tests.stand_ins import SETTINGS, Engine, config, host, post
 from tests.test_local import free_port, until
-from tests.test_ops import ask, figures
+from tests.test_ops import figures, send_call
 from tests.test_web import SQL, steady
 
 
@@ -76,7 +76,7 @@
                "settings": SETTINGS}  # fmt: skip
         (folder / "config.json").write_text(json.dumps(raw))
         self.environ = os.environ | {"ROUTER_CONFIG": str(folder / "config.json"), "TMPDIR": str(folder)}
-        self.gate = SimpleNamespace(
+        self.gateway = SimpleNamespace(
             http_server=SimpleNamespace(listener=SimpleNamespace(address=self.listen))
         )
         self.processes: list[subprocess.Popen[bytes]] = []
@@ -93,7 +93,7 @@
 
         def is_ready() -> bool:
             try:
-                return ask(gateway, b"READY\n") == "200 ready\n"
+                return send_call(gateway, b"READY\n") == "200 ready\n"
             except OSError:
                 return False
 
@@ -102,7 +102,7 @@
         return gateway
 
     def served(self, statement: str = SQL, **options: Any) -> int:
-        return post(self.gate, "lookup", statement, **options)[0]
+        return post(self.gateway, "lookup", statement, **options)[0]
 
 
 @contextmanager
@@ -266,20 +266,22 @@
     predecessor forwards no more rejects requests that the engines could take. Each step of the upgrade
     changes the share.
     """
-    gate = Gateway(config([host(Engine())]), OperatorSettings(), signals=False)
-    shares = [gate.planner.settings.slow_start_share]
+    gateway = Gateway(config([host(Engine())]), OperatorSettings(), signals=False)
+    shares = [gateway.planner.settings.slow_start_share]
     steps: list[Callable[[], None]] = [
-        gate.overlap.on_successor_ready,
-        gate.overlap.on_predecessor_draining,
-        gate.overlap.end_overlap,
+        gateway.overlap.on_successor_ready,
+        gateway.overlap.on_predecessor_draining,
+        gateway.overlap.end_overlap,
     ]
-    for step in (gate.overlap.begin_overlap, *steps):
+    for step in (gateway.overlap.begin_overlap, *steps):
         step()
-        gate.loop.call_at(gate.loop.now(), lambda: None)
-        gate.loop.turn()
-        shares.append(gate.planner.settings.slow_start_share)
-    assert shares == [1.0, 1.0, 0.5, 0.9, 1.0] and gate.http_server.max_connections == gate.max_connections
-    gate.loop.close()
+        gateway.loop.call_at(gateway.loop.now(), lambda: None)
+        gateway.loop.turn()
+        shares.append(gateway.planner.settings.slow_start_share)
+    assert (
+        shares == [1.0, 1.0, 0.5, 0.9, 1.0] and gateway.http_server.max_connections == gateway.max_connections
+    )
+    gateway.loop.close()
 
 
 Received = Hello | Ready | Draining | ClientTransfer | UnknownMessage
--- a/tests/test_local.py
+++ b/tests/test_local.py
@@ -131,50 +131,52 @@
     engine = Engine(script={SQL: ["mute"]})
     with planner() as first:
         address = first.listener.address
-        gate = Gateway(config([host(engine)]), OperatorSettings(planner_addresses=(address,)), signals=False)
-        thread = threading.Thread(target=gate.loop.run, daemon=True)
+        gateway = Gateway(
+            config([host(engine)]), OperatorSettings(planner_addresses=(address,)), signals=False
+        )
+        thread = threading.Thread(target=gateway.loop.run, daemon=True)
         thread.start()
-        until(lambda: connected_planners(gate) == [True])
-        assert post(gate, "load", LOAD)[1] == {"rows": ROWS}
+        until(lambda: connected_planners(gateway) == [True])
+        assert post(gateway, "load", LOAD)[1] == {"rows": ROWS}
         until(lambda: not first.owners)  # what is answered is forgotten there
         answers: list[int] = []
-        waiting = threading.Thread(target=lambda: answers.append(post(gate, "lookup", SQL)[0]))
+        waiting = threading.Thread(target=lambda: answers.append(post(gateway, "lookup", SQL)[0]))
         waiting.start()
         assert engine.wait("REQ", 2)
     waiting.join(10)
     assert answers == [429]
-    until(lambda: connected_planners(gate) == [False])
-    status, _, headers = post(gate, "load", LOAD)
+    until(lambda: connected_planners(gateway) == [False])
+    status, _, headers = post(gateway, "load", LOAD)
     assert status == 429 and int(headers["x-throttle-ms"]) > 0
     with planner(address[1]):
-        until(lambda: connected_planners(gate) == [True])
-        assert post(gate, "load", LOAD)[0] == 200
-        assert post(gate, "lookup", SQL)[0] == 200
-    gate.loop.stop()
+        until(lambda: connected_planners(gateway) == [True])
+        assert post(gateway, "load", LOAD)[0] == 200
+        assert post(gateway, "lookup", SQL)[0] == 200
+    gateway.loop.stop()
     thread.join(10)
-    assert gate.loop.faults == 0
-    gate.loop.close()
+    assert gateway.loop.faults == 0
+    gateway.loop.close()
     engine.close()
 
 
 def test_a_planner_forgets_all_requests_of_a_forwarder_that_ends() -> None:
     engine = Engine(script={SQL: ["mute"]})
     with planner() as process:
-        gate = Gateway(
+        gateway = Gateway(
             config([host(engine)]),
             OperatorSettings(planner_addresses=(process.listener.address,)),
             signals=False,
         )
-        thread = threading.Thread(target=gate.loop.run, daemon=True)
+        thread = threading.Thread(target=gateway.loop.run, daemon=True)
         thread.start()
-        until(lambda: connected_planners(gate) == [True])
-        with socket.create_connection(gate.http_server.listener.address) as sock:
+        until(lambda: connected_planners(gateway) == [True])
+        with socket.create_connection(gateway.http_server.listener.address) as sock:
             head = f"POST /svc/lookup HTTP/1.1\r\nHost: x\r\nX-Txn: {'a' * 16}\r\nX-Ttl-Ms: 5000\r\n"
             sock.sendall(f"{head}Content-Length: {len(SQL)}\r\n\r\n{SQL}".encode())
             assert engine.wait("REQ") and process.owners
-            gate.loop.stop()
+            gateway.loop.stop()
             thread.join(10)
-            gate.loop.close()
+            gateway.loop.close()
         until(lambda: not process.sessions)
         module = process.planner.scheduler.state
         until(lambda: not process.owners and not module.queries)
@@ -221,7 +223,7 @@
         "QUERY_GATEWAY_OPERATOR_FILE": str(tmp_path / "operator.toml"),
         "QUERY_GATEWAY_TRACE": str(tmp_path / "trace"),
     }
-    gate = SimpleNamespace(http_server=SimpleNamespace(listener=SimpleNamespace(address=listen)))
+    gateway = SimpleNamespace(http_server=SimpleNamespace(listener=SimpleNamespace(address=listen)))
     run = [sys.executable, "-m", "query_gateway"]
     with ended_on_exit(subprocess.Popen(run, env=environ, stderr=subprocess.DEVNULL)) as process:
 
@@ -229,7 +231,7 @@
             """Both have answered two requests in a row, which they pass to one planner after the other."""
             answers_before = answers_by_process(tmp_path / "trace")
             try:
-                if not all(post(gate, "lookup", SQL)[0] == 200 for _ in range(8)):
+                if not all(post(gateway, "lookup", SQL)[0] == 200 for _ in range(8)):
                     return False
             except OSError:
                 return False
@@ -238,7 +240,7 @@
 
         until(both_forwarders_serve)
         rows = [f"{n:016x}" for n in range(6)]
-        assert [post(gate, "load", LOAD, row=row)[0] for row in rows] == [200] * 6
+        assert [post(gateway, "load", LOAD, row=row)[0] for row in rows] == [200] * 6
         process.send_signal(signal.SIGTERM)
         assert process.wait(20) == 0
     engine.close()
--- a/tests/test_ops.py
+++ b/tests/test_ops.py
@@ -22,39 +22,43 @@
 WITH_ADMIN = {"ops": "127.0.0.1:0"}
 
 
-def ask(gate: Any, line: bytes) -> str:
-    with socket.create_connection(gate.admin_server.listener.address, 10) as sock:
+def send_call(gateway: Any, line: bytes) -> str:
+    with socket.create_connection(gateway.admin_server.listener.address, 10) as sock:
         sock.sendall(line)
         return sock.makefile().read()
 
 
-def figures(gate: Any) -> dict[str, int]:
-    lines = ask(gate, b"STATS\n").splitlines()
+def figures(gateway: Any) -> dict[str, int]:
+    lines = send_call(gateway, b"STATS\n").splitlines()
     assert lines[0].startswith("200") and lines[-1] == "EOF"
     return {name: int(value) for name, value in (line.rsplit(" ", 1) for line in lines[1:-1])}
 
 
-def admin_server(gate: Gateway) -> AdminServer:
-    assert gate.admin_server
-    return gate.admin_server
+def admin_server(gateway: Gateway) -> AdminServer:
+    assert gateway.admin_server
+    return gateway.admin_server
 
 
-def test_known_calls_are_answered_and_others_refused() -> None:
-    with running(Engine(), **WITH_ADMIN) as gate:
-        assert ask(gate, b"READY\r\n") == "200 ready\n"
+def test_known_calls_are_answered_and_others_rejected() -> None:
+    with running(Engine(), **WITH_ADMIN) as gateway:
+        assert send_call(gateway, b"READY\r\n") == "200 ready\n"
         for line in (b"ready\n", b"\n", b"READY now\n", b"x" * 300, b"\xff\n"):
-            assert ask(gate, line).startswith("400 ")
-        assert ask(gate, b"DRAIN\n") == "200 draining\n" and ask(gate, b"READY\n") == "400 draining\n"
-        assert ask(gate, b"UNDRAIN\n") == "200 ready\n"
+            assert send_call(gateway, line).startswith("400 ")
+        assert (
+            send_call(gateway, b"DRAIN\n") == "200 draining\n"
+            and send_call(gateway, b"READY\n") == "400 draining\n"
+        )
+        assert send_call(gateway, b"UNDRAIN\n") == "200 ready\n"
 
 
 def test_connections_that_finish_no_call_are_evicted_at_the_limit() -> None:
-    with running(Engine(), **WITH_ADMIN) as gate:
+    with running(Engine(), **WITH_ADMIN) as gateway:
         crowd = [
-            socket.create_connection(admin_server(gate).listener.address) for _ in range(MAX_CONNECTIONS + 4)
+            socket.create_connection(admin_server(gateway).listener.address)
+            for _ in range(MAX_CONNECTIONS + 4)
         ]
-        assert ask(gate, b"READY\n") == "200 ready\n"
-        assert len(admin_server(gate).connections) <= MAX_CONNECTIONS
+        assert send_call(gateway, b"READY\n") == "200 ready\n"
+        assert len(admin_server(gateway).connections) <= MAX_CONNECTIONS
         for sock in crowd:
             sock.close()
 
@@ -62,20 +66,20 @@
 def test_the_figures_count_answers_forwards_and_open_requests() -> None:
     refusing, other = "SELECT b FROM lending_7.loans", "SELECT c FROM lending_7.loans"
     engine = Engine(script={refusing: ["error"] * 3, SQL: ["mute"]})
-    with running(engine, **WITH_ADMIN) as gate:
-        before = figures(gate)
+    with running(engine, **WITH_ADMIN) as gateway:
+        before = figures(gateway)
         assert set(before.values()) == {0, 1} and before["svc_discovered"] == 1
         assert before['svc_succeeded_total{service="report"}'] == 0
         for _ in range(3):
-            assert post(gate, "lookup", other)[0] == 200
-        assert post(gate, "lookup", refusing)[0] in (429, 500)
+            assert post(gateway, "lookup", other)[0] == 200
+        assert post(gateway, "lookup", refusing)[0] in (429, 500)
         with ThreadPoolExecutor() as executor:
-            waiting = executor.submit(post, gate, "lookup", SQL, ttl=1_000)
+            waiting = executor.submit(post, gateway, "lookup", SQL, ttl=1_000)
             until(lambda: SQL in engine.statements)
-            now = figures(gate)
+            now = figures(gateway)
             assert now["svc_outstanding"] == 1 and now["svc_forwards_total"] == len(engine.statements)
             waiting.result()
-        now = figures(gate)
+        now = figures(gateway)
         ends = ("succeeded", "declined", "aborted")
         assert now['svc_succeeded_total{service="lookup"}'] >= 3 and now["svc_outstanding"] == 0
         assert sum(now[f'svc_{end}_total{{service="lookup"}}'] for end in ends) == 5
@@ -112,11 +116,13 @@
 
 
 def test_a_call_is_answered_within_a_second_under_load() -> None:
-    with running(Engine(), **WITH_ADMIN) as gate, ThreadPoolExecutor(9) as executor:
-        busy = [executor.submit(lambda: [post(gate, "lookup", SQL)[0] for _ in range(20)]) for _ in range(8)]
+    with running(Engine(), **WITH_ADMIN) as gateway, ThreadPoolExecutor(9) as executor:
+        busy = [
+            executor.submit(lambda: [post(gateway, "lookup", SQL)[0] for _ in range(20)]) for _ in range(8)
+        ]
         while not all(f.done() for f in busy):
             began = time.monotonic()
-            assert ask(gate, b"READY\n") == "200 ready\n" and time.monotonic() - began < 1.0
+            assert send_call(gateway, b"READY\n") == "200 ready\n" and time.monotonic() - began < 1.0
 
 
 def test_the_admin_address_must_be_distinct_and_needs_one_forwarder() -> None:
@@ -134,9 +140,9 @@
 
 
 def test_without_an_admin_address_there_is_no_admin_server() -> None:
-    gate = Gateway(config([host(Engine())]), OperatorSettings(), signals=False)
-    assert gate.admin_server is None
-    gate.loop.close()
+    gateway = Gateway(config([host(Engine())]), OperatorSettings(), signals=False)
+    assert gateway.admin_server is None
+    gateway.loop.close()
 
 
 def live(sock: socket.socket) -> bytes:
@@ -148,13 +154,13 @@
 def test_draining_closes_client_connections_and_undrain_serves_again() -> None:
     """Idle connections are half-closed only once the load balancer sends no more, so no request is lost."""
     engine = Engine(script={SQL: ["mute"]})
-    with running(engine, **WITH_ADMIN) as gate, ThreadPoolExecutor() as executor:
-        address = gate.http_server.listener.address
+    with running(engine, **WITH_ADMIN) as gateway, ThreadPoolExecutor() as executor:
+        address = gateway.http_server.listener.address
         idle, silent, used = (socket.create_connection(address) for _ in range(3))
         assert live(idle).startswith(b"HTTP/1.1 200") and live(used).startswith(b"HTTP/1.1 200")
-        waiting = executor.submit(post, gate, "lookup", SQL, ttl=3_000)
+        waiting = executor.submit(post, gateway, "lookup", SQL, ttl=3_000)
         assert engine.wait("REQ")
-        ask(gate, b"DRAIN\n")
+        send_call(gateway, b"DRAIN\n")
         began = time.monotonic()
         response = live(used)
         assert (
@@ -162,18 +168,18 @@
         )
         with socket.create_connection(address) as fresh:  # what the front still sends is served
             assert live(fresh).startswith(b"HTTP/1.1 503")
-        assert post(gate, "lookup", "SELECT 2")[0] == 200
+        assert post(gateway, "lookup", "SELECT 2")[0] == 200
         assert not waiting.done()
         for sock in (idle, silent):
             sock.settimeout(10)
             assert sock.recv(1) == b""
             sock.close()
         assert 0.4 < time.monotonic() - began < 2.0
-        until(lambda: gate.http_server.draining_for(1.5))
-        status, _, headers = post(gate, "lookup", "SELECT 3")
+        until(lambda: gateway.http_server.draining_for(1.5))
+        status, _, headers = post(gateway, "lookup", "SELECT 3")
         assert status == 429 and headers["connection"] == "close"
         assert waiting.result()[2]["connection"] == "close"
-        ask(gate, b"UNDRAIN\n")
+        send_call(gateway, b"UNDRAIN\n")
         with socket.create_connection(address) as fresh:
             assert live(fresh).startswith(b"HTTP/1.1 200") and live(fresh).startswith(b"HTTP/1.1 200")
-        assert post(gate, "lookup", "SELECT 4")[0] == 200
+        assert post(gateway, "lookup", "SELECT 4")[0] == 200
--- a/tests/test_race_shutdown.py
+++ b/tests/test_race_shutdown.py
@@ -111,7 +111,7 @@
         write_settings(deployment, settings)
         deployment.engine.script[LOAD] = ["mute"] * 3
         instance = deployment.start()
-        waiting = executor.submit(post, deployment.gate, "load", LOAD, ttl=600_000)
+        waiting = executor.submit(post, deployment.gateway, "load", LOAD, ttl=600_000)
         assert deployment.engine.wait("REQ")
         instance.process.send_signal(signal.SIGTERM)
         assert waiting.result(10)[0] in (429, 500) and instance.process.wait(10) == 0
--- a/tests/test_upgrade_compatibility.py
+++ b/tests/test_upgrade_compatibility.py
@@ -102,10 +102,10 @@
     """A process of the version before that answers with the recorded offer, and our connection to it."""
     path = str(folder / recorded("socket-name.txt").decode())
     fronts = [socket.create_server(("127.0.0.1", 0)) for _ in range(2)]
-    with socket.socket(socket.AF_UNIX, socket.SOCK_SEQPACKET) as listener, ThreadPoolExecutor() as beside:
+    with socket.socket(socket.AF_UNIX, socket.SOCK_SEQPACKET) as listener, ThreadPoolExecutor() as executor:
         listener.bind(path)
         listener.listen()
-        answer = beside.submit(request_inherited_state, path)
+        answer = executor.submit(request_inherited_state, path)
         connection = listener.accept()[0]
         connection.settimeout(10)
         assert connection.recv(MAX_PACKET_BYTES) == recorded("successor-hello.json")
@@ -119,68 +119,70 @@
 
 
 @contextlib.contextmanager
-def gateway(folder: Path, inherited: InheritedState | None = None) -> Iterator[Gateway]:
+def build_gateway(folder: Path, inherited: InheritedState | None = None) -> Iterator[Gateway]:
     """A gateway of this version with the fronts and the engine of the recorded one; its loop is not run."""
     engine = Engine()
     statements = StatementSettings(Rules(lookup="lookup", report="report", load="load"), covers_http=True)
     operator = OperatorSettings(flight_address=("127.0.0.1", 0), statements=statements)
     options = GatewayOptions(upgrade_path=str(folder / "successor"), inherited=inherited)
     site = config([host(engine, started_at_ms=1_700_000_000_000)])
-    gate = Gateway(site, operator, signals=False, options=options)
-    yield gate
-    assert gate.statements
-    gate.statements.stop()
-    assert gate.loop.faults == 0
-    gate.loop.close()
+    gateway = Gateway(site, operator, signals=False, options=options)
+    yield gateway
+    assert gateway.statements
+    gateway.statements.stop()
+    assert gateway.loop.faults == 0
+    gateway.loop.close()
     engine.close()
 
 
 @contextlib.contextmanager
-def turning(gate: Gateway) -> Iterator[None]:
+def running_loop(gateway: Gateway) -> Iterator[None]:
     """Run the gateway's loop, from when it can classify a statement: a parser process is ready."""
-    thread = threading.Thread(target=gate.loop.run, daemon=True)
+    thread = threading.Thread(target=gateway.loop.run, daemon=True)
     thread.start()
-    until(lambda: has_ready_parser(gate))
+    until(lambda: has_ready_parser(gateway))
     yield
-    gate.loop.stop()
+    gateway.loop.stop()
     thread.join(10)
 
 
-def has_ready_parser(gate: Gateway) -> bool:
-    assert gate.statements
-    slots = gate.statements.supervisor.pool.slots
+def has_ready_parser(gateway: Gateway) -> bool:
+    assert gateway.statements
+    slots = gateway.statements.supervisor.pool.slots
     return any(slot.state is not SlotState.STARTING for slot in slots)
 
 
 def test_a_successor_restores_what_the_version_before_learned(tmp_path: Path) -> None:
     before = json.loads(recorded(OFFER))
-    with predecessor(tmp_path) as (inherited, _), gateway(tmp_path, inherited) as gate:
-        scheduler = gate.planner.scheduler
+    with predecessor(tmp_path) as (inherited, _), build_gateway(tmp_path, inherited) as gateway:
+        scheduler = gateway.planner.scheduler
         for name, counts in (("lookup", 7), ("report", 6), ("load", 6)):
-            request_class = scheduler.state.classes[gate.config.classes[name].index]
+            request_class = scheduler.state.classes[gateway.config.classes[name].index]
             value, _, count = before["learned"]["classes"][name]["work"]
             assert request_class.work.value == value and request_class.work.count == count == counts
         assert scheduler.state.fleet.usual_threads == before["learned"]["usual"]
         assert scheduler.state.controller.lag_ratio == before["learned"]["lag"]
         assert scheduler.state.fleet.engines["e0"].warm_table_groups == [7.0]
-        assert gate.statements
-        costs = gate.statements.classifier.costs
+        assert gateway.statements
+        costs = gateway.statements.classifier.costs
         assert {digest.hex() for digest in costs.shapes} == set(before["statements"]["shapes"])
-        fronts = [listener.address for listener in gate.fronts.listeners]
+        fronts = [listener.address for listener in gateway.fronts.listeners]
         assert fronts == [listener.getsockname() for listener in inherited.listeners.values()]
-        # And what this version would tell the next one has the same form, key for key
-        assert same_form(json.loads(encode(gate.overlap.offer().message)), before)
+        # The offer of this version to the next one has the same form, key for key
+        assert same_form(json.loads(encode(gateway.overlap.offer().message)), before)
 
 
-def test_a_successor_heeds_what_the_version_before_says_and_takes_its_connections(tmp_path: Path) -> None:
+def test_a_successor_obeys_the_messages_of_the_version_before_and_serves_its_connections(
+    tmp_path: Path,
+) -> None:
     with (
         predecessor(tmp_path) as (inherited, connection),
-        gateway(tmp_path, inherited) as gate,
-        turning(gate),
+        build_gateway(tmp_path, inherited) as gateway,
+        running_loop(gateway),
     ):
         assert connection.recv(MAX_PACKET_BYTES) == recorded("successor-ready.json")
         connection.send(recorded("predecessor-leaving.json"))
-        until(lambda: gate.planner.settings.slow_start_share == 0.9)
+        until(lambda: gateway.planner.settings.slow_start_share == 0.9)
         for name in ("predecessor-client-after-requests.json", "predecessor-client-silent.json"):
             with socket.create_server(("127.0.0.1", 0)) as server:
                 client = socket.create_connection(server.getsockname())
@@ -195,11 +197,11 @@
 
 def test_a_predecessor_answers_a_successor_of_the_version_before_in_its_form(tmp_path: Path) -> None:
     with (
-        gateway(tmp_path) as gate,
-        turning(gate),
+        build_gateway(tmp_path) as gateway,
+        running_loop(gateway),
         socket.socket(socket.AF_UNIX, socket.SOCK_SEQPACKET) as successor,
     ):
-        address = gate.http_server.listener.address
+        address = gateway.http_server.listener.address
         client = socket.create_connection(address)
         client.settimeout(10)
         client.sendall(REQUEST)
@@ -215,8 +217,8 @@
         assert list(offer["learned"]["classes"]["lookup"]) == list(before["learned"]["classes"]["lookup"])
         assert list(offer["statements"]) == list(before["statements"])
         successor.send(recorded("successor-ready.json"))
-        until(lambda: gate.hot_upgrade is not None and gate.hot_upgrade.successor_ready)
-        gate.loop.call_soon(gate.begin_shutdown)
+        until(lambda: gateway.hot_upgrade is not None and gateway.hot_upgrade.successor_ready)
+        gateway.loop.call_soon(gateway.begin_shutdown)
         assert successor.recv(MAX_PACKET_BYTES) == recorded("predecessor-leaving.json")
         data, transferred, _, _ = socket.recv_fds(successor, MAX_PACKET_BYTES, MAX_DESCRIPTORS)
         host_and_port = "{}:{}".format(*client.getsockname())
