--- a/tests/test_flight.py
+++ b/tests/test_flight.py
@@ -18,7 +18,7 @@
 from query_gateway.configuration.operator_file import OperatorSettings, StatementSettings
 from query_gateway.forwarder.messages import Verdict
 from query_gateway.gateway import Gateway
-from tests.stand_ins import Engine, config, post
+from tests.stand_ins import Engine, apply_endpoint_list, config, endpoint_list_answer, post
 from tests.test_local import until
 
 SCHEMA = pa.schema([("a", pa.string())])
@@ -202,15 +202,7 @@
             {**host, "host": "e0", "flight": f"127.0.0.1:{engine.port}", "health": "draining"},
             {**host, "host": "e9", "flight": f"127.0.0.1:{other.port}", "health": "up"},
         ]
-        applied = threading.Event()
-        entries = {"pos": 2, "entries": [{"pos": 2, "hosts": {"seq": 2, "whole": False, "hosts": news}}]}
-
-        def apply_list() -> None:
-            gate.endpoint_feed.take_answer(entries)
-            applied.set()
-
-        gate.loop.call_soon(apply_list)
-        assert applied.wait(10)
+        apply_endpoint_list(gate, endpoint_list_answer(2, news))
         assert run_query(gate, "SELECT b FROM lending_8.loans").read_all().num_rows == 3
         engine.go_on.set()
         assert reader.read_all().num_rows == 2
--- a/tests/test_web.py
+++ b/tests/test_web.py
@@ -32,7 +32,16 @@
 from query_gateway.model.events import TimerFired
 from query_gateway.net.listener import Listener
 from query_gateway.net.loop import IN, Loop
-from tests.stand_ins import SETTINGS, Engine, config, host, post
+from tests.stand_ins import (
+    SETTINGS,
+    Engine,
+    apply_endpoint_list,
+    config,
+    endpoint_list_answer,
+    host,
+    post,
+    running_gateway,
+)
 
 SQL = "SELECT a FROM lending_7.loans"
 LOAD = "INSERT INTO lending_7.loans VALUES (1)"
@@ -41,21 +50,15 @@
 
 
 @contextmanager
-def running(*engines: Engine, **more: Any) -> Iterator[Gateway]:
-    hosts = [host(e, f"e{n}") for n, e in enumerate(engines)]
-    gate = Gateway(config(hosts, **more), OperatorSettings(), signals=False)
-    thread = threading.Thread(target=gate.loop.run, daemon=True)
-    thread.start()
+def running(*engines: Engine, **overrides: Any) -> Iterator[Gateway]:
+    """A gateway on a thread of its own with these engines, which are closed at the end."""
+    hosts = [host(engine, f"e{number}") for number, engine in enumerate(engines)]
     try:
-        yield gate
+        with running_gateway(config(hosts, **overrides)) as gateway:
+            yield gateway
     finally:
-        gate.loop.stop()
-        thread.join(10)
-        faults = gate.loop.faults
-        gate.loop.close()
         for engine in engines:
             engine.close()
-        assert faults == 0 and not thread.is_alive()
 
 
 def test_a_result_of_several_pages_is_returned_complete_and_released_at_the_engine() -> None:
@@ -174,15 +177,7 @@
     with running(old) as gate:
         assert post(gate, "lookup", SQL)[0] == 200
         news = [host(old, "e0", "draining"), host(new, "e1")]
-        applied = threading.Event()
-        raw = {"pos": 2, "entries": [{"pos": 2, "hosts": {"seq": 2, "whole": False, "hosts": news}}]}
-
-        def apply_endpoint_list() -> None:
-            gate.endpoint_feed.take_answer(raw)
-            applied.set()
-
-        gate.loop.call_soon(apply_endpoint_list)
-        assert applied.wait(10)
+        apply_endpoint_list(gate, endpoint_list_answer(2, news))
         assert post(gate, "lookup", SQL)[0] == 200
     assert len(old.statements) == len(new.statements) == 1
     new.close()
@@ -528,23 +523,17 @@
 
 
 def news_of(engine: Engine, position: int = 2) -> bytes:
-    hosts = {"seq": position, "whole": False, "hosts": [host(engine)]}
-    return json.dumps({"pos": position, "entries": [{"pos": position, "hosts": hosts}]}).encode()
+    return json.dumps(endpoint_list_answer(position, [host(engine)])).encode()
 
 
 def test_the_endpoint_list_is_followed_from_the_last_position() -> None:
     """Invalid answers of a stand-in discovery service must not end the watch; then events and a new poll."""
     journal, engine = JournalStandIn(), Engine()
     odd = (b"[]", b"3", b'{"pos":null,"entries":[]}', b'{"pos":Infinity,"entries":[]}', b"[" * 9_000)
-    gate = Gateway(config([], journal=journal.address), OperatorSettings(), signals=False)
-    thread = threading.Thread(target=gate.loop.run, daemon=True)
-    thread.start()
-    asked = [journal.answer(body) for body in (*odd, news_of(engine), news_of(engine))]
-    assert asked == ["/journal?tail=1"] * (len(odd) + 1) + ["/journal?tail=2"]
-    assert post(gate, "lookup", SQL)[0] == 200
-    gate.loop.stop()
-    thread.join(10)
-    gate.loop.close()
+    with running_gateway(config([], journal=journal.address)) as gate:
+        asked = [journal.answer(body) for body in (*odd, news_of(engine), news_of(engine))]
+        assert asked == ["/journal?tail=1"] * (len(odd) + 1) + ["/journal?tail=2"]
+        assert post(gate, "lookup", SQL)[0] == 200
     journal.close()
     engine.close()
 
