--- a/tests/test_flight_statements.py
+++ b/tests/test_flight_statements.py
@@ -13,12 +13,12 @@
 import pyarrow.flight as fl
 import pytest
 
+from query_gateway.configuration.errors import ConfigurationError
 from query_gateway.configuration.operator_file import (
     OperatorSettings,
     StatementSettings,
     parse_operator_settings,
 )
-from query_gateway.configuration.platform import ConfigurationError
 from query_gateway.flight.requests import FlightClass, FlightStatement, decode_request
 from query_gateway.forwarder.messages import Verdict
 from query_gateway.gateway import Gateway
@@ -262,7 +262,7 @@
     with gateway(*flight_engines, statements=ON) as gate:
         for n in range(8):
             run_query(gate, READ.replace("42", str(n))).read_all()
-        transferred = json.loads(encode(gate.overlap.offer()[0]))
+        transferred = json.loads(encode(gate.overlap.offer().message))
         assert gate.statements
         costs = gate.statements.classifier.costs
     loop = Loop()
