--- a/bench/fault_soak/fault_schedule.py
+++ b/bench/fault_soak/fault_schedule.py
@@ -40,6 +40,7 @@
     began_at = time.monotonic()
 
     async def inject(fault: ScheduledFault) -> None:
+        """Inject one fault at its time."""
         await asyncio.sleep(max(0.0, began_at + fault.begins_after_s - time.monotonic()))
         await FAULTS[fault.name](context, fault.lasts_s)
 
--- a/bench/fault_soak/flight_engine.py
+++ b/bench/fault_soak/flight_engine.py
@@ -7,14 +7,14 @@
 """
 
 import asyncio
-import json
 import random
 import sys
 import time
-from typing import TextIO
 
 from bench.fault_soak.engine_mode import EngineMode, ModeSwitch
+from bench.fault_soak.event_file import EventFile
 from bench.fault_soak.grpc_peer import GrpcPeer, PeerCall
+from bench.fault_soak.records import EngineEventKind
 from bench.fault_soak.settings import MEAN_WORK_S
 from query_gateway.flight import messages
 
@@ -25,22 +25,11 @@
 class FlightEngine:
     """Plans and runs statements after a random time, in its present mode."""
 
-    def __init__(self, seed: int, name: str, events: TextIO) -> None:
+    def __init__(self, seed: int, events: EventFile) -> None:
         """Begin without a fault."""
-        self.random, self.name, self.events = random.Random(seed), name, events
+        self.random, self.events = random.Random(seed), events
         self.switch = ModeSwitch()
 
-    def write_event(self, kind: str, client_request_id: str, **details: object) -> None:
-        """Append an event to the event file."""
-        record = {
-            "observed_at": time.monotonic(),
-            "kind": kind,
-            "engine": self.name,
-            "client_request_id": client_request_id,
-            **details,
-        }
-        self.events.write(json.dumps(record) + "\n")
-
     async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         """One connection."""
         peer = GrpcPeer(reader, writer, is_client=False)
@@ -53,7 +42,7 @@
                 if call.reset and stream_id in running:
                     running.pop(stream_id).cancel()
                     if client_request_id := open_requests.pop(stream_id, ""):
-                        self.write_event("stop", client_request_id)
+                        self.events.write(EngineEventKind.STOP, client_request_id)
                 elif call.ended and stream_id not in running and not call.reset:
                     client_request_id = call.headers.get("x-txn", "")
                     open_requests[stream_id] = client_request_id
@@ -65,15 +54,18 @@
         for task in running.values():
             task.cancel()
         for client_request_id in (*open_requests.values(), *planned):
-            self.write_event("broken", client_request_id)
+            self.events.write(EngineEventKind.BROKEN, client_request_id)
         writer.close()
 
     def _write_request_event(self, client_request_id: str, call: PeerCall) -> None:
         timeout = call.headers.get("grpc-timeout", "0S")
-        self.write_event(
-            "request", client_request_id, budget=int(timeout[:-1]) * UNITS_S[timeout[-1]],
-            idempotency_key=call.headers.get("x-txn-key", ""), began_at=time.monotonic(),
-        )  # fmt: skip
+        self.events.write(
+            EngineEventKind.REQUEST,
+            client_request_id,
+            budget=int(timeout[:-1]) * UNITS_S[timeout[-1]],
+            idempotency_key=call.headers.get("x-txn-key", ""),
+            began_at=time.monotonic(),
+        )
 
     async def _run(
         self,
@@ -103,17 +95,16 @@
         if is_plan and status == OK:
             planned.add(client_request_id)
         else:
-            self.write_event(
-                "end", client_request_id, outcome={OK: "ok", REFUSED: "refused"}.get(status, "error")
-            )
+            outcome = {OK: "ok", REFUSED: "refused"}.get(status, "error")
+            self.events.write(EngineEventKind.END, client_request_id, outcome=outcome)
         peer.answer(stream_id, answers, [("grpc-status", status)])
 
 
 async def main() -> None:
     """Serve until standard input ends."""
     port, seed, name, path = int(sys.argv[1]), int(sys.argv[2]), sys.argv[3], sys.argv[4]
-    with open(path, "a", buffering=1) as events:
-        engine = FlightEngine(seed, name, events)
+    with open(path, "a", buffering=1) as file:
+        engine = FlightEngine(seed, EventFile(name, file))
         server = await asyncio.start_server(engine.serve, "127.0.0.1", port)
         modes = asyncio.StreamReader()
         await asyncio.get_running_loop().connect_read_pipe(
--- a/bench/fault_soak/proxy.py
+++ b/bench/fault_soak/proxy.py
@@ -11,13 +11,14 @@
 
 import asyncio
 import contextlib
-import json
 import socket
 import struct
 import sys
 import time
 from collections.abc import Callable
-from typing import TextIO
+
+from bench.fault_soak.event_file import EventFile
+from bench.fault_soak.records import EngineEventKind
 
 RESET_ON_CLOSE = struct.pack("ii", 1, 0)  # SO_LINGER
 BACKLOG = 8
@@ -73,19 +74,22 @@
         if words[0] == "REQ":
             self.open.add(words[1])
             fields = dict(pair.split("=") for pair in words[2].split(",") if "=" in pair)
-            self.proxy.write_event(
-                "request", words[1], budget=float(fields.get("budget", 0)) / 1000,
-                idempotency_key=fields.get("uniq", ""), began_at=began_at,
-            )  # fmt: skip
+            self.proxy.events.write(
+                EngineEventKind.REQUEST,
+                words[1],
+                budget=float(fields.get("budget", 0)) / 1000,
+                idempotency_key=fields.get("uniq", ""),
+                began_at=began_at,
+            )
         elif words[0] == "STOP" and words[1] in self.open:
             self.open.discard(words[1])
-            self.proxy.write_event("stop", words[1])
+            self.proxy.events.write(EngineEventKind.STOP, words[1])
 
     def on_answer_frame(self, words: list[str], _: float) -> None:
         """A line of the engine, which is relayed right after this."""
         if len(words) > 1 and words[1] in FINAL_OUTCOMES and words[0] in self.open:
             self.open.discard(words[0])
-            self.proxy.write_event("end", words[0], outcome=words[1])
+            self.proxy.events.write(EngineEventKind.END, words[0], outcome=words[1])
 
     def close(self, reset: bool = False) -> None:
         """End the connection on both sides; the requests open on it end as broken."""
@@ -93,7 +97,7 @@
             return
         self.closed = True
         for client_request_id in self.open:
-            self.proxy.write_event("broken", client_request_id)
+            self.proxy.events.write(EngineEventKind.BROKEN, client_request_id)
         self.proxy.connections.discard(self)
         if reset:
             sock = self.gateway.get_extra_info("socket")
@@ -108,10 +112,10 @@
 class Proxy:
     """Accepts the gateways' connections to one engine."""
 
-    def __init__(self, port: int, engine_port: int, engine: str, events: TextIO, observes: bool) -> None:
+    def __init__(self, port: int, engine_port: int, events: EventFile, observes: bool) -> None:
         """Listen at once."""
         self.observes = observes
-        self.engine_port, self.engine, self.events = engine_port, engine, events
+        self.engine_port, self.events = engine_port, events
         self.connections: set[RelayedConnection] = set()
         self.order = "pass"
         self.passing, self.reading, self.accepting = asyncio.Event(), asyncio.Event(), asyncio.Event()
@@ -124,17 +128,6 @@
         self.listener.setblocking(False)
         self.obey("pass")
 
-    def write_event(self, kind: str, client_request_id: str, **details: object) -> None:
-        """Append an event to the event file."""
-        record = {
-            "observed_at": time.monotonic(),
-            "kind": kind,
-            "engine": self.engine,
-            "client_request_id": client_request_id,
-            **details,
-        }
-        self.events.write(json.dumps(record) + "\n")
-
     def obey(self, order: str) -> None:
         """Change how connections are relayed."""
         if order in ("reset", "idle-close"):
@@ -226,8 +219,9 @@
 async def main() -> None:
     """Obey standard input until it ends."""
     port, engine_port, engine, path = int(sys.argv[1]), int(sys.argv[2]), sys.argv[3], sys.argv[4]
-    with open(path, "a", buffering=1) as events:
-        proxy = Proxy(port, engine_port, engine, events, "opaque" not in sys.argv)
+    with open(path, "a", buffering=1) as file:
+        events = EventFile(engine, file)
+        proxy = Proxy(port, engine_port, events, "opaque" not in sys.argv)
         accepting = asyncio.create_task(proxy.accept())
         orders = asyncio.StreamReader()
         await asyncio.get_running_loop().connect_read_pipe(
