--- a/tests/race_helpers.py
+++ b/tests/race_helpers.py
@@ -15,6 +15,7 @@
 from tests.test_local import planner, until
 
 ABANDONED_SQL = "SELECT gone FROM lending_7.loans"
+UNANSWERED_SQL = "SELECT 1 FROM lending_7.loans"
 SEC = 1_000_000_000
 CLOSE_WAIT = 8  # the state of a socket whose other side has closed
 
@@ -110,8 +111,8 @@
 
 
 @contextlib.contextmanager
-def stalled_planner(planner_process: PlannerProcess) -> Iterator[threading.Event]:
-    """A planner whose loop does nothing until the event is set, at the latest when the block is left."""
+def stalled_planner(planner_process: PlannerProcess) -> Iterator[None]:
+    """The planner's loop stands still until the block is left."""
     stalled, resume = threading.Event(), threading.Event()
 
     def stall() -> None:
@@ -121,18 +122,18 @@
     planner_process.loop.call_soon(stall)
     assert stalled.wait(10)
     try:
-        yield resume
+        yield
     finally:
         resume.set()
 
 
-def fill_send_buffer(gateway: Gateway, engine: Engine, unanswered: str) -> list[socket.socket]:
+def fill_send_buffer(gateway: Gateway, engine: Engine) -> list[socket.socket]:
     """Send requests until bytes wait unwritten for the engine `e0`; the test closes the clients' sockets.
 
-    `unanswered`: the first statement, which the engine's script leaves without an answer.
+    The engine's script leaves UNANSWERED_SQL, the first statement, without an answer.
     """
     large = "SELECT '" + "x" * 200_000 + "' FROM lending_7.loans"
-    open_clients = [send_request(gateway, unanswered)]
+    open_clients = [send_request(gateway, UNANSWERED_SQL)]
     until(lambda: engine.statements)
     stream = gateway.engine_pool.connections["e0"][0].stream
     stream.sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4_096)
--- a/tests/test_race_abandoned_requests.py
+++ b/tests/test_race_abandoned_requests.py
@@ -11,12 +11,15 @@
 from tests.race_helpers import (
     ABANDONED_SQL,
     SEC,
+    UNANSWERED_SQL,
     PausedReaderEngine,
     SlowToAcceptEngine,
     abandon_request,
+    fill_send_buffer,
     gateway_with_planner_process,
     send_request,
     settings_without_timeouts,
+    stalled_planner,
 )
 from tests.stand_ins import Engine, post
 from tests.test_local import until
@@ -56,26 +59,18 @@
     with gateway_with_planner_process(engine, dial_timeout=20 * SEC) as (gateway, planner_process):
         client = send_request(gateway, ABANDONED_SQL)
         until(lambda: gateway.engine_pool.connections)
-        stalled, resume = threading.Event(), threading.Event()
-
-        def stall_planner() -> None:
-            stalled.set()
-            assert resume.wait(30)
-
-        planner_process.loop.call_soon(stall_planner)
-        assert stalled.wait(10)
-        abandon_request(gateway, client)
-        engine.accept_connections()
-        until(
-            lambda: (
-                not gateway.engine_pool.connections
-                or all(
-                    connection.state is ConnectionState.ESTABLISHED
-                    for connection in gateway.engine_pool.connections["e0"]
+        with stalled_planner(planner_process):
+            abandon_request(gateway, client)
+            engine.accept_connections()
+            until(
+                lambda: (
+                    not gateway.engine_pool.connections
+                    or all(
+                        connection.state is ConnectionState.ESTABLISHED
+                        for connection in gateway.engine_pool.connections["e0"]
+                    )
                 )
             )
-        )
-        resume.set()
         assert post(gateway, "lookup", SQL, ttl=600_000)[1] == {"rows": ROWS}
     assert engine.statements == [SQL]
     engine.close()
@@ -89,18 +84,10 @@
     """
     engine = Engine()
     with gateway_with_planner_process(engine) as (gateway, planner_process):
-        stalled, resume = threading.Event(), threading.Event()
-
-        def stall_planner() -> None:
-            stalled.set()
-            assert resume.wait(30)
-
-        planner_process.loop.call_soon(stall_planner)
-        assert stalled.wait(10)
-        client = send_request(gateway, ABANDONED_SQL)
-        until(lambda: gateway.forwarder.open_request_count)
-        abandon_request(gateway, client)
-        resume.set()
+        with stalled_planner(planner_process):
+            client = send_request(gateway, ABANDONED_SQL)
+            until(lambda: gateway.forwarder.open_request_count)
+            abandon_request(gateway, client)
         assert post(gateway, "lookup", SQL, ttl=600_000)[1] == {"rows": ROWS}
         until(lambda: not planner_process.owners)
     assert engine.statements == [SQL]
@@ -114,16 +101,9 @@
     The request was in the output buffer and left all the same, followed by its own STOP or by none. Requests
     are now encoded as they leave, and one that is unwritten is withdrawn.
     """
-    unanswered, large = "SELECT 1 FROM lending_7.loans", "SELECT '" + "x" * 200_000 + "' FROM lending_7.loans"
-    engine = PausedReaderEngine(script={unanswered: ["mute"]})
+    engine = PausedReaderEngine(script={UNANSWERED_SQL: ["mute"]})
     with running(engine, settings=settings_without_timeouts(cancelling=cancelling)) as gateway:
-        open_clients = [send_request(gateway, unanswered)]
-        until(lambda: engine.statements)
-        stream = gateway.engine_pool.connections["e0"][0].stream
-        stream.sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4_096)
-        while not stream.outbox:
-            open_clients.append(send_request(gateway, large))
-            until(lambda: len(gateway.engine_pool.by_client_request_id) == len(open_clients))
+        open_clients = fill_send_buffer(gateway, engine)
         abandoned_client = send_request(gateway, ABANDONED_SQL)
         until(lambda: len(gateway.engine_pool.by_client_request_id) == len(open_clients) + 1)
         abandon_request(gateway, abandoned_client)
--- a/tests/test_race_engine_connections.py
+++ b/tests/test_race_engine_connections.py
@@ -13,15 +13,16 @@
     ABANDONED_SQL,
     CLOSE_WAIT,
     SEC,
+    UNANSWERED_SQL,
     PausedReaderEngine,
     SlowToAcceptEngine,
+    fill_send_buffer,
     gateway_with_planner_process,
-    send_request,
     settings_with_non_idempotent_reports,
     settings_without_timeouts,
     tcp_state,
 )
-from tests.stand_ins import Engine, host, post
+from tests.stand_ins import Engine, endpoint_list_answer, host, post
 from tests.test_local import until
 from tests.test_web import LOAD, ROWS, SQL, running
 
@@ -200,19 +201,12 @@
     The non-idempotent request counted as executed and failed, although it never left. It ends as not sent,
     and is sent over another connection.
     """
-    unanswered, large = "SELECT 1 FROM lending_7.loans", "SELECT '" + "x" * 200_000 + "' FROM lending_7.loans"
-    engine = PausedReaderEngine(script={unanswered: ["mute"]})
+    engine = PausedReaderEngine(script={UNANSWERED_SQL: ["mute"]})
     with (
         running(engine, settings=settings_with_non_idempotent_reports()) as gateway,
         ThreadPoolExecutor() as executor,
     ):
-        open_clients = [send_request(gateway, unanswered)]
-        until(lambda: engine.statements)
-        stream = gateway.engine_pool.connections["e0"][0].stream
-        stream.sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4_096)
-        while not stream.outbox:
-            open_clients.append(send_request(gateway, large))
-            until(lambda: len(gateway.engine_pool.by_client_request_id) == len(open_clients))
+        open_clients = fill_send_buffer(gateway, engine)
         report = executor.submit(post, gateway, "report", SQL, ttl=600_000)
         until(lambda: len(gateway.engine_pool.by_client_request_id) == len(open_clients) + 1)
         engine.hang_up()
@@ -237,10 +231,7 @@
         waiting = executor.submit(post, gateway, "lookup", SQL, ttl=600_000)
         until(lambda: gateway.engine_pool.connections)
         changed_hosts = [host(engine, "e0", "draining"), host(other_engine, "e1")]
-        answer = {
-            "pos": 2,
-            "entries": [{"pos": 2, "hosts": {"seq": 2, "whole": False, "hosts": changed_hosts}}],
-        }
+        answer = endpoint_list_answer(2, changed_hosts)
         gateway.loop.call_soon(lambda: gateway.endpoint_feed.take_answer(answer))
         assert waiting.result()[1] == {"rows": ROWS}
         engine.accept_connections()
@@ -255,23 +246,13 @@
     The request was in the output buffer and left whenever the engine read on, past its drain. Requests are
     encoded as they leave, and the pool withdraws what is unwritten as the drain is announced.
     """
-    unanswered, large = "SELECT 1 FROM lending_7.loans", "SELECT '" + "x" * 200_000 + "' FROM lending_7.loans"
-    engine, other_engine = PausedReaderEngine(script={unanswered: ["mute"]}), Engine()
+    engine, other_engine = PausedReaderEngine(script={UNANSWERED_SQL: ["mute"]}), Engine()
     with running(engine, settings=settings_without_timeouts()) as gateway, ThreadPoolExecutor() as executor:
-        open_clients = [send_request(gateway, unanswered)]
-        until(lambda: engine.statements)
-        stream = gateway.engine_pool.connections["e0"][0].stream
-        stream.sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4_096)
-        while not stream.outbox:
-            open_clients.append(send_request(gateway, large))
-            until(lambda: len(gateway.engine_pool.by_client_request_id) == len(open_clients))
+        open_clients = fill_send_buffer(gateway, engine)
         waiting = executor.submit(post, gateway, "lookup", SQL, ttl=600_000)
         until(lambda: len(gateway.engine_pool.by_client_request_id) == len(open_clients) + 1)
         changed_hosts = [host(engine, "e0", "draining"), host(other_engine, "e1")]
-        answer = {
-            "pos": 2,
-            "entries": [{"pos": 2, "hosts": {"seq": 2, "whole": False, "hosts": changed_hosts}}],
-        }
+        answer = endpoint_list_answer(2, changed_hosts)
         gateway.loop.call_soon(lambda: gateway.endpoint_feed.take_answer(answer))
         assert waiting.result()[1] == {"rows": ROWS}
         engine.may_read.set()
