--- a/query_gateway/engine_protocol/frames.py
+++ b/query_gateway/engine_protocol/frames.py
@@ -10,6 +10,7 @@
 MAX_LINE_BYTES = 4_096
 MAX_BODY_BYTES = 1_048_576
 MAX_LENGTH_DIGITS = 7
+MAX_ERROR_BYTES = 60  # of what was received, in the text of an error
 LINE_END = b"\r\n"
 NO_FIELDS = "-"
 
@@ -20,7 +21,7 @@
 FETCH_PAGE = "FETCH"
 END_RESULT = "END"
 
-# Second words of an engine's lines
+# Second words of an engine's lines: the kind of a frame
 OK = "ok"
 REFUSED = "refused"
 ERROR = "error"
@@ -29,7 +30,7 @@
 PAGE = "batch"
 YES = "yes"
 NO = "no"
-RESPONSE_WORDS = frozenset((OK, REFUSED, ERROR, STALE, PROGRESS, PAGE, YES, NO))
+RESPONSE_KINDS = frozenset((OK, REFUSED, ERROR, STALE, PROGRESS, PAGE, YES, NO))
 
 # Fields of a request, in the order in which they are sent
 CLASS_FIELD = "queue"
@@ -46,7 +47,7 @@
 
 
 class FrameError(Exception):
-    """Bytes that are no response of an engine; the text says what is wrong with them."""
+    """Bytes that are no response of an engine; the text shows what is wrong with which of them."""
 
 
 @dataclass(slots=True, frozen=True)
@@ -54,14 +55,14 @@
     """One response line with its body. `client_request_id` names the request that it belongs to."""
 
     client_request_id: str
-    word: str
+    kind: str
     fields: dict[str, str] = field(default_factory=dict)
     data: bytes = b""
 
 
 class _FrameHead(NamedTuple):
     client_request_id: str
-    word: str
+    kind: str
     fields: dict[str, str]
     body_length: int
 
@@ -121,22 +122,22 @@
                 return None
             if line not in (b"", b"\r"):
                 self._head = _decode_head(line)
-        client_request_id, word, fields, length = self._head
+        client_request_id, kind, fields, length = self._head
         if length and len(self.buffer) < length + len(LINE_END):
             return None
         body = bytes(self.buffer[:length])
         if length:
             if self.buffer[length : length + len(LINE_END)] != LINE_END:
-                raise FrameError("no CR LF behind the body")
+                raise FrameError(f"no CR LF behind the body of {length} bytes for {client_request_id}")
             del self.buffer[: length + len(LINE_END)]
         self._head = None
-        return Frame(client_request_id, word, fields, body)
+        return Frame(client_request_id, kind, fields, body)
 
     def _next_line(self) -> bytes | None:
         """The next line without its line feed, None if it is not complete."""
         length = self.buffer.find(b"\n")
         if length > MAX_LINE_BYTES or (length < 0 and len(self.buffer) > MAX_LINE_BYTES):
-            raise FrameError("a line is too long")
+            raise FrameError(f"a line has more than {MAX_LINE_BYTES} bytes")
         if length < 0:
             return None
         line = bytes(self.buffer[:length])
@@ -146,17 +147,17 @@
 
 def _decode_head(line: bytes) -> _FrameHead:
     if not line.endswith(b"\r"):
-        raise FrameError("a line ends without CR")
+        raise FrameError(f"{line[:MAX_ERROR_BYTES]!r} ends without CR")
     try:
         words = line[:-1].decode("ascii").split(" ")
     except UnicodeDecodeError:
-        raise FrameError("a line is not ASCII") from None
-    if len(words) != 4 or words[1] not in RESPONSE_WORDS:
-        raise FrameError(f"{line[:60]!r} is no response")
-    client_request_id, word, fields, length = words
+        raise FrameError(f"{line[:MAX_ERROR_BYTES]!r} is not ASCII") from None
+    if len(words) != 4 or words[1] not in RESPONSE_KINDS:
+        raise FrameError(f"{line[:MAX_ERROR_BYTES]!r} is no response")
+    client_request_id, kind, fields, length = words
     if not length.isdigit() or len(length) > MAX_LENGTH_DIGITS or int(length) > MAX_BODY_BYTES:
-        raise FrameError("the length is no number or too large")
-    return _FrameHead(client_request_id, word, _decode_fields(fields), int(length))
+        raise FrameError(f"{length[:MAX_ERROR_BYTES]!r} is no length up to {MAX_BODY_BYTES}")
+    return _FrameHead(client_request_id, kind, _decode_fields(fields), int(length))
 
 
 def _decode_fields(text: str) -> dict[str, str]:
@@ -166,6 +167,6 @@
     for pair in text.split(","):
         name, separator, value = pair.partition("=")
         if not separator or not name:
-            raise FrameError(f"{pair[:40]!r} is not name=value")
+            raise FrameError(f"{pair[:MAX_ERROR_BYTES]!r} is not name=value")
         fields[name] = value
     return fields
