--- a/query_gateway/policy/attempts.py
+++ b/query_gateway/policy/attempts.py
@@ -1,9 +1,12 @@
 """Attempts: sending one, and what follows from its progress and its outcome.
 
-attempt sent --outcome, final------------------------> request answered
-             --outcome, not final, another in flight--> the other decides
-             --outcome, not final, the last one-------> admitted again if another attempt is allowed and in
-                                                        time, else given up
+    sent --outcome, final-------------------------> the request is answered
+         --outcome, not final, another in flight--> the request goes on with the other one
+         --outcome, not final, the last one-------> admitted again if another attempt is allowed and in
+                                                    time (`attempt_guard`), else given up
+
+An outcome also changes what is known of the engine (`outliers`), of the class (`fleet_estimator`), and
+whether the key of the query is held up (`key_quarantine`).
 """
 
 from typing import Final
--- a/query_gateway/policy/capacity.py
+++ b/query_gateway/policy/capacity.py
@@ -1,7 +1,8 @@
 """Concurrency limits: how many threads of an engine, and of the fleet, one gateway may use.
 
     engine on probation with a query in flight     no capacity (`probation`)
-    engine not saturated, or query next of its key capacity, without a limit
+    engine not saturated, or query next of its key
+                                                   capacity, without a limit
     engine saturated                               within the concurrency limit of the class there, and within
                                                    this gateway's quota of the fleet
 
--- a/query_gateway/policy/fleet_snapshot.py
+++ b/query_gateway/policy/fleet_snapshot.py
@@ -1,7 +1,8 @@
 """The fleet snapshot: which engines are up, in slow start, saturated or slow, and how congested the fleet is.
 
 It is refreshed before the events of a batch once `SNAPSHOT_PERIOD_NS` has passed, and at once when the
-endpoint list or an ejection has changed. Decisions in between read the same snapshot.
+endpoint list or an ejection has changed. Decisions in between read the same snapshot; only an engine's
+penalty also follows each fault (`fault_rate`).
 """
 
 from typing import Final
--- a/query_gateway/policy/recovery_ramp.py
+++ b/query_gateway/policy/recovery_ramp.py
@@ -8,12 +8,12 @@
 """
 
 from dataclasses import dataclass
+from typing import Final
 
 from query_gateway.model.settings import Settings
 
-MIN_GROWTH = (
-    1e-15  # share of the capacity per nanosecond; keeps a ramp that starts at full capacity divisible
-)
+# Share of the capacity per nanosecond; divides where a ramp starts at full capacity and does not grow
+MIN_GROWTH: Final = 1e-15
 
 
 def is_in_slow_start(settings: Settings, started_at: int, now: int) -> bool:
--- a/query_gateway/policy/release.py
+++ b/query_gateway/policy/release.py
@@ -8,6 +8,7 @@
 Inputs: the queue by earliest deadline, the capacity of each engine. Times are nanoseconds.
 """
 
+from dataclasses import dataclass
 from typing import Final
 
 from query_gateway.model.actions import EndReason
@@ -30,6 +31,29 @@
 LAST_START_SHARE: Final = 0.5  # of the run time that must be left; some runs are that much shorter
 
 
+@dataclass(slots=True)
+class BlockedLengths:
+    """Whether a query of a short or of a long class has found no capacity in this look at the queue."""
+
+    short: bool = False
+    long: bool = False
+
+    def all(self) -> bool:
+        """Whether that is so of all classes."""
+        return self.short and self.long
+
+    def has(self, is_long: bool) -> bool:
+        """Whether that is so of long classes, or of short ones."""
+        return self.long if is_long else self.short
+
+    def add(self, is_long: bool) -> None:
+        """Note it of long classes, or of short ones."""
+        if is_long:
+            self.long = True
+        else:
+            self.short = True
+
+
 def release_queued(state: SchedulerState) -> None:
     """Look at queued queries by earliest deadline; those that stay keep their order.
 
@@ -41,16 +65,16 @@
     if not queued:
         return
     staying = queue.entries = []
-    blocked_lengths: list[bool] = []  # `is_long` of classes of which a query found no capacity
+    blocked = BlockedLengths()
     is_full_look = state.now >= state.last_full_release_at + start_times.QUEUED_LIFETIME_NS * len(queued)
     if is_full_look:
         state.last_full_release_at = state.now
     for index, entry in enumerate(queued):
-        if not is_full_look and (len(blocked_lengths) == 2 or index == start_times.EXACT_LENGTH):
+        if not is_full_look and (blocked.all() or index == start_times.EXACT_LENGTH):
             staying.extend(queued[index:])
             break
         query = entry.query
-        engine = _release(state, query, blocked_lengths)
+        engine = _release(state, query, blocked)
         _leave_engine_queue(state, query, released=engine is not None)
         if engine:
             attempts.forward(state, query, engine)
@@ -66,7 +90,7 @@
         query.queued_at = None
 
 
-def _release(state: SchedulerState, query: QueryState, blocked_lengths: list[bool]) -> EngineState | None:
+def _release(state: SchedulerState, query: QueryState, blocked: BlockedLengths) -> EngineState | None:
     """The engine that a query leaves for now, if any; one that cannot be in time is given up."""
     if query.ended:
         return None
@@ -74,12 +98,12 @@
         answers.give_up(state, query, reason)
         return None
     is_long = query.request_class.is_long
-    is_blocked = is_long in blocked_lengths and not query.is_key_ordered
+    is_blocked = blocked.has(is_long) and not query.is_key_ordered
     if is_blocked or not key_ordering.is_next(state.key_queues, query, state.now):
         return None
     engine = _engine_with_capacity(state, query)
-    if engine is None and query.attempt_count == 0 and is_long not in blocked_lengths:
-        blocked_lengths.append(is_long)
+    if engine is None and query.attempt_count == 0:
+        blocked.add(is_long)
     return engine
 
 
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -81,7 +81,7 @@
         for request_class, work in zip(world.scheduler.state.classes, (200 * MS, 1000 * MS), strict=True):
             request_class.work.add(float(work), 1.0)
         world.notify(
-            EndpointUpdate(EndpointUpdateKind.DELTA, (engine("a", launched=101 * SEC),)), after=2 * SEC
+            EndpointUpdate(EndpointUpdateKind.DELTA, (engine("a", started_at=101 * SEC),)), after=2 * SEC
         )
         credited_ns = [0, 0]
         for _ in range(40):
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -101,7 +101,8 @@
     for _ in range(200):
         world.scheduler.state.classes[0].work.add(200 * MS, 0.01)
     world.notify(
-        EndpointUpdate(EndpointUpdateKind.DELTA, (engine("a", launched=world.now + 3 * SEC),)), after=4 * SEC
+        EndpointUpdate(EndpointUpdateKind.DELTA, (engine("a", started_at=world.now + 3 * SEC),)),
+        after=4 * SEC,
     )
     for _ in range(60):
         world.send_request()
@@ -111,7 +112,7 @@
 
 
 def test_restarted_gateway_sends_nothing_to_a_slow_starting_engine_while_its_own_sends_may_count() -> None:
-    world = World(engines=(engine("a", launched=99 * SEC), engine("b")))
+    world = World(engines=(engine("a", started_at=99 * SEC), engine("b")))
     for _ in range(5):
         world.send_request()
     assert {forward.endpoint for forward in world.sent} == {"b"}
--- a/tests/world.py
+++ b/tests/world.py
@@ -78,12 +78,12 @@
 def engine(  # noqa: PLR0913, PLR0917 - every field of an entry may matter to a test
     name: str,
     state: EndpointState = EndpointState.UP,
-    launched: int = 0,
+    started_at: int = 0,
     zone: int = 0,
     kind: int = 0,
     group: int = 0,
 ) -> EndpointInfo:
-    return EndpointInfo(name, state, zone, kind, group, launched, 1.0)
+    return EndpointInfo(name, state, zone, kind, group, started_at, 1.0)
 
 
 class World:
