--- a/query_gateway/flight/engines.py
+++ b/query_gateway/flight/engines.py
@@ -1,4 +1,11 @@
-"""Flight SQL engines: one HTTP/2 connection to each, and one or two calls for every attempt."""
+"""Flight SQL engines: one HTTP/2 connection to each, and one or two calls for every attempt.
+
+An attempt at a query; at an update DO_PUT stands for both methods:
+
+    waiting for the connection --> GET_FLIGHT_INFO --plan with one ticket--> DO_GET --end of stream--> over
+            |                            |                                      |
+            `----------------------------+-- error, abort, withdrawn, stopped --+--------------------> over
+"""
 
 import re
 from collections.abc import Callable
@@ -29,7 +36,7 @@
     flow_controlled_bytes: int
 
 
-PASSED_ON = ResultMessage(b"", 0)  # in the place of a schema that has left
+PASSED_ON = ResultMessage(b"", 0)  # in the place of a schema that has been passed on
 
 
 class FlightAttempt(CallHandler):
@@ -54,8 +61,8 @@
     def is_withdrawable(self) -> bool:
         """Whether the engine has surely begun nothing of it.
 
-        A call whose message has not left whole runs nothing. That of DoGet counts as run all the same: the
-        engine may have begun the query when it planned it.
+        An engine runs nothing before it has the complete message of the call. A DoGet counts as run all the
+        same: the engine may have begun the query when it planned it.
         """
         if self.method is FlightMethod.DO_GET:
             return False
@@ -155,7 +162,7 @@
             self._pass_on(ResultMessage(data, flow_controlled_bytes))
 
     def on_end_stream(self) -> None:
-        """Go on from a plan to its result, or end with the outcome that the call's status says."""
+        """Go on from a plan to its result, or end with the outcome of the call's status."""
         if self.is_over:
             return
         if self.status != str(GrpcStatus.OK.value):
@@ -163,7 +170,9 @@
             self.end(OutcomeCode.FULL if is_full else OutcomeCode.ERROR)
         elif self.method is FlightMethod.GET_FLIGHT_INFO:
             self._fetch_result()
-        elif self.tickets:  # a result in several parts is not supported: each would bring a schema of its own
+        elif self.tickets:
+            # The engine's plan has several endpoints (Arrow Flight, FlightInfo), each of whose results begins
+            # with a schema of its own: as one stream they could not be read
             self._pass_schema_on()
             self.end(OutcomeCode.ERROR)
         else:
@@ -172,7 +181,7 @@
             self.end(OutcomeCode.OK)
 
     def on_aborted(self, never_ran: bool) -> None:
-        """End the attempt, as one that may be sent elsewhere if the engine surely began nothing."""
+        """End the attempt; it may be sent elsewhere if the engine surely began nothing."""
         self.end(self._outcome_of_abort(never_ran))
 
     def _fetch_result(self) -> None:
@@ -215,8 +224,8 @@
     def is_usable(self) -> bool:
         """Whether a further call may be begun.
 
-        Reads what has arrived first. Guards an update: written behind the engine's close, it may count as
-        run.
+        Reads what has arrived first. A call written after the engine has closed the connection, unnoticed so
+        far, would count as possibly run when the connection ends, and an update could not be repeated.
         """
         self.grpc.stream.read_available()
         return not self.grpc.draining and not self.grpc.stream.is_over
@@ -258,7 +267,7 @@
 
 
 class FlightConnectionPool:
-    """The forwarder's client for engines on Flight SQL; owns their connections and the attempts there."""
+    """The forwarder's engine client for Flight SQL; owns the connections and the attempts there."""
 
     streams_results = True
 
@@ -270,7 +279,7 @@
         self.attempts: dict[int, FlightAttempt] = {}  # by the id() of the forwarder's attempt
 
     def start(self, attempt: AttemptHandle) -> None:
-        """Send an attempt to its engine; NOT_SENT if that is impossible and no fault of the engine's."""
+        """Send an attempt to its engine; NOT_SENT if that is impossible without an engine fault."""
         address = self.addresses.get(attempt.endpoint)
         if address is None:
             attempt.on_ended(OutcomeCode.NOT_SENT)
@@ -312,9 +321,10 @@
         """Do nothing: a priority cannot be changed on this wire once the call is out."""
 
     def update_endpoints(self, endpoints: list[Endpoint], is_snapshot: bool) -> None:
-        """Take over the engines' addresses and states; `is_snapshot`: those not named are gone.
+        """Take over the engines' addresses and states; `is_snapshot`: those not named are removed.
 
-        Guards the drain of an engine: nothing new goes there, while results under way go on.
+        An engine that drains closes its connections in the end, and a call begun then would be lost. So its
+        connection takes no further call, while results under way go on.
         """
         if is_snapshot:
             self.addresses = {}
@@ -328,7 +338,7 @@
             self._drain_connection(self.connections.pop(engine))
 
     def _drain_connection(self, connection: FlightConnection) -> None:
-        """Begin nothing more there, and hand back what the engine has not begun to be sent elsewhere."""
+        """Begin nothing more there; end what the engine has not begun, so that it is sent elsewhere."""
         connection.grpc.drain()
         for flight_attempt in list(self.attempts.values()):
             if flight_attempt.connection is connection and self.withdraw(flight_attempt.attempt):
--- a/query_gateway/flight/messages.py
+++ b/query_gateway/flight/messages.py
@@ -35,7 +35,7 @@
 
 
 class FlightMessageError(Exception):
-    """Bytes that are not the message expected."""
+    """Bytes that are not the expected message; the text, sent to the client, names that message."""
 
 
 @dataclass(slots=True, frozen=True)
@@ -127,7 +127,7 @@
 
 
 def encode_query_descriptor(statement: str) -> bytes:
-    """Return the FlightDescriptor that asks GetFlightInfo for a query's plan."""
+    """Return the FlightDescriptor of a query, with which GetFlightInfo requests its plan."""
     command = _pack("CommandStatementQuery", query=statement)
     descriptor = _classes["FlightDescriptor"](type=COMMAND_DESCRIPTOR, cmd=command)
     return bytes(descriptor.SerializeToString())
@@ -139,9 +139,9 @@
 
 
 def encode_flight_info(descriptor: bytes, statement: str) -> bytes:
-    """Return the FlightInfo for a query: one endpoint here, whose ticket carries the statement back to us.
+    """Return the FlightInfo of a query: one endpoint, this gateway, whose ticket carries the statement.
 
-    `descriptor` is the FlightDescriptor asked about, encoded. Raises FlightMessageError if it is none.
+    `descriptor` is the query's FlightDescriptor, encoded. Raises FlightMessageError if it is none.
     """
     ticket = _pack("TicketStatementQuery", statement_handle=statement.encode())
     endpoint = _classes["FlightEndpoint"](ticket=_classes["Ticket"](ticket=ticket))
@@ -160,7 +160,7 @@
 
 
 def decode_ticket(data: bytes) -> str:
-    """Return the statement that a ticket of ours carries; raises FlightMessageError for any other."""
+    """Return the statement that a ticket of this gateway carries; raises FlightMessageError for any other."""
     handle = _unpack(_parse("Ticket", data).ticket, "TicketStatementQuery").statement_handle
     try:
         return bytes(handle).decode()
--- a/query_gateway/flight/requests.py
+++ b/query_gateway/flight/requests.py
@@ -1,4 +1,4 @@
-"""What a Flight SQL client asks for: its statement and headers, decoded into the forwarder's request."""
+"""Decodes the statement and the headers of a Flight SQL client's call into the forwarder's request."""
 
 import re
 from dataclasses import dataclass
@@ -14,7 +14,7 @@
     from query_gateway.parsing.service import Classification
 
 NS_PER_MS = 1_000_000
-RETURN_RESERVE_NS = 25 * NS_PER_MS  # of the client's time, kept for the way here and the last bytes' way back
+RETURN_RESERVE_NS = 25 * NS_PER_MS  # of the client's timeout, kept for the transfer of call and result
 GRPC_TIMEOUT = re.compile(r"(\d{1,8})([HMSmun])")
 GRPC_TIMEOUT_UNITS_NS = {"H": 3600 * 10**9, "M": 60 * 10**9, "S": 10**9, "m": 10**6, "u": 10**3, "n": 1}
 MAX_TIMEOUT_NS = 3600 * 10**9
@@ -40,7 +40,7 @@
     """A statement as a client sent it."""
 
     text: str
-    is_update: bool  # sent through DoPut, so the client itself says that it changes something
+    is_update: bool  # sent through DoPut: the client marks it as one that changes something
     received_at_ns: int  # clock time
 
 
@@ -86,7 +86,8 @@
     if not statement.text:
         raise RequestError(400, "the statement is missing")
     if statement.is_update and flight_class.is_idempotent:
-        # Guards the rule on effects: what says itself that it changes something is never run twice
+        # Requests of this class may run twice (retry, hedged request), and an update would be applied twice.
+        # The client marks it as one by DoPut, so it is rejected before any engine has it
         name = class_name[:MAX_NAME_IN_ERROR]
         raise RequestError(400, f"an update cannot run as {name}, whose queries may run twice")
     group = classification.table_group if classification else table_group(statement.text)
--- a/query_gateway/http/request_decoding.py
+++ b/query_gateway/http/request_decoding.py
@@ -6,7 +6,7 @@
 from query_gateway.forwarder.table_group import table_group
 
 NANOSECONDS_PER_MS = 1_000_000
-RESPONSE_TRAVEL_NS = 15 * NANOSECONDS_PER_MS  # of the client's time, kept for the way here and back
+RESPONSE_TRAVEL_NS = 15 * NANOSECONDS_PER_MS  # of the client's timeout, kept for the transfer of both
 MAX_TTL_MS = 3_600_000
 MAX_TTL_DIGITS = 9
 MAX_CPU_HINT_MS = 1e8
--- a/query_gateway/net/errors.py
+++ b/query_gateway/net/errors.py
@@ -1,15 +1,16 @@
-"""Which errors of system calls pass by themselves, as Linux documents them."""
+"""Which errors of system calls are momentary, as the Linux manual pages document them."""
 
 import errno
 
-# The machine is short of memory or buffers just now, or a signal came: the call is made again later, and the
-# socket is as it was before.
+# The machine is short of memory or buffers just now, or a signal came. The socket is as it was before, so the
+# call is made again later
 MOMENTARY = frozenset((errno.EAGAIN, errno.EWOULDBLOCK, errno.EINTR, errno.ENOBUFS, errno.ENOMEM))
-# A dial that fails for want of something of our own machine: it says nothing of the peer
+# A dial failed because this machine lacks a port, a route or a buffer. The peer was not reached: it is not at
+# fault
 LOCAL_DIAL_FAILURES = frozenset(
     (errno.EAGAIN, errno.EADDRNOTAVAIL, errno.ENETUNREACH, errno.ENETDOWN, errno.ENOBUFS, errno.ENOMEM)
 )
-# accept() passes on errors of the connection that it would have returned; the next one may be well
+# Linux's accept() returns errors of the connection that it would have returned: only that one is lost
 CONNECTION_LOST_IN_BACKLOG = frozenset((
     errno.ECONNABORTED, errno.EINTR, errno.EPROTO, errno.ENETDOWN, errno.ENOPROTOOPT, errno.EHOSTDOWN,
     errno.ENONET, errno.EHOSTUNREACH, errno.EOPNOTSUPP, errno.ENETUNREACH, errno.ETIMEDOUT, errno.EPERM,
--- a/query_gateway/net/listener.py
+++ b/query_gateway/net/listener.py
@@ -8,7 +8,7 @@
 from query_gateway.net.loop import IN, Loop
 from query_gateway.net.retry import retry_at_start
 
-BACKLOG = 1024  # connections that the machine holds until they are accepted
+BACKLOG = 1024  # connections that the machine queues until they are accepted
 # Connections accepted in one event: descriptors of closed ones are freed only at the end of the loop's turn
 MAX_ACCEPTS_PER_EVENT = 32
 ACCEPT_RETRY_SECONDS = 0.02  # pause of the listener when descriptors or buffers are out
@@ -16,9 +16,13 @@
 
 
 class Listener:
-    """Accepts connections in order and hands each on; owns the listening socket.
+    """Accepts connections in order and passes each to its callback; owns the listening socket.
 
-    `paused` accepts nothing for now, `closing` only what waits already, `closed` nothing ever again.
+    listening <--pause, resume--> paused
+        |                           |
+        `-- close --> closing <-----'   accepts only what waits already
+                         |
+                         `--> closed    nothing is accepted ever again; `release` leads here at once
     """
 
     def __init__(
@@ -105,13 +109,17 @@
             return False
         try:
             self.on_accept(sock, f"{host}:{port}")
-        except OSError as error:  # guards those behind it: one broken connection ends no batch
+        except OSError as error:
+            # One connection failed as it was set up. Those behind it in the backlog are accepted all the same
             log("accept", f"cannot serve {host}:{port}: {error.strerror}")
             sock.close()
         return True
 
     def _accept_later(self) -> None:
-        """Descriptors or buffers are out: not watched until some may be free, as the event would not end."""
+        """Descriptors or buffers are out: accept again after `ACCEPT_RETRY_SECONDS`.
+
+        Watched meanwhile, the socket would be reported as ready in every turn, and the loop never sleep.
+        """
         self._note_waiting()
         now = self.loop.now()
         if not self.closing:
@@ -135,8 +143,9 @@
     def close(self) -> None:
         """Accept what waits in the backlog, then stop.
 
-        Where accept fails for the moment, `closing` lasts until what waits has been accepted: the machine has
-        completed those connections, so their clients wait for an answer.
+        The machine has completed the connections in the backlog, and their clients may have sent a request: a
+        closed listening socket would reset them. So where accept fails for the moment, `closing` lasts until
+        they have been accepted, or for `CLOSE_TIMEOUT_SECONDS`.
         """
         if self.closed or self.closing:
             return
--- a/query_gateway/net/loop.py
+++ b/query_gateway/net/loop.py
@@ -22,7 +22,7 @@
 MAX_EVENTS_PER_POLL = 512
 TASK_ROUNDS = 3  # rounds of ready tasks in a turn: what was woken, what that wakes, and once more
 MAX_POLL_SECONDS = 5.0  # of one sleep, so that a callback whose wake-up failed is not left for ever
-MAX_OVERSLEEP_SECONDS = 0.05  # by which a sleep may be longer than asked for on a busy machine
+MAX_OVERSLEEP_SECONDS = 0.05  # by which a sleep may be longer than its timeout on a busy machine
 MAX_HOOK_ROUNDS = 16  # rounds of turn hooks in a turn, so that hooks which keep asking do not starve sockets
 # Cancelled timers are swept once the heap exceeds twice what the last sweep left, plus this many
 TIMER_SWEEP_SLACK = 256
@@ -59,7 +59,7 @@
             self.loop.ready.append(self)
 
     def step(self) -> None:
-        """Run the coroutine to its next yield and set the timer that it asks for."""
+        """Run the coroutine to its next yield and set the timer for the time that it yields."""
         self.queued = False
         wake_at = None
         try:
@@ -232,7 +232,9 @@
     def _poll(self, timeout: float) -> list[tuple[int, int]]:
         try:
             return self.epoll.poll(timeout, MAX_EVENTS_PER_POLL)
-        except OSError as error:  # guards all connections: what is ready is reported again
+        except OSError as error:
+            # One failed poll must not end the process with all its connections. Nothing is lost: epoll is
+            # level-triggered and reports what is ready again in the next turn
             log("fault", f"a poll failed: {error.strerror}")
             self.faults += 1
             return []
@@ -244,7 +246,7 @@
                 self._call(timer.callback)
 
     def _run_turn_hooks(self) -> bool:
-        """Run the hooks until none asks for another round; False if the rounds ran out first."""
+        """Run the hooks until none returns True; False if the rounds ran out first."""
         for _ in range(MAX_HOOK_ROUNDS):
             again = False
             for hook in self.turn_hooks:
--- a/query_gateway/net/outbox.py
+++ b/query_gateway/net/outbox.py
@@ -1,4 +1,4 @@
-"""What is queued to be sent on a connection, and who waits for it to have left."""
+"""The bytes that are queued to be written to a connection, and the callbacks for when they have left."""
 
 from collections.abc import Callable
 from typing import NamedTuple
@@ -34,13 +34,13 @@
         self._marks.append(_Mark(self._queued, callback))
 
     def remove_sent(self, count: int) -> None:
-        """The first bytes have left."""
+        """Remove the first bytes, which have left, and call the callbacks that are due by that."""
         del self.data[:count]
         while self._marks and self._marks[0].end <= self._queued - len(self.data):
             self._marks.pop(0).callback()
 
     def drop(self) -> None:
-        """Nothing more will leave, and nobody is called."""
+        """Drop what has not left; none of its callbacks is called."""
         self._queued -= len(self.data)
         self.data.clear()
         self._marks.clear()
