--- a/tests/test_flight.py
+++ b/tests/test_flight.py
@@ -185,6 +185,10 @@
 
 
 def test_client_cancelling_midway_cancels_the_engine_call(engine: FlightEngine) -> None:
+    """A client cancels its call while the result is being sent.
+
+    The engine would go on to produce a result that no client reads. The gateway cancels the engine's call.
+    """
     with gateway(engine) as gate:
         reader = run_query(gate, "SELECT long FROM lending_7.loans", x_class="report")
         reader.read_chunk()
@@ -195,7 +199,11 @@
 
 
 def test_stalled_reader_stops_the_engine_by_flow_control(engine: FlightEngine) -> None:
-    """Guards against a result that accumulates in the gateway: flow control reaches from end to end."""
+    """A client stops reading in the middle of a long result.
+
+    Without flow control from end to end the whole result would accumulate in the gateway's memory. A message
+    is acknowledged to the engine only when it has left for the client, so the engine stops sending.
+    """
     with gateway(engine) as gate:
         reader = run_query(gate, "SELECT long FROM lending_7.loans", 25.0, x_class="report")
         reader.read_chunk()
@@ -205,6 +213,11 @@
 
 
 def test_draining_engine_finishes_its_stream_and_gets_no_new_call(engine: FlightEngine) -> None:
+    """The endpoint list marks an engine as draining while it sends a result.
+
+    A closed connection would cut the result off, and a new call could be lost when the engine ends. The
+    result goes on to its end, and the next query goes to another engine.
+    """
     engine.go_on.clear()
     other = FlightEngine()
     with gateway(engine) as gate:
@@ -224,6 +237,11 @@
 
 
 def test_draining_gateway_finishes_open_streams_and_accepts_no_new_call(engine: FlightEngine) -> None:
+    """The gateway drains while a client reads a result.
+
+    The client's connection gets a GOAWAY, the open stream goes on to its end, and a new call is unavailable
+    here until the gateway accepts again.
+    """
     engine.go_on.clear()
     with gateway(engine) as gate:
         with client(gate) as mine:
@@ -243,7 +261,7 @@
 
 def test_rejections_and_failures_have_one_status_each(engine: FlightEngine) -> None:
     with gateway() as gate, pytest.raises(pa.ArrowInvalid) as refused:
-        # No engine is known: the scheduler gives the request up, and nothing has run
+        # There is no engine: the scheduler rejects the request, and nothing has run
         run_query(gate, SQL, x_class="lookup").read_all()
     assert "Overloaded" in str(refused.value) and gate.forwarder.counters.total(Verdict.REJECTED) == 1
     with gateway(engine) as gate, pytest.raises(pa.ArrowInvalid, match="Overloaded"):
@@ -251,12 +269,16 @@
         run_query(gate, "SELECT broken FROM lending_7.loans").read_all()
     assert engine.ran["SELECT broken FROM lending_7.loans"] == 3
     with gateway(engine) as gate, pytest.raises(fl.FlightInternalError, match="Internal"):
-        # Rows have left: no other attempt can stand in, and the client must see that the result is not whole
+        # Rows have left, so there is no retry, and the client must see that the result is incomplete
         run_query(gate, "SELECT torn FROM lending_7.loans").read_all()
     assert [gate.forwarder.counters.total(v) for v in Verdict] == [0, 0, 1]
 
 
 def test_deadline_ends_a_stalled_stream(engine: FlightEngine) -> None:
+    """An engine stalls in the middle of a result, beyond the client's deadline.
+
+    The exchange would stay open for ever. The client gets an error, and nothing of the request is left.
+    """
     engine.go_on.clear()
     with gateway(engine) as gate:
         peer = client(gate)
@@ -287,6 +309,11 @@
 def test_silent_connections_and_calls_are_ended_and_lock_nobody_out(
     engine: FlightEngine, monkeypatch: pytest.MonkeyPatch
 ) -> None:
+    """Clients connect and send nothing, or open a call and never send its message.
+
+    They would hold every connection up to the limit, and other clients could not connect. An idle connection
+    is closed at the limit, a silent one after a time, and a call without a message gets DEADLINE_EXCEEDED.
+    """
     monkeypatch.setattr("query_gateway.rpc.connection.FIRST_BYTES_TIMEOUT_S", 0.1)
     monkeypatch.setattr("query_gateway.flight.client_call.MESSAGE_TIMEOUT_S", 0.1)
     with gateway(engine) as gate:
@@ -298,7 +325,7 @@
         with socket.create_connection(address) as sock:
             sock.settimeout(10)
             while sock.recv(65_536):
-                pass  # our settings, then the close of a connection that sent nothing
+                pass  # the gateway's SETTINGS, then its close of a connection that sent nothing
         with socket.create_connection(address) as sock:
             sock.settimeout(10)
             peer = h2.connection.H2Connection()
--- a/tests/test_flight_statements.py
+++ b/tests/test_flight_statements.py
@@ -91,6 +91,11 @@
 def test_write_labelled_as_a_read_reaches_no_engine_over_http_or_flight(
     flight_engines: EnginePair, sql: str, label: str
 ) -> None:
+    """A client sends a statement that writes, or that cannot be classified, under a class of reads.
+
+    Requests of such a class may run twice, so the write would be applied twice. It is rejected before it is
+    forwarded, on both fronts, and reads under the same label are still served.
+    """
     http_engines = Engine(script={sql: ["error"] * 9}), Engine(script={sql: ["error"] * 9})
     with gateway(*flight_engines, web=http_engines, statements=ON) as gate:
         with pytest.raises(pa.ArrowInvalid):
@@ -109,6 +114,11 @@
 
 
 def test_http_and_flight_clients_together_forward_no_labelled_write_and_run_no_load_twice() -> None:
+    """Clients of both fronts send reads, writes, and writes labelled as reads, all at once.
+
+    Each write must run exactly once, and each labelled write must be rejected, however the requests of the
+    two fronts interleave.
+    """
     flight_engines, http_engines = (FlightEngine(), FlightEngine()), (Engine(), Engine())
     with gateway(*flight_engines, web=http_engines, statements=ON) as gate:
         counts: Counter[str] = Counter()
@@ -150,7 +160,11 @@
 def test_loads_of_one_key_never_run_at_once_however_the_key_is_spelled(
     flight_engines: EnginePair,
 ) -> None:
-    """The clients send other keys; the key in the text counts."""
+    """Clients send updates of one row under different `x-row` keys, and spell the row's key differently.
+
+    Taken by the header, the updates would run at once and overtake each other. The key in the statement's
+    text counts, in whatever spelling, so they run one after another.
+    """
     spelt = [DELETE, DELETE.replace("42", "'42'"), 'DELETE FROM "lending_7"."loans" WHERE "member" = 42.0']
     running: set[str] = set()
     most = 0
@@ -187,7 +201,11 @@
 def test_update_under_an_idempotent_class_is_rejected(
     flight_engines: EnginePair,
 ) -> None:
-    """Also where statements are not parsed: the call itself says that it changes something."""
+    """A client sends an update through DoPut under a class whose requests may run twice.
+
+    A retry or a hedged request would apply the update twice. The call is rejected before any engine sees it,
+    also where statements are not parsed: DoPut marks it as an update.
+    """
     for reading in (None, ON):
         with gateway(*flight_engines, statements=reading) as gate:
             meta = options(x_class="lookup")
@@ -202,6 +220,11 @@
 def test_shape_that_fails_on_every_engine_is_limited_and_others_are_not(
     flight_engines: EnginePair,
 ) -> None:
+    """Every run of one statement shape fails, on each engine that it is sent to.
+
+    Retried without bounds, it would take the capacity of all engines. Its shape gets a concurrency limit,
+    further requests of that shape are rejected at the limit, and other shapes are served as before.
+    """
     third = FlightEngine()
     with gateway(*flight_engines, third, statements=ON) as gate:
         assert gate.statements
@@ -278,6 +301,11 @@
 def test_gateway_keeps_serving_while_parser_processes_die(
     flight_engines: EnginePair,
 ) -> None:
+    """The parser processes are killed, three times in a row.
+
+    A statement of a cached shape needs no parser and is served all the while. Others are rejected, for their
+    clients to retry, until a new process has started; then they are served again.
+    """
     with gateway(*flight_engines, statements=ON) as gate:
         assert gate.statements
         assert run_query(gate, READ).read_all().num_rows == 3
@@ -301,6 +329,11 @@
 def test_client_that_leaves_before_its_statement_is_parsed_leaves_nothing_behind(
     flight_engines: EnginePair,
 ) -> None:
+    """A client's deadline passes while its statement waits for a parser.
+
+    When the statement is parsed after that, it would be forwarded for a client that has left. The call is
+    over by then, so nothing is forwarded, no engine sees the statement, and no exchange is left open.
+    """
     with gateway(*flight_engines, statements=ON) as gate:
         assert gate.statements
         statements = gate.statements
--- a/tests/test_race_flight.py
+++ b/tests/test_race_flight.py
@@ -70,6 +70,11 @@
 
 
 def test_flight_call_abandoned_before_its_connection_is_accepted_is_not_forwarded() -> None:
+    """A Flight client sends an update and closes its connection before the gateway has accepted it.
+
+    The engine would run an update whose client has left. The gateway reads on to the end of the connection
+    before it writes the attempt, finds that the client has left, and opens no call to the engine.
+    """
     listener = socket.create_server(("127.0.0.1", 0))
     gateway = flight_gateway(listener)
     assert gateway.flight_server
@@ -108,8 +113,11 @@
 
 @pytest.mark.parametrize("event", ["leaves", "drains", "breaks"])
 def test_flight_call_whose_message_is_unsent_is_withdrawn(event: str) -> None:
-    """The client leaves, the engine drains or its connection breaks while the engine's flow-control window
-    holds the call's message back.
+    """The client leaves, the engine drains or its connection breaks while flow control holds a message back.
+
+    The engine has not granted enough flow-control window, so the message of a call waits in the gateway. An
+    engine runs nothing without the complete message: the attempt counts as never run, it can be withdrawn or
+    sent elsewhere, and the message does not leave later.
     """
     listener = socket.create_server(("127.0.0.1", 0))
     gateway = flight_gateway(listener, settings_without_timeouts(cancelling=False))
@@ -151,7 +159,11 @@
 
 
 def test_close_by_the_engine_is_found_before_a_flight_call_is_written() -> None:
-    """Guards a non-idempotent update: written after the engine's close it counts as executed."""
+    """An engine closes its connection just before a Flight call is written there.
+
+    Written after that close, the call would count as possibly run, and a non-idempotent update could not be
+    repeated. The connection is read before each call; the attempt goes out on a new connection instead.
+    """
     listener = socket.create_server(("127.0.0.1", 0))
     gateway = flight_gateway(listener)
     pool: Any = gateway.forwarder.engine_clients["flight"]
@@ -187,8 +199,10 @@
 def test_flight_answer_still_being_read_is_completed_before_its_connection_closes(
     reason: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Guards the last answer: the connection was closed over what its client had not read yet. A call that
-    crosses the close is told that it was not executed.
+    """A Flight connection ends, for a shutdown or for idleness, while its client still reads the last answer.
+
+    The connection was closed over bytes that the client had not read yet, and the end of the answer was lost.
+    The gateway sends GOAWAY, writes the rest of the answer, half-closes, and closes after the client.
     """
     loop, listener = Loop(), socket.create_server(("127.0.0.1", 0))
     listener.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4_096)
--- a/tests/test_race_idle_connections.py
+++ b/tests/test_race_idle_connections.py
@@ -20,7 +20,12 @@
 def test_request_that_crosses_the_close_of_its_idle_connection_is_answered(
     reason: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Guards the request: closed while it was in the kernel's buffer, its connection was reset."""
+    """A client sends a request while the gateway closes its idle connection.
+
+    The request was in the kernel's buffer, unread, as the connection closed, which reset the connection: the
+    client had no answer. The gateway now reads once more before it closes for idleness, for a shutdown or to
+    evict a connection at the limit, and serves the request that it finds.
+    """
     engine = Engine()
     monkeypatch.setattr(
         "query_gateway.http.connection.IDLE_TIMEOUT_SECONDS", 0.3 if reason == "idle" else 6.0
@@ -60,7 +65,12 @@
 
 
 def test_request_sent_after_the_last_read_of_a_closing_connection_causes_no_reset() -> None:
-    """Guards a client that sends as we close: the close at the end of the turn reset what had arrived."""
+    """A client sends after the gateway has read for the last time, in the same turn of the loop.
+
+    The socket is closed at the end of the turn, and with unread bytes that close was a reset. The gateway
+    half-closes first and reads on, so the client sees the end of the connection and sends the request
+    elsewhere.
+    """
     engine = Engine()
     with running(engine, settings=settings_without_timeouts()) as gateway:
         client = send_request(gateway, SQL)
@@ -85,8 +95,13 @@
     assert engine.statements == [SQL]
 
 
-def test_client_beyond_the_limit_is_told_that_there_is_no_room() -> None:
-    """Guards a request on a new connection: where all others had open requests it was shut unread."""
+def test_client_beyond_the_connection_limit_gets_a_rejection() -> None:
+    """A client connects at the limit while all other connections have open requests.
+
+    No connection can be evicted, and the new one was closed unread, so the client could not tell a full
+    gateway from a broken one. A few connections beyond the limit are accepted, and their requests are
+    rejected with 429.
+    """
     engine = Engine(script={ABANDONED_SQL: ["mute"] * 2})
     with running(engine, settings=settings_without_timeouts()) as gateway:
         gateway.http_server.max_connections = 2
@@ -100,7 +115,7 @@
             assert answer.startswith(b"HTTP/1.1 429") and b"Connection: close" in answer
         crowd = [socket.create_connection(gateway.http_server.listener.address) for _ in range(40)]
         until(lambda: len(gateway.http_server.connections) <= 2 + MAX_OVERFLOW_CONNECTIONS)
-        with send_request(gateway, SQL) as late:  # silent ones beyond the limit make room for it
+        with send_request(gateway, SQL) as late:  # a silent one beyond the limit is evicted for it
             assert late.recv(65_536).startswith(b"HTTP/1.1 429")
         assert len(gateway.forwarder.exchanges) == 2
         for sock in (*clients, *crowd):
