--- a/query_gateway/engine_protocol/attempt_table.py
+++ b/query_gateway/engine_protocol/attempt_table.py
@@ -1,9 +1,11 @@
 """The attempts in flight on one connection, from their assignment until their end.
 
-unwritten --take_unwritten, then written--> written
-unwritten --withdraw--> removed: it never ran
-written --remove: complete result--> removed
-written --cancel, or remove with `may_respond`--> removed, its id is kept as late responses may still come
+    unwritten --take_unwritten, then written------------> written
+    unwritten --withdraw: it never ran------------------> removed
+    written --remove: its result is complete------------> removed
+    written --cancel, or remove with `may_respond`------> removed, but its id is kept
+
+The id of an attempt is kept on its connection as long as late responses to it may still come.
 """
 
 from typing import Final
@@ -65,10 +67,10 @@
 
     def cancel(self, client_request_id: str) -> bool:
         """Remove an attempt; whether its engine may have it and has to be notified of that."""
-        is_open = self.open.pop(client_request_id, None) is not None
-        was_written = self.unwritten.pop(client_request_id, None) is None
+        if self.open.pop(client_request_id, None) is None:
+            return False
         self.responding.pop(client_request_id, None)
-        if not is_open or not was_written:
+        if self.unwritten.pop(client_request_id, None) is not None:
             return False
         self.ended_ids[client_request_id] = None
         return True
--- a/query_gateway/forwarder/engine_side.py
+++ b/query_gateway/forwarder/engine_side.py
@@ -4,7 +4,7 @@
     in flight --the attempt ends (see `attempt`)--> no attempt in flight
     in flight --cancel--> cancelled, still in flight for `CANCEL_PROPAGATION_NS` --> no attempt in flight
 
-Whether an attempt may start is the send guard's decision; the exchange asks it before `start`.
+Whether an attempt may start is the send guard's decision; the exchange calls it before `start`.
 """
 
 from typing import Final
--- a/query_gateway/forwarder/exchange.py
+++ b/query_gateway/forwarder/exchange.py
@@ -4,8 +4,8 @@
     OPEN, STREAMING --answer: attempt, planner or deadline--> ANSWERED
     OPEN, STREAMING --abandon: the client has left--> ANSWERED, no answer is owed
 
-The client's side and the engine's side meet only here. A planner decides what happens to the request; the
-forwarder owes the answer, so the deadline ends every exchange, whatever a planner does or fails to do:
+Only here are the client's side and the engine's side connected. A planner decides what happens to the
+request; the forwarder owes the answer, so the deadline ends every exchange, whatever a planner does:
 
     deadline                       the attempt in flight ends, the planner may still decide on the answer
     deadline + PLANNER_GRACE_NS    without an answer the request has failed
@@ -95,7 +95,7 @@
         if self.planner_notified:
             self.planner.notify(event)
 
-    # ---- what the planner asks for
+    # ---- commands of the planner
 
     def forward(self, endpoint: str) -> None:
         """Send an attempt to an endpoint, or report to the planner that it was not sent."""
@@ -123,7 +123,7 @@
         """Set the terms of further attempts; of one in flight only the priority can change."""
         self.engine_side.set_terms(terms)
 
-    # ---- what the engine client reports, through the attempt
+    # ---- events of the engine client, through the attempt
 
     def send_page(self, data: bytes, on_sent: Callable[[], None]) -> None:
         """Stream a page to the client; from the first one on no other attempt can serve the request."""
@@ -140,7 +140,7 @@
     def on_attempt_ended(self, attempt: Attempt, code: OutcomeCode) -> None:
         """Answer the client if the end of the attempt settles the request, then report it.
 
-        The client is answered before the planner is notified: the outcome says whether the request is over,
+        The client is answered before the planner is notified: the outcome shows whether the request is over,
         and the planner may then send the next request of the same key.
         """
         self.engine_side.note_ended(attempt, code)
@@ -172,7 +172,7 @@
         self.client.send_answer(answer)
 
     def _check_rejection(self) -> bool:
-        """Whether the request may be rejected, which tells its client that a retry has no second effect."""
+        """Whether the request may be rejected: a rejection promises that a retry has no second effect."""
         if self.is_streaming:
             return False
         if self.engine_side.may_be_rejected:
@@ -188,8 +188,8 @@
             self._end()
             self.trace(TraceStep.ABANDONED)
             self.notify_planner(RequestAbandoned(self.request_id))
-            # A planner process may cancel late or never, and the engine would work for nobody: what has not
-            # left is taken back here, whatever the planner does
+            # A planner process may cancel late or never, and an engine would run a request without a client:
+            # what has not left is withdrawn here, whatever the planner does
             self.engine_side.withdraw()
             self.settle()
 
--- a/query_gateway/forwarder/key_quarantine.py
+++ b/query_gateway/forwarder/key_quarantine.py
@@ -55,7 +55,7 @@
     def _release_when_over(self, planner_index: int) -> None:
         """Release the queue, or wait on if the quarantine was prolonged.
 
-        It is released as a whole: if it were released one by one, a request that comes meanwhile could
+        It is released all at once: if it were released one by one, a request that comes meanwhile could
         overtake the rest.
         """
         if self.ends_at[planner_index] > self.clock():
--- a/query_gateway/forwarder/planner_routing.py
+++ b/query_gateway/forwarder/planner_routing.py
@@ -1,7 +1,7 @@
 """Planner routing: the planners of a forwarder, and which of them decides on a request.
 
 Inputs  the request's key, and which planners are connected
-Answer  one planner, for the whole life of the request
+Answer  one planner, from its acceptance until its end
 Reason  only one planner can keep the requests of a key in order; all others are spread evenly
 """
 
--- a/query_gateway/forwarder/send_guard.py
+++ b/query_gateway/forwarder/send_guard.py
@@ -2,8 +2,8 @@
 
 The scheduler plans an attempt; until its first byte leaves, time passes. The attempt may wait for a
 connection that comes up late or for an engine that does not read; a planner process may decide late, or on an
-outdated endpoint list. The guard therefore asks the same rules once more, at the last moment when the attempt
-can still be taken back, and on the state of this process.
+outdated endpoint list. The guard therefore applies the same rules once more, at the last moment when the
+attempt can still be taken back, and on the state of this process.
 
 Inputs  the request with its deadline and client, its earlier attempts, the endpoint list in force, the
         slow-start budgets, the clock (nanoseconds)
@@ -138,8 +138,8 @@
         now = self.clock()
         if refusal := self._refusal_at(exchange, attempt.endpoint, now):
             return refusal
-        # A client that closes between two polls of the loop would have its request run for nobody. This looks
-        # at the client's socket itself, and comes late as it costs a system call
+        # A client may close between two polls of the loop, and an engine would run its request for no client.
+        # This reads the client's socket itself; it comes late, as it costs a system call
         if exchange.client.has_left():
             return SendRefusal.CLIENT_LEFT
         engine = self.state.endpoints[attempt.endpoint].info
