--- a/query_gateway/forwarder/__init__.py
+++ b/query_gateway/forwarder/__init__.py
@@ -8,6 +8,6 @@
 the attempt to the exchange and the forwarder, commands go down; no two modules import each other.
 
 It imports `query_gateway.model` and, of the policy, the shared rules that it enforces: `repetition`,
-`recovery_ramp` and `key_quarantine`. The servers, the engine clients, discovery, the configuration and the composition root import
-it; the model, the policy and the planner do not.
+`recovery_ramp` and `key_quarantine`. The servers, the engine clients, discovery, the configuration and the
+composition root import it; the model, the policy and the planner do not.
 """
