--- a/query_gateway/lifecycle/__init__.py
+++ b/query_gateway/lifecycle/__init__.py
@@ -13,6 +13,17 @@
     hot_upgrade         two processes of one gateway: who accepts, who answers, what happens if either dies
     overlap             what each message of a hot upgrade changes in this process
 
+Which state is lost when a process dies, and what becomes of its open requests:
+
+    process          lost with it                                   its open requests
+    gateway in one   all of its state; a successor keeps what it    nobody answers: their clients see a reset
+    process          was offered                                    connection
+    forwarder        client connections, open requests, its         the same; its planners end them
+                     position in the endpoint list
+    planner          queues, its view of the engines, what it       its forwarders answer at once, see
+                     learned                                        `planner_links`
+    supervisor       nothing of a request; its workers stop         the forwarders answer, as at SIGTERM
+
 `gateway.py` and `composition.py` build these parts and join them; `process.py` is the process entry, which
 `__main__` and `cli` call. No other module imports from here.
 """
--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -158,7 +158,11 @@
 
 
 def test_the_process_entry_and_the_command_line_do_not_import_each_other() -> None:
-    """Guards the start: what imports the entry again would run its first lines, and its imports, twice."""
+    """A module imports the process entry `__main__`.
+
+    It would be loaded a second time under its own name, and its first lines and imports would run twice. No
+    module may import it; it shares `lifecycle.process` with the command line.
+    """
     package = ROOT / "query_gateway"
     importers: dict[str, set[str]] = {"__main__": set(), "cli": set(), "lifecycle.process": set()}
     for path in package.rglob("*.py"):
--- a/tests/test_local.py
+++ b/tests/test_local.py
@@ -75,7 +75,11 @@
 
 
 def test_the_build_does_not_compile_the_message_types() -> None:
-    """Guards the IPC where the module is compiled: a message with an optional field was rejected there."""
+    """The decision module is compiled, and a message with an optional field passes the IPC.
+
+    Compiled classes lose the types of their fields, by which the codec decodes; the message was rejected and
+    the connection ended. The build compiles the decisions and not the messages.
+    """
     build = subprocess.run(
         ["make", "-nB", "query_gateway/.compiled"], capture_output=True, text=True, check=True
     )
--- a/tests/test_reload.py
+++ b/tests/test_reload.py
@@ -76,7 +76,11 @@
      put(2.5, *ATTEMPTS), put("report", "settings", "services", 0, "name"), put([], "settings", "services")],
 )  # fmt: skip
 def test_a_file_with_a_fault_is_rejected(change: Any) -> None:
-    """Guards against defaults that stand in for a missing key, and against what only looks like a number."""
+    """A file lacks a key that the one in force has, or has a value that is no positive number in its place.
+
+    Decoded leniently, a default would silently replace a setting in force, and true or "7" would count as a
+    number. The file is rejected as a whole.
+    """
     with pytest.raises(ConfigurationError):
         check_no_key_dropped(parse_configuration(RAW, {}), parse_configuration(changed(change), {}))
 
@@ -179,7 +183,11 @@
 
 
 def test_limits_that_change_alone_are_applied() -> None:
-    """Guards a reload that says it is applied: limits outside the module's settings stayed as they were."""
+    """A reload changes limits alone, which forwarder and engine clients keep beside the scheduler's settings.
+
+    The reload was logged as applied, and these limits stayed as they were until a restart. A reload sets them
+    as well.
+    """
     raw: dict[str, Any] = copy.deepcopy(SETTINGS)
     raw["limits"] |= {"most-held": 1, "dial-timeout": 600_000_000, "streams-per-conn": 5}
     operator = OperatorSettings(flight_address=("127.0.0.1", 0))
