--- a/query_gateway/net/listener.py
+++ b/query_gateway/net/listener.py
@@ -77,11 +77,11 @@
     def pause(self) -> None:
         """Accept nothing for now; connections that wait in the backlog stay there."""
         self.paused = True
-        self._note_waiting()
+        self._record_waiting()
         if not self.closed:
             self.loop.watch(self.socket, 0, self._ready)
 
-    def _note_waiting(self) -> None:
+    def _record_waiting(self) -> None:
         """From now on connections may wait, until the backlog is seen empty."""
         if self._waiting_since is None:
             self._waiting_since = self.loop.now() - self.loop.lag()
@@ -90,7 +90,7 @@
         for _ in range(MAX_ACCEPTS_PER_EVENT):
             if not self._accept():
                 return
-        self._note_waiting()
+        self._record_waiting()
 
     def _accept(self) -> bool:
         """Accept one connection; False if none waits or none can be accepted now."""
@@ -105,7 +105,7 @@
             if error.errno in CONNECTION_LOST_IN_BACKLOG:
                 return True
             log("accept", f"cannot accept: {error.strerror}")
-            self._accept_later()
+            self._retry_accept_later()
             return False
         try:
             self.on_accept(sock, f"{host}:{port}")
@@ -115,18 +115,18 @@
             sock.close()
         return True
 
-    def _accept_later(self) -> None:
+    def _retry_accept_later(self) -> None:
         """Descriptors or buffers are out: accept again after `ACCEPT_RETRY_SECONDS`.
 
         Watched meanwhile, the socket would be reported as ready in every turn, and the loop never sleep.
         """
-        self._note_waiting()
+        self._record_waiting()
         now = self.loop.now()
         if not self.closing:
             self.loop.watch(self.socket, 0, self._ready)
             self.loop.call_at(now + ACCEPT_RETRY_SECONDS, self._listen)
         elif now < self._close_deadline:
-            self.loop.call_at(now + ACCEPT_RETRY_SECONDS, self._accept_rest)
+            self.loop.call_at(now + ACCEPT_RETRY_SECONDS, self._accept_backlog)
         else:
             self._finish_closing()
 
@@ -152,9 +152,9 @@
         self.closing = True
         self.loop.watch(self.socket, 0, self._ready)
         self._close_deadline = self.loop.now() + CLOSE_TIMEOUT_SECONDS
-        self._accept_rest()
+        self._accept_backlog()
 
-    def _accept_rest(self) -> None:
+    def _accept_backlog(self) -> None:
         while not self.closed and self._accept():
             pass
 
--- a/query_gateway/net/log.py
+++ b/query_gateway/net/log.py
@@ -3,6 +3,7 @@
 import contextlib
 import sys
 import time
+from dataclasses import dataclass
 
 BURST_LINES = 20  # lines of one kind that may come at once
 LINES_PER_SECOND = 5.0  # lines of one kind after that
@@ -10,26 +11,42 @@
 OTHER_KIND = "other"
 
 
+@dataclass(slots=True)
+class _TokenBucket:
+    """Bounds the lines of one kind."""
+
+    tokens: float  # lines that may come at once
+    counted_at: float  # when the tokens were counted, in seconds of the monotonic clock
+    suppressed: int = 0  # lines left out since the last one that was printed
+
+    def refill(self, now: float) -> None:
+        """Add the tokens of the time since they were counted."""
+        elapsed = now - self.counted_at
+        self.tokens = min(float(BURST_LINES), self.tokens + elapsed * LINES_PER_SECOND)
+        self.counted_at = now
+
+
 class Log:
     """Prints `KIND TEXT` lines; a token bucket for each kind bounds how many."""
 
     def __init__(self) -> None:
         """Start with a full bucket for every kind."""
-        # By kind: tokens left, when they were counted (seconds), lines suppressed since the last one printed
-        self._kinds: dict[str, tuple[float, float, int]] = {}
+        self._kinds: dict[str, _TokenBucket] = {}  # by kind of line
 
     def __call__(self, kind: str, text: str) -> None:
         """Print `KIND TEXT`; lines above the rate are counted and reported with the next of that kind."""
         now = time.monotonic()
         if kind not in self._kinds and len(self._kinds) >= MAX_KINDS:
             kind = OTHER_KIND
-        tokens, counted_at, suppressed = self._kinds.get(kind, (float(BURST_LINES), now, 0))
-        tokens = min(float(BURST_LINES), tokens + (now - counted_at) * LINES_PER_SECOND)
-        if tokens < 1:
-            self._kinds[kind] = tokens, now, suppressed + 1
+        if (bucket := self._kinds.get(kind)) is None:
+            bucket = self._kinds[kind] = _TokenBucket(float(BURST_LINES), now)
+        bucket.refill(now)
+        if bucket.tokens < 1:
+            bucket.suppressed += 1
             return
-        self._kinds[kind] = tokens - 1, now, 0
-        suffix = f" (+{suppressed} lines like it left out)" if suppressed else ""
+        bucket.tokens -= 1
+        suffix = f" (+{bucket.suppressed} lines like it left out)" if bucket.suppressed else ""
+        bucket.suppressed = 0
         with contextlib.suppress(OSError):  # the log's reader may have closed its end
             print(f"{kind} {text}{suffix}", file=sys.stderr, flush=True)
 
--- a/query_gateway/rpc/connection.py
+++ b/query_gateway/rpc/connection.py
@@ -201,10 +201,6 @@
         while self.stream.outbox and not self.stream.reset and self.loop.now() < deadline:
             self.stream.take_inbox()
             yield deadline
-        yield from self._half_close()
-
-    def _half_close(self) -> Steps:
-        """Close our side and read on until the client has closed its own."""
         yield from self.stream.close_gracefully(HALF_CLOSE_TIMEOUT_S)
 
     def _abort_calls(self) -> None:
