--- a/tests/test_race_endpoint_list.py
+++ b/tests/test_race_endpoint_list.py
@@ -142,19 +142,11 @@
     tombstones = EndpointTombstones()
     tombstones.record(up, True, {})
     present = {endpoint.info.name: endpoint for endpoint in up}
-    tombstones.record(
-        [make_endpoint("a", EndpointState.DRAINING, 7), make_endpoint("b", EndpointState.REMOVED)],
-        False,
-        present,
-    )
-    tombstones.record(
-        [endpoint for endpoint in up if endpoint.info.name != "c"], True, present
-    )  # a and b are up again, c is left out
-    tombstones.record(
-        [make_endpoint("a", EndpointState.DRAINING, 7), make_endpoint("b", EndpointState.REMOVED)],
-        False,
-        present,
-    )
+    ending = [make_endpoint("a", EndpointState.DRAINING, 7), make_endpoint("b", EndpointState.REMOVED)]
+    tombstones.record(ending, False, present)
+    # a and b are up again, c is left out
+    tombstones.record([endpoint for endpoint in up if endpoint.info.name != "c"], True, present)
+    tombstones.record(ending, False, present)
     states = {
         endpoint.info.name: endpoint.info.state
         for endpoint in tombstones.apply([*up, make_endpoint("e", EndpointState.UP, 7)])
