--- a/query_gateway/net/listener.py
+++ b/query_gateway/net/listener.py
@@ -8,7 +8,7 @@
 from query_gateway.net.loop import IN, Loop
 from query_gateway.net.retry import retry_at_start
 
-BACKLOG = 1024  # connections that the machine holds until they are accepted
+BACKLOG = 1024  # connections that the machine queues until they are accepted
 # Connections accepted in one event: descriptors of closed ones are freed only at the end of the loop's turn
 MAX_ACCEPTS_PER_EVENT = 32
 ACCEPT_RETRY_SECONDS = 0.02  # pause of the listener when descriptors or buffers are out
@@ -16,9 +16,13 @@
 
 
 class Listener:
-    """Accepts connections in order and hands each on; owns the listening socket.
+    """Accepts connections in order and passes each to its callback; owns the listening socket.
 
-    `paused` accepts nothing for now, `closing` only what waits already, `closed` nothing ever again.
+    listening <--pause, resume--> paused
+        |                           |
+        `-- close --> closing <-----'   accepts only what waits already
+                         |
+                         `--> closed    nothing is accepted ever again; `release` leads here at once
     """
 
     def __init__(
@@ -73,11 +77,11 @@
     def pause(self) -> None:
         """Accept nothing for now; connections that wait in the backlog stay there."""
         self.paused = True
-        self._note_waiting()
+        self._record_waiting()
         if not self.closed:
             self.loop.watch(self.socket, 0, self._ready)
 
-    def _note_waiting(self) -> None:
+    def _record_waiting(self) -> None:
         """From now on connections may wait, until the backlog is seen empty."""
         if self._waiting_since is None:
             self._waiting_since = self.loop.now() - self.loop.lag()
@@ -86,7 +90,7 @@
         for _ in range(MAX_ACCEPTS_PER_EVENT):
             if not self._accept():
                 return
-        self._note_waiting()
+        self._record_waiting()
 
     def _accept(self) -> bool:
         """Accept one connection; False if none waits or none can be accepted now."""
@@ -101,24 +105,28 @@
             if error.errno in CONNECTION_LOST_IN_BACKLOG:
                 return True
             log("accept", f"cannot accept: {error.strerror}")
-            self._accept_later()
+            self._retry_accept_later()
             return False
         try:
             self.on_accept(sock, f"{host}:{port}")
-        except OSError as error:  # guards those behind it: one broken connection ends no batch
+        except OSError as error:
+            # One connection failed as it was set up. Those behind it in the backlog are accepted all the same
             log("accept", f"cannot serve {host}:{port}: {error.strerror}")
             sock.close()
         return True
 
-    def _accept_later(self) -> None:
-        """Descriptors or buffers are out: not watched until some may be free, as the event would not end."""
-        self._note_waiting()
+    def _retry_accept_later(self) -> None:
+        """Descriptors or buffers are out: accept again after `ACCEPT_RETRY_SECONDS`.
+
+        Watched meanwhile, the socket would be reported as ready in every turn, and the loop never sleep.
+        """
+        self._record_waiting()
         now = self.loop.now()
         if not self.closing:
             self.loop.watch(self.socket, 0, self._ready)
             self.loop.call_at(now + ACCEPT_RETRY_SECONDS, self._listen)
         elif now < self._close_deadline:
-            self.loop.call_at(now + ACCEPT_RETRY_SECONDS, self._accept_rest)
+            self.loop.call_at(now + ACCEPT_RETRY_SECONDS, self._accept_backlog)
         else:
             self._finish_closing()
 
@@ -135,17 +143,18 @@
     def close(self) -> None:
         """Accept what waits in the backlog, then stop.
 
-        Where accept fails for the moment, `closing` lasts until what waits has been accepted: the machine has
-        completed those connections, so their clients wait for an answer.
+        The machine has completed the connections in the backlog, and their clients may have sent a request: a
+        closed listening socket would reset them. So where accept fails for the moment, `closing` lasts until
+        they have been accepted, or for `CLOSE_TIMEOUT_SECONDS`.
         """
         if self.closed or self.closing:
             return
         self.closing = True
         self.loop.watch(self.socket, 0, self._ready)
         self._close_deadline = self.loop.now() + CLOSE_TIMEOUT_SECONDS
-        self._accept_rest()
+        self._accept_backlog()
 
-    def _accept_rest(self) -> None:
+    def _accept_backlog(self) -> None:
         while not self.closed and self._accept():
             pass
 
--- a/query_gateway/planner/learned_state.py
+++ b/query_gateway/planner/learned_state.py
@@ -236,11 +236,11 @@
         )
 
 
-def _is_same_start(ours: int, theirs: int) -> bool:
+def _is_same_start(listed_here: int, listed_there: int) -> bool:
     """Whether both processes mean one start, which each has translated to the steady clock by itself."""
-    if not ours or not theirs:
-        return ours == theirs
-    return abs(ours - theirs) < START_TOLERANCE_NS
+    if not listed_here or not listed_there:
+        return listed_here == listed_there
+    return abs(listed_here - listed_there) < START_TOLERANCE_NS
 
 
 def _encode_mean(mean: RunningMean) -> list[float]:
