--- a/tests/stand_ins.py
+++ b/tests/stand_ins.py
@@ -4,9 +4,10 @@
 import http.client
 import json
 import socket
+import subprocess
 import threading
 from collections.abc import Iterator
-from typing import Any
+from typing import Any, AnyStr
 from uuid import uuid4
 
 from query_gateway.composition import GatewayOptions
@@ -16,8 +17,8 @@
 from query_gateway.gateway import Gateway
 
 __all__ = [
-    "SETTINGS", "Engine", "apply_endpoint_list", "config", "endpoint_list_answer", "flatten_settings", "host",
-    "post", "running_gateway",
+    "SETTINGS", "Engine", "apply_endpoint_list", "config", "ended_on_exit", "endpoint_list_answer",
+    "flatten_settings", "host", "post", "running_gateway",
 ]  # fmt: skip
 
 SEC = 1_000_000_000
@@ -201,3 +202,21 @@
     body = answer.read()
     connection.close()
     return answer.status, json.loads(body), {k.lower(): v for k, v in answer.getheaders()}
+
+
+@contextlib.contextmanager
+def ended_on_exit(process: "subprocess.Popen[AnyStr]") -> Iterator["subprocess.Popen[AnyStr]"]:
+    """End a gateway that still runs when the test leaves, as it does where an assertion fails.
+
+    The context manager of `Popen` itself waits for the process without a limit. SIGTERM comes before SIGKILL,
+    so that a supervisor can end its workers.
+    """
+    with process:
+        try:
+            yield process
+        finally:
+            process.terminate()  # changes nothing for a process that has ended and was waited for
+            try:
+                process.wait(10)
+            except subprocess.TimeoutExpired:
+                process.kill()
--- a/tests/test_local.py
+++ b/tests/test_local.py
@@ -36,7 +36,7 @@
 )
 from query_gateway.planner import ipc_codec as codec
 from query_gateway.planner.process import PlannerProcess
-from tests.stand_ins import SETTINGS, Engine, config, host, post
+from tests.stand_ins import SETTINGS, Engine, config, ended_on_exit, host, post
 from tests.test_web import LOAD, ROWS, SQL
 
 steady = settings(derandomize=True, deadline=None, max_examples=150)
@@ -109,24 +109,6 @@
         time.sleep(0.01)
 
 
-@contextmanager
-def ended_on_exit(process: "subprocess.Popen[bytes]") -> Iterator["subprocess.Popen[bytes]"]:
-    """End a gateway that still runs when the test leaves, as it does where an assertion fails.
-
-    The context manager of `Popen` itself waits for the process without a limit. SIGTERM comes before SIGKILL,
-    so that a supervisor can end its workers.
-    """
-    with process:
-        try:
-            yield process
-        finally:
-            process.terminate()  # changes nothing for a process that has ended and was waited for
-            try:
-                process.wait(10)
-            except subprocess.TimeoutExpired:
-                process.kill()
-
-
 def connected_planners(gateway: Gateway) -> list[bool]:
     return [planner.connected for planner in gateway.forwarder.planners]
 
--- a/tests/test_race_reload.py
+++ b/tests/test_race_reload.py
@@ -17,7 +17,7 @@
 from query_gateway.lifecycle.reload import ConfigurationSources
 from query_gateway.lifecycle.request_classes import GRACE_PERIOD_SECONDS
 from query_gateway.net.loop import Loop
-from tests.stand_ins import SETTINGS, config
+from tests.stand_ins import SETTINGS, config, ended_on_exit
 
 pytestmark = pytest.mark.usefixtures("reset_log_rate_limit")
 
@@ -83,7 +83,7 @@
     os.mkfifo(config_file)  # the start blocks where it reads its configuration
     command = [sys.executable, "-m", "query_gateway"]
     environ = os.environ | {"ROUTER_CONFIG": str(config_file)}
-    with subprocess.Popen(command, env=environ, stderr=subprocess.PIPE, text=True) as process:
+    with ended_on_exit(subprocess.Popen(command, env=environ, stderr=subprocess.PIPE, text=True)) as process:
         with config_file.open("w") as config_writer:  # opens once the process reads
             process.send_signal(signal.SIGHUP)
             (tmp_path / "next.json").write_text(json.dumps(platform | {"journal": "127.0.0.1:2"}))
--- a/tests/test_web.py
+++ b/tests/test_web.py
@@ -38,6 +38,7 @@
     Engine,
     apply_endpoint_list,
     config,
+    ended_on_exit,
     endpoint_list_answer,
     host,
     post,
@@ -637,7 +638,7 @@
     file.write_text(json.dumps(raw))
     run = [sys.executable, "-m", "query_gateway"]
     environ = os.environ | {"ROUTER_CONFIG": str(file)}
-    with subprocess.Popen(run, env=environ, stderr=subprocess.PIPE, text=True) as process:
+    with ended_on_exit(subprocess.Popen(run, env=environ, stderr=subprocess.PIPE, text=True)) as process:
         assert process.stderr and "listens" in process.stderr.readline()
         silent = old.server.accept()[0]  # a call that is held until the journal moves
         moved = json.dumps(raw | {"journal": new.address})
