--- a/tests/test_flight.py
+++ b/tests/test_flight.py
@@ -31,8 +31,8 @@
 class FlightEngine(fl.FlightServerBase):  # type: ignore[misc]
     """A stand-in for a Flight SQL engine: it counts what runs and what is cancelled."""
 
-    def __init__(self, **more: Any) -> None:
-        super().__init__("grpc://127.0.0.1:0", **more)
+    def __init__(self, **options: Any) -> None:
+        super().__init__("grpc://127.0.0.1:0", **options)
         self.ran: Counter[str] = Counter()
         self.loads: Counter[str] = Counter()
         self.cancelled = threading.Event()
@@ -90,11 +90,11 @@
 ) -> Iterator[Gateway]:
     """A complete gateway, HTTP and Flight SQL, on a thread of its own."""
     hosts = []
-    for at in range(max(len(flight_engines), len(web))):
-        host: dict[str, Any] = {"host": f"e{at}", "site": "hall-a", "class": "std-16", "health": "up"}
-        if at < len(flight_engines):
-            host["flight"] = f"127.0.0.1:{flight_engines[at].port}"
-        host["dial"] = web[at].address if at < len(web) else "127.0.0.1:1"
+    for number in range(max(len(flight_engines), len(web))):
+        host: dict[str, Any] = {"host": f"e{number}", "site": "hall-a", "class": "std-16", "health": "up"}
+        if number < len(flight_engines):
+            host["flight"] = f"127.0.0.1:{flight_engines[number].port}"
+        host["dial"] = web[number].address if number < len(web) else "127.0.0.1:1"
         hosts.append(host)
     operator = OperatorSettings(flight_address=("127.0.0.1", 0), statements=statements)
     gate = Gateway(config(hosts), operator, signals=False)
@@ -128,7 +128,7 @@
 
 
 def options(seconds: float = 10.0, **meta: Any) -> Any:
-    headers = [(k.replace("_", "-").encode(), v.encode()) for k, v in meta.items()]
+    headers = [(name.replace("_", "-").encode(), value.encode()) for name, value in meta.items()]
     return fl.FlightCallOptions(timeout=seconds, headers=headers)
 
 
@@ -224,11 +224,11 @@
         reader = run_query(gate, SQL, x_class="report")
         reader.read_chunk()
         host = {"site": "hall-a", "class": "std-16", "share": 1, "dial": "127.0.0.1:1"}
-        news = [
+        hosts = [
             {**host, "host": "e0", "flight": f"127.0.0.1:{engine.port}", "health": "draining"},
             {**host, "host": "e9", "flight": f"127.0.0.1:{other.port}", "health": "up"},
         ]
-        apply_endpoint_list(gate, endpoint_list_answer(2, news))
+        apply_endpoint_list(gate, endpoint_list_answer(2, hosts))
         assert run_query(gate, "SELECT b FROM lending_8.loans").read_all().num_rows == 3
         engine.go_on.set()
         assert reader.read_all().num_rows == 2
@@ -249,7 +249,12 @@
             reader = mine.do_get(endpoint.ticket, options(x_class="report"))
             reader.read_chunk()
             gate.loop.call_soon(gate.readiness.drain)
-            until(lambda: gate.flight_server and all(c.draining for c in gate.flight_server.connections))
+            until(
+                lambda: (
+                    gate.flight_server
+                    and all(connection.draining for connection in gate.flight_server.connections)
+                )
+            )
             with pytest.raises(fl.FlightUnavailableError):
                 run_query(gate, "SELECT b FROM lending_8.loans")
             engine.go_on.set()
@@ -271,7 +276,7 @@
     with gateway(engine) as gate, pytest.raises(fl.FlightInternalError, match="Internal"):
         # Rows have left, so there is no retry, and the client must see that the result is incomplete
         run_query(gate, "SELECT torn FROM lending_7.loans").read_all()
-    assert [gate.forwarder.counters.total(v) for v in Verdict] == [0, 0, 1]
+    assert [gate.forwarder.counters.total(verdict) for verdict in Verdict] == [0, 0, 1]
 
 
 def test_deadline_ends_a_stalled_stream(engine: FlightEngine) -> None:
@@ -337,7 +342,9 @@
             while "grpc-status" not in got:
                 for event in peer.receive_data(sock.recv(65_536)):
                     if isinstance(event, h2.events.ResponseReceived | h2.events.TrailersReceived):
-                        got |= {bytes(k).decode(): bytes(v).decode() for k, v in event.headers or []}
+                        got |= {
+                            bytes(name).decode(): bytes(value).decode() for name, value in event.headers or []
+                        }
             assert got["grpc-status"] == "4"
         for sock in crowd:
             sock.close()
@@ -348,16 +355,16 @@
     with gateway(*flight_engines, web=http_engines) as gate:
         counts: dict[str, Counter[str]] = {"http": Counter(), "flight": Counter()}
 
-        def run_one(protocol: str, at: int) -> None:
-            row = f"{at % 3:016x}"
-            if at % 4 == 0:
-                statement = f"INSERT INTO lending_{at}.loans VALUES ({at})"
+        def run_one(protocol: str, number: int) -> None:
+            row = f"{number % 3:016x}"
+            if number % 4 == 0:
+                statement = f"INSERT INTO lending_{number}.loans VALUES ({number})"
                 if protocol == "flight":
                     good = run_update(gate, statement, row) != b""
                 else:
                     good = "rows" in post(gate, "load", statement, row=row)[1]
             else:
-                statement = f"SELECT a FROM lending_{at}.loans"
+                statement = f"SELECT a FROM lending_{number}.loans"
                 if protocol == "flight":
                     good = run_query(gate, statement).read_all().num_rows == 3
                 else:
@@ -365,7 +372,9 @@
             counts[protocol]["served" if good else "other"] += 1
 
         threads = [
-            threading.Thread(target=run_one, args=(protocol, at)) for at in range(24) for protocol in counts
+            threading.Thread(target=run_one, args=(protocol, number))
+            for number in range(24)
+            for protocol in counts
         ]
         for thread in threads:
             thread.start()
--- a/tests/test_flight_statements.py
+++ b/tests/test_flight_statements.py
@@ -52,7 +52,7 @@
 
 def values_in_flight(gate: Gateway, attribute: str) -> set[Any]:
     """This attribute of every request that the forwarder has open."""
-    return {getattr(e.request, attribute) for e in list(gate.forwarder.exchanges.values())}
+    return {getattr(exchange.request, attribute) for exchange in list(gate.forwarder.exchanges.values())}
 
 
 def test_reads_get_their_class_without_a_label(flight_engines: EnginePair) -> None:
@@ -124,11 +124,11 @@
         counts: Counter[str] = Counter()
         lock = threading.Lock()
 
-        def run_one(protocol: str, at: int) -> None:
-            read, write = READ.replace("42", str(at)), DELETE.replace("42", str(at))
+        def run_one(protocol: str, number: int) -> None:
+            read, write = READ.replace("42", str(number)), DELETE.replace("42", str(number))
             if protocol == "flight":
                 good = run_query(gate, read).read_all().num_rows == 3
-                wrote = run_update(gate, write, f"{at:016x}") != b""
+                wrote = run_update(gate, write, f"{number:016x}") != b""
                 with pytest.raises(pa.ArrowInvalid):
                     run_query(gate, write, x_class="lookup").read_all()
             else:
@@ -358,9 +358,9 @@
     classification = Classification(Decision("load", True, False, "0" * 16, "insert", True))
     insert = FlightStatement("INSERT INTO a (b) VALUES (1)", is_update=True, received_at_ns=0)
     queries = [decode_request(insert, "load", load_class, {}, classification) for _ in range(2)]
-    assert {q.key for q in queries} == {"0" * 16}
-    assert len({q.idempotency_key for q in queries}) == 2 and {
-        len(q.idempotency_key or "") for q in queries
+    assert {query.key for query in queries} == {"0" * 16}
+    assert len({query.idempotency_key for query in queries}) == 2 and {
+        len(query.idempotency_key or "") for query in queries
     } == {32}
     named = decode_request(insert, "load", load_class, {"x-txn-key": "f" * 32}, classification)
     assert named.idempotency_key == "f" * 32
