--- a/query_gateway/discovery/endpoint_list.py
+++ b/query_gateway/discovery/endpoint_list.py
@@ -8,9 +8,9 @@
 
 from query_gateway.forwarder.messages import Endpoint
 from query_gateway.model.endpoints import EndpointInfo, EndpointState
+from query_gateway.model.units import MS
 from query_gateway.net.stream import address_of
 
-NANOSECONDS_PER_MS = 1_000_000
 STATES = {"up": EndpointState.UP, "draining": EndpointState.DRAINING, "removed": EndpointState.REMOVED}
 ADDRESS_KEYS = {"web": "dial", "flight": "flight"}  # by wire
 MAX_NAME_LENGTH = 200  # characters of an endpoint's name
@@ -69,7 +69,7 @@
             zone=names.zones.get(raw.get("site", ""), len(names.zones)),
             kind=names.kinds.get(raw.get("class", ""), len(names.kinds)),
             group=int(raw.get("block") or 0),
-            started_at=int(raw.get("born_ms") or 0) * NANOSECONDS_PER_MS,
+            started_at=int(raw.get("born_ms") or 0) * MS,
             size=float(raw.get("share", 1.0)),
         )
     except (KeyError, TypeError, ValueError, AttributeError, OverflowError) as error:
--- a/query_gateway/discovery/start_times.py
+++ b/query_gateway/discovery/start_times.py
@@ -10,13 +10,13 @@
 from dataclasses import dataclass, replace
 
 from query_gateway.forwarder.messages import Endpoint
+from query_gateway.model.units import SEC
 
-NANOSECONDS_PER_SECOND = 1_000_000_000
 # The longest step of a wall clock, an hour, with a margin: an engine whose age is above that is past its slow
 # start, however the clock was stepped
-MAX_CLOCK_STEP_NS = (3_600 + 300) * NANOSECONDS_PER_SECOND
-MAX_LISTING_DELAY_NS = 10 * NANOSECONDS_PER_SECOND  # from an engine's start until the list names it
-CLOCK_SKEW_NS = NANOSECONDS_PER_SECOND  # by which the clocks of two machines may differ without a step
+MAX_CLOCK_STEP_NS = (3_600 + 300) * SEC
+MAX_LISTING_DELAY_NS = 10 * SEC  # from an engine's start until the list names it
+CLOCK_SKEW_NS = SEC  # by which the clocks of two machines may differ without a step
 MAX_ENGINES = 8_192  # whose starts are kept
 
 
--- a/query_gateway/engine_protocol/open_attempt.py
+++ b/query_gateway/engine_protocol/open_attempt.py
@@ -1,12 +1,9 @@
 """An attempt that is in flight on an engine's connection, and its request as the engine reads it."""
 
-from typing import Final
-
 from query_gateway.engine_protocol import frames
 from query_gateway.engine_protocol.results import MAX_RESULT_BYTES
 from query_gateway.forwarder.messages import AttemptHandle
-
-NANOSECONDS_PER_MS: Final = 1_000_000
+from query_gateway.model.units import MS
 
 
 class OpenAttempt:
@@ -57,7 +54,7 @@
 def encode_attempt(attempt: AttemptHandle, now: int) -> bytes:
     """The request that starts an attempt at clock time `now` (nanoseconds)."""
     request = attempt.request
-    budget_ms = max(1, (request.deadline - now) // NANOSECONDS_PER_MS)
+    budget_ms = max(1, (request.deadline - now) // MS)
     fields = {frames.CLASS_FIELD: request.class_name, frames.BUDGET_MS_FIELD: str(budget_ms)}
     if request.idempotency_key:
         fields[frames.IDEMPOTENCY_KEY_FIELD] = request.idempotency_key
--- a/query_gateway/flight/client_call.py
+++ b/query_gateway/flight/client_call.py
@@ -15,7 +15,6 @@
 from query_gateway.flight.requests import (
     KEY_DIGITS,
     MAX_NAME_IN_ERROR,
-    NS_PER_MS,
     FlightClass,
     FlightStatement,
     decode_request,
@@ -184,11 +183,10 @@
 
     def _reject_unforwarded(self, reason: str) -> None:
         """Reject before the forwarder has it, with the Retry-After time of the settings."""
-        self._reject(reason, self.server.forwarder.settings.max_retry_after)
+        self._reject(reason, self.server.forwarder.rejection())
 
-    def _reject(self, reason: str, retry_after_ns: int) -> None:
-        retry_after_ms = -(-retry_after_ns // NS_PER_MS)  # rounded up
-        self._finish(REJECTED_STATUS, reason, [("x-throttle-ms", str(retry_after_ms))])
+    def _reject(self, reason: str, rejection: Answer) -> None:
+        self._finish(REJECTED_STATUS, reason, [("x-throttle-ms", str(rejection.retry_after_ms))])
 
     def _send_headers(self) -> None:
         if not self.headers_sent:
@@ -232,7 +230,7 @@
             self._send_headers()
             self._finish(GrpcStatus.OK)
         elif answer.verdict is Verdict.REJECTED:
-            self._reject("Overloaded", answer.retry_after_ns)
+            self._reject("Overloaded", answer)
         else:
             self._finish(FAILED_STATUS, "Internal")
 
--- a/query_gateway/flight/engines.py
+++ b/query_gateway/flight/engines.py
@@ -16,13 +16,13 @@
 from query_gateway.forwarder.messages import AttemptHandle, Endpoint
 from query_gateway.model.endpoints import EndpointState
 from query_gateway.model.events import OutcomeCode
+from query_gateway.model.units import MS
 from query_gateway.net.loop import Loop
 from query_gateway.net.stream import Reason, Stream, address_of
 from query_gateway.rpc.call import Call, CallHandler, Headers
 from query_gateway.rpc.connection import GrpcConnection
 from query_gateway.rpc.status import GrpcStatus
 
-NS_PER_MS = 1_000_000
 MEASUREMENT = re.compile(
     r"\d{1,9}(\.\d{1,6})?", re.ASCII
 )  # a query's work or memory, as an engine reports it
@@ -105,7 +105,7 @@
 
     def _request_headers(self) -> Headers:
         request, attempt = self.attempt.request, self.attempt
-        timeout_ms = max(1, (request.deadline - self.pool.clock()) // NS_PER_MS)
+        timeout_ms = max(1, (request.deadline - self.pool.clock()) // MS)
         headers = [
             (":method", "POST"),
             (":scheme", "http"),
@@ -141,7 +141,7 @@
         if "x-work-ms" in headers or "x-used-mb" in headers:
             work_ms = _parse_measurement(headers.get("x-work-ms", "0"))
             used_mb = _parse_measurement(headers.get("x-used-mb", "0"))
-            self.attempt.on_measured(int(work_ms * NS_PER_MS), used_mb)
+            self.attempt.on_measured(int(work_ms * MS), used_mb)
 
     def on_message(self, data: bytes, flow_controlled_bytes: int) -> None:
         """Take the tickets of a plan, or pass a message of the result on."""
--- a/query_gateway/flight/requests.py
+++ b/query_gateway/flight/requests.py
@@ -9,12 +9,12 @@
 from query_gateway.forwarder.table_group import table_group
 from query_gateway.http.request_decoding import RequestError, hex_header, real_header
 from query_gateway.model.settings import Idempotency, Settings
+from query_gateway.model.units import MS
 
 if TYPE_CHECKING:
     from query_gateway.parsing.service import Classification
 
-NS_PER_MS = 1_000_000
-RETURN_RESERVE_NS = 25 * NS_PER_MS  # of the client's timeout, kept for the transfer of call and result
+RETURN_RESERVE_NS = 25 * MS  # of the client's timeout, kept for the transfer of call and result
 GRPC_TIMEOUT = re.compile(r"(\d{1,8})([HMSmun])")
 GRPC_TIMEOUT_UNITS_NS = {"H": 3600 * 10**9, "M": 60 * 10**9, "S": 10**9, "m": 10**6, "u": 10**3, "n": 1}
 MAX_TIMEOUT_NS = 3600 * 10**9
@@ -135,7 +135,7 @@
 
 def _estimated_work_ns(hint_ms: float | None, classification: "Classification | None") -> int | None:
     if hint_ms:
-        return int(hint_ms * NS_PER_MS)
+        return int(hint_ms * MS)
     return classification.estimated_work_ns if classification else None
 
 
--- a/query_gateway/forwarder/engine_side.py
+++ b/query_gateway/forwarder/engine_side.py
@@ -14,13 +14,13 @@
 from query_gateway.forwarder.trace import TraceStep
 from query_gateway.model.events import OutcomeCode
 from query_gateway.model.settings import ClassSettings
+from query_gateway.model.units import MS
 from query_gateway.policy.repetition import NEVER_RAN_CODES, client_may_retry, repeat_deadline
 
-MS_NS: Final = 1_000_000
 # A cancelled attempt counts as in flight for so long. The next attempt may go to its engine over another
 # connection and overtake the cancellation, so that both run at once; by then the cancellation has arrived.
 # No answer waits for this.
-CANCEL_PROPAGATION_NS: Final = 60 * MS_NS
+CANCEL_PROPAGATION_NS: Final = 60 * MS
 
 
 class EngineSide:
--- a/query_gateway/forwarder/exchange.py
+++ b/query_gateway/forwarder/exchange.py
@@ -18,16 +18,17 @@
 from typing import Final
 
 from query_gateway.forwarder.attempt import Attempt, AttemptTerms
-from query_gateway.forwarder.engine_side import MS_NS, EngineSide
+from query_gateway.forwarder.engine_side import EngineSide
 from query_gateway.forwarder.exchange_context import ExchangeContext
 from query_gateway.forwarder.invariants import Invariant
 from query_gateway.forwarder.messages import Answer, Client, ClientRequest, Timer, Verdict
 from query_gateway.forwarder.send_guard import SendRefusal
 from query_gateway.forwarder.trace import TraceStep
 from query_gateway.model.events import Event, OutcomeCode, RequestAbandoned
+from query_gateway.model.units import MS
 
-ANSWER_SLACK_NS: Final = 400 * MS_NS  # after its deadline a request counts as answered in time for so long
-PLANNER_GRACE_NS: Final = 5 * MS_NS  # after a deadline the planner has so long to decide on the answer
+ANSWER_SLACK_NS: Final = 400 * MS  # after its deadline a request counts as answered in time for so long
+PLANNER_GRACE_NS: Final = 5 * MS  # after a deadline the planner has so long to decide on the answer
 
 
 class ExchangeState(Enum):
--- a/query_gateway/forwarder/forwarder.py
+++ b/query_gateway/forwarder/forwarder.py
@@ -125,15 +125,19 @@
     def _immediate_answer(self, exchange: Exchange) -> Answer | None:
         """The answer to a request that is not even passed to a planner."""
         if len(self.exchanges) >= self.max_exchanges:
-            return self._rejection()  # more than could be served in time would only fill the memory
+            return self.rejection()  # more than could be served in time would only fill the memory
         if exchange.request.client_request_id in self.open_client_request_ids:
             # An id stands for one request at the engines, so a second one cannot be sent beside it
             return Answer(Verdict.FAILED)
         if not exchange.planner.connected:
-            return self._rejection()
+            return self.rejection()
         return None
 
-    def _rejection(self) -> Answer:
+    def rejection(self) -> Answer:
+        """The rejection of a request that no planner decides on: the longest Retry-After of the settings.
+
+        Without a planner nobody knows when there is capacity again. The fronts use it as well.
+        """
         return Answer(Verdict.REJECTED, retry_after_ns=self.settings.max_retry_after)
 
     def _pass_to_planner(self, exchange: Exchange) -> None:
--- a/query_gateway/forwarder/messages.py
+++ b/query_gateway/forwarder/messages.py
@@ -13,6 +13,7 @@
 
 from query_gateway.model.endpoints import EndpointInfo
 from query_gateway.model.events import Event, OutcomeCode, ProgressKind
+from query_gateway.model.units import MS
 
 Notify = Callable[[Event], None]
 
@@ -74,6 +75,11 @@
     pages: tuple[bytes, ...] = ()  # of a served result that was not passed on page by page
     retry_after_ns: int = 0  # with a rejection: how long to wait before a retry; 0: no advice
 
+    @property
+    def retry_after_ms(self) -> int:
+        """The same in milliseconds, rounded up, as the fronts send it."""
+        return -(-self.retry_after_ns // MS)
+
 
 @dataclass(slots=True, frozen=True)
 class Endpoint:
--- a/query_gateway/http/request_decoding.py
+++ b/query_gateway/http/request_decoding.py
@@ -4,9 +4,9 @@
 
 from query_gateway.forwarder.messages import ClientRequest, RequestClasses
 from query_gateway.forwarder.table_group import table_group
+from query_gateway.model.units import MS
 
-NANOSECONDS_PER_MS = 1_000_000
-RESPONSE_TRAVEL_NS = 15 * NANOSECONDS_PER_MS  # of the client's timeout, kept for the transfer of both
+RESPONSE_TRAVEL_NS = 15 * MS  # of the client's timeout, kept for the transfer of both
 MAX_TTL_MS = 3_600_000
 MAX_TTL_DIGITS = 9
 MAX_CPU_HINT_MS = 1e8
@@ -62,7 +62,7 @@
     ttl = headers.get(TTL_HEADER, "")
     if not ttl.isascii() or not ttl.isdigit() or len(ttl) > MAX_TTL_DIGITS or int(ttl) > MAX_TTL_MS:
         raise RequestError(400, f"header {TTL_HEADER} is missing or not a number of milliseconds")
-    return int(ttl) * NANOSECONDS_PER_MS
+    return int(ttl) * MS
 
 
 def _statement_text(body: bytes) -> str:
@@ -102,7 +102,7 @@
         is_retry=headers.get(RETRY_HEADER) == "1",
         key=ordering_key if request_class.ordered_by_key else None,
         idempotency_key=idempotency_key,
-        estimated_work=int(cpu_hint_ms * NANOSECONDS_PER_MS) if cpu_hint_ms else None,
+        estimated_work=int(cpu_hint_ms * MS) if cpu_hint_ms else None,
         estimated_memory_mb=memory_mb or 0.0,
         table_group=None if group is None else float(group),
     )
--- a/query_gateway/http/request_handler.py
+++ b/query_gateway/http/request_handler.py
@@ -130,7 +130,7 @@
     def _reject(self, request: ClientRequest, pending: PendingAnswer) -> None:
         """Reject before the forwarder knows of the request."""
         forwarder = self.server.forwarder
-        pending.send_answer(Answer(Verdict.REJECTED, retry_after_ns=forwarder.settings.max_retry_after))
+        pending.send_answer(forwarder.rejection())
         forwarder.counters.count_answer(request.class_name, Verdict.REJECTED)
 
     def _classify(
--- a/query_gateway/http/responses.py
+++ b/query_gateway/http/responses.py
@@ -8,7 +8,6 @@
 
 from query_gateway.forwarder.messages import Answer, Verdict
 
-NANOSECONDS_PER_MS = 1_000_000
 COLUMN_SEPARATOR = "\t"
 ROW_END = "\n"
 JSON_HEADER = ("Content-Type", "application/json")
@@ -48,8 +47,7 @@
 def response_to(answer: Answer) -> Response:
     """The response that carries the forwarder's final answer."""
     if answer.verdict is Verdict.REJECTED:
-        retry_after_ms = -(-answer.retry_after_ns // NANOSECONDS_PER_MS)  # rounded up
-        return Response(429, {"failure": "Overloaded"}, (("X-Throttle-Ms", str(retry_after_ms)),))
+        return Response(429, {"failure": "Overloaded"}, (("X-Throttle-Ms", str(answer.retry_after_ms)),))
     if answer.verdict is Verdict.FAILED:
         return failure_response(500, "Internal")
     try:
