--- a/query_gateway/model/state.py
+++ b/query_gateway/model/state.py
@@ -1,6 +1,6 @@
 """The state that the modules of `policy` share: one record for each scheduler, handed to each function.
 
-It consists of parts, each with the modules that change it beside the bookkeeping here:
+It consists of parts, each with the modules of `policy` that change it beside the methods here:
 
     classes         learning, class_lengths           what is known of each class of requests
     queries         admission, answers                requests that are open or have an attempt in flight
@@ -9,7 +9,7 @@
     fleet           fleet_snapshot, outliers          the engines
     controller      controller                        the lag ratio
     tenants         tenants                           quotas and gossip
-    retry_budget    (bookkeeping)                     requests and retries within a window
+    retry_budget    retry_budget                      requests and retries within a window
     quota           capacity                          rounding of this gateway's quota
     watch, timer    scheduler                         the endpoint list's watch, the review timer
 
