--- a/query_gateway/forwarder/slow_start_budgets.py
+++ b/query_gateway/forwarder/slow_start_budgets.py
@@ -5,10 +5,10 @@
 be overloaded and fail. Therefore work is counted here as it leaves, and bounded within each window.
 
 Inputs  the engine's start and kind, the recovery ramp of the settings, the work sent within the last
-        `cold_overload_window`, and the part of the budget that belongs to this process
+        `slow_start_overload_window`, and the part of the budget that belongs to this process
 Answer  whether one more attempt may leave now
-Reason  `cold_overload_factor` times the engine's present capacity is what it takes within a window; chance
-        may bring more than the scheduler planned, so a statistical allowance is added
+Reason  `slow_start_overload_factor` times the engine's present capacity is what it takes within a window;
+        chance may bring more than the scheduler planned, so a statistical allowance is added
 
 Times are clock times in nanoseconds. Work is in nanoseconds on one core.
 """
@@ -95,7 +95,7 @@
 
     def _sent_in_window(self, engine: EndpointInfo, settings: Settings, now: int) -> deque[_SentWork]:
         sent = self._sent.setdefault(engine.name, deque())
-        while sent and sent[0].sent_at <= now - settings.cold_overload_window:
+        while sent and sent[0].sent_at <= now - settings.slow_start_overload_window:
             sent.popleft()
         return sent
 
@@ -103,7 +103,9 @@
         """What this process may send within one window, if its attempts have `mean_work` on average."""
         age = max(0, now - engine.started_at)
         capacity_in_cores = _cores(engine, settings) * recovery_ramp(settings).capacity_at(age)
-        gateways_budget = settings.cold_overload_factor * capacity_in_cores * settings.cold_overload_window
+        gateways_budget = (
+            settings.slow_start_overload_factor * capacity_in_cores * settings.slow_start_overload_window
+        )
         expected_requests = gateways_budget / mean_work
         is_small = expected_requests < SMALL_BUDGET_REQUESTS
         allowance = (SMALL_BUDGET_ALLOWANCE if is_small else LARGE_BUDGET_ALLOWANCE).above(expected_requests)
--- a/query_gateway/lifecycle/slow_start_share.py
+++ b/query_gateway/lifecycle/slow_start_share.py
@@ -32,7 +32,7 @@
         other one forwarded under its larger share still run there. An engine counts requests over one
         overload window, so after that time the two shares add up to one budget at most.
         """
-        self._change_after(self.publisher.forwarder.settings.cold_overload_window / 1e9, share)
+        self._change_after(self.publisher.forwarder.settings.slow_start_overload_window / 1e9, share)
 
     def _change_after(self, delay: float, share: float) -> None:
         self._last_change += 1
--- a/query_gateway/model/fleet.py
+++ b/query_gateway/model/fleet.py
@@ -16,7 +16,7 @@
 
     taken_at: int = 0
     up: list[EngineState] = field(default_factory=list)
-    warming_up: list[EngineState] = field(default_factory=list)  # of those, the ones in slow start
+    engines_in_slow_start: list[EngineState] = field(default_factory=list)  # of those, the ones in slow start
     all_ejected: bool = False  # no engine that is up is not ejected
     cores: float = 1.0  # of engines that are up, not ejected and past slow start
     load: float = 0.0  # decayed mean of the load reports, or what this gateway's threads let expect
--- a/query_gateway/model/settings.py
+++ b/query_gateway/model/settings.py
@@ -82,10 +82,10 @@
     max_attempts: int
     marks_retry: bool  # validated; each request has its own mark, `Request.is_retry`
     cross_zone_cost: float
-    cold_capacity: float  # share of its capacity that an engine starts with
+    slow_start_initial_capacity: float  # share of its capacity that an engine starts with
     slow_start_window: int  # nanoseconds
-    cold_overload_factor: float  # over the capacity, within the window; 0: no slow start
-    cold_overload_window: int  # nanoseconds
+    slow_start_overload_factor: float  # over the capacity, within the window; 0: no slow start
+    slow_start_overload_window: int  # nanoseconds
     key_quarantine: int  # nanoseconds
     max_poll_interval: int  # nanoseconds; validated; the watch of the endpoint list is left open
     retry_allowance: float | None
@@ -103,7 +103,7 @@
             "me": not 0 <= self.instance_index < self.instance_count,
             "services": not self.classes,
             "limits.max-attempts": self.max_attempts < 1,
-            "rules.start-capacity": not 0 < self.cold_capacity <= 1,
+            "rules.start-capacity": not 0 < self.slow_start_initial_capacity <= 1,
             "rules.counted-over": self.retry_allowance is not None and self.retry_window <= 0,
             "family-info.cpu-of-kind": any(cores <= 0 for cores in self.cores_by_kind),
             "family-info.memory-by-kind-mb": len(self.cores_by_kind) != len(self.memory_mb_by_kind),
--- a/query_gateway/model/state.py
+++ b/query_gateway/model/state.py
@@ -10,7 +10,7 @@
     controller      controller                        the lag ratio
     tenants         tenants                           quotas and gossip
     retry_budget    retry_budget                      requests and retries within a window
-    quota           capacity                          rounding of this gateway's quota
+    fleet_share     capacity                          rounding of this gateway's share of the fleet
     watch, timer    scheduler                         the endpoint list's watch, the review timer
 
 Times and durations are in nanoseconds.
@@ -67,8 +67,8 @@
 
 
 @dataclass(slots=True)
-class QuotaState:
-    """What rounds this gateway's quota of the fleet."""
+class FleetShareState:
+    """What rounds this gateway's share of the fleet."""
 
     phase: float  # share of a period by which this gateway's periods are apart from those of others
     rounding: PeriodicFraction = field(default_factory=PeriodicFraction)
@@ -126,7 +126,7 @@
         self.key_queues = KeyQueues()
         self.retry_budget = RetryBudget()
         self.fleet = Fleet()
-        self.quota = QuotaState(random.random())
+        self.fleet_share = FleetShareState(random.random())
         self.controller = ControllerState()
         self.tenants = TenantState()
         self.watch = EndpointWatch()
--- a/query_gateway/policy/capacity.py
+++ b/query_gateway/policy/capacity.py
@@ -4,10 +4,10 @@
     engine not saturated, or query next of its key
                                                    capacity, without a limit
     engine saturated                               within the concurrency limit of the class there, and within
-                                                   this gateway's quota of the fleet
+                                                   this gateway's share of the fleet
 
 The limit of a class in threads is the UNIT paper's (2.3): its share of the cores. Every engine may always
-have one query of each length from each gateway, however small the share; the quota over the fleet bounds
+have one query of each length from each gateway, however small its share; the share of the fleet bounds
 these.
 """
 
@@ -24,7 +24,9 @@
 from query_gateway.policy.statistical_allowance import allowance
 
 THREADS_PER_CORE: Final = 1.0  # limit of a class in this gateway's share of the cores
-QUOTA_PERIOD_NS: Final = 1 * SEC  # how long one rounding of the quota lasts: the period of the controller
+FLEET_SHARE_PERIOD_NS: Final = (
+    1 * SEC
+)  # how long one rounding of the fleet share lasts: the period of the controller
 
 
 def class_share(state: SchedulerState, cores: float, request_class: ClassState) -> float:
@@ -46,17 +48,17 @@
     return class_share(state, snapshot.cores, request_class) / snapshot.congestion
 
 
-def is_within_quota(state: SchedulerState, query: QueryState) -> bool:
-    """Whether this gateway's quota of the fleet allows one more query of a class.
+def is_within_fleet_share(state: SchedulerState, query: QueryState) -> bool:
+    """Whether this gateway's share of the fleet allows one more query of a class.
 
     With many gateways "at least one query" at each engine adds up to several times what the fleet can do. The
-    quota is rounded to an integer of queries at random, up or down, so that a share under one query is kept
+    share is rounded to an integer of queries at random, up or down, so that one under a single query is kept
     on average.
     """
     if state.settings.memory_shortage is MemoryShortage.WAIT:  # engines let queries wait: no need of it
         return True
-    period = math.floor(state.now / QUOTA_PERIOD_NS - state.quota.phase)
-    rounding = state.quota.rounding.draw(period, state.random)
+    period = math.floor(state.now / FLEET_SHARE_PERIOD_NS - state.fleet_share.phase)
+    rounding = state.fleet_share.rounding.draw(period, state.random)
     threads = query.settings.threads
     queries = math.floor(fleet_limit(state, query.request_class) / threads + rounding)
     in_use = state.workload.threads_in_use.of(query.request_class.is_long)
@@ -74,4 +76,4 @@
     in_use = engine.workload.threads_in_use.of(request_class.is_long)
     if in_use and in_use + threads > concurrency_limit(state, engine.cores, request_class):
         return False
-    return engine.snapshot.in_slow_start or is_within_quota(state, query)
+    return engine.snapshot.in_slow_start or is_within_fleet_share(state, query)
--- a/query_gateway/policy/fleet_snapshot.py
+++ b/query_gateway/policy/fleet_snapshot.py
@@ -58,7 +58,7 @@
     for engine in engines:
         engine.snapshot.in_slow_start = is_in_slow_start(settings, engine.started_at, state.now)
     # Engines in slow start are bounded by their credits; neither their cores nor their threads count here
-    snapshot.warming_up = [engine for engine in snapshot.up if engine.snapshot.in_slow_start]
+    snapshot.engines_in_slow_start = [engine for engine in snapshot.up if engine.snapshot.in_slow_start]
     past_slow_start = [engine for engine in usable or snapshot.up if not engine.snapshot.in_slow_start]
     snapshot.cores = float(sum(engine.cores for engine in past_slow_start)) or 1.0
 
--- a/query_gateway/policy/recovery_ramp.py
+++ b/query_gateway/policy/recovery_ramp.py
@@ -1,7 +1,8 @@
 """The recovery ramp: when an engine is in slow start, and what share of its capacity it has at an age.
 
-From its start an engine's capacity grows linearly from `cold_capacity` to 1 over `slow_start_window`. Sent
-more than `cold_overload_factor` times its present capacity within `cold_overload_window`, it falls over.
+From its start an engine's capacity grows linearly from `slow_start_initial_capacity` to 1 over
+`slow_start_window`. Sent more than `slow_start_overload_factor` times its present capacity within
+`slow_start_overload_window`, it falls over.
 
 The scheduler spaces its sends by this ramp (`slow_start`), and the forwarder's slow-start budgets bound by it
 what really leaves. All functions are pure; times and ages are nanoseconds.
@@ -18,7 +19,7 @@
 
 def is_in_slow_start(settings: Settings, started_at: int, now: int) -> bool:
     """Whether an engine that started at a clock time is in slow start; 0: its start is not known."""
-    if not started_at or settings.cold_overload_factor <= 0:
+    if not started_at or settings.slow_start_overload_factor <= 0:
         return False
     return now - started_at < settings.slow_start_window
 
@@ -45,4 +46,7 @@
 
 def recovery_ramp(settings: Settings) -> RecoveryRamp:
     """The ramp that the site's settings give to every engine; defined while there is a slow start."""
-    return RecoveryRamp(settings.cold_capacity, (1 - settings.cold_capacity) / settings.slow_start_window)
+    return RecoveryRamp(
+        settings.slow_start_initial_capacity,
+        (1 - settings.slow_start_initial_capacity) / settings.slow_start_window,
+    )
--- a/query_gateway/policy/routing.py
+++ b/query_gateway/policy/routing.py
@@ -47,7 +47,7 @@
     sampled = snapshot.up if is_small else state.random.sample(snapshot.up, SAMPLE_SIZE)
     sampled = sampled + [
         engine
-        for engine in snapshot.warming_up
+        for engine in snapshot.engines_in_slow_start
         if engine not in sampled and has_credit(state, engine, query.request_class)
     ]
     usable = [engine for engine in sampled if is_usable(state, engine, query)]
--- a/query_gateway/policy/saturation.py
+++ b/query_gateway/policy/saturation.py
@@ -4,7 +4,8 @@
     saturated since then                     this gateway alone has sent it `saturation_threads`
 
 Inputs: slowdowns as logarithms of run time over the uncontended one, loads as busy shares of the cores,
-threads in use of this gateway. Concurrency limits and quotas bind only at saturated engines (`capacity`).
+threads in use of this gateway. Concurrency limits and the fleet share bind only at saturated engines
+(`capacity`).
 
 Congestion is the factor by which this gateway's capacity over the fleet is divided.
 """
--- a/query_gateway/policy/slow_start.py
+++ b/query_gateway/policy/slow_start.py
@@ -52,7 +52,7 @@
 
 def credit_lifetime_ns(state: SchedulerState, request_class: ClassState) -> int:
     """How long a credit of a class lasts, and a send counts against it."""
-    return state.settings.cold_overload_window * (LONG_CREDIT_WINDOWS if request_class.is_long else 1)
+    return state.settings.slow_start_overload_window * (LONG_CREDIT_WINDOWS if request_class.is_long else 1)
 
 
 def _first_credited_age(
@@ -67,7 +67,7 @@
     If gateways that learn of a start late gave out the credits of the time before, or of classes so heavy
     that the budget holds a few, all would send at once. The engine would be overloaded within one window.
     """
-    factor, window = state.settings.cold_overload_factor, state.settings.cold_overload_window
+    factor, window = state.settings.slow_start_overload_factor, state.settings.slow_start_overload_window
     rated_cores = engine.cores * RATED_BUSY_SHARE
     needed_capacity = request_class.mean_work() * QUERIES_IN_BUDGET / (rated_cores * factor * window)
     # What a predecessor of this process sent may still count
@@ -81,7 +81,9 @@
 ) -> int:
     """Credits for a class that this gateway has earned by an age of an engine."""
     settings = state.settings
-    credited_cores = engine.cores * RATED_BUSY_SHARE * min(1.0, settings.cold_overload_factor * BUDGET_SHARE)
+    credited_cores = (
+        engine.cores * RATED_BUSY_SHARE * min(1.0, settings.slow_start_overload_factor * BUDGET_SHARE)
+    )
     queries = (
         credited_cores
         * age
@@ -96,5 +98,5 @@
 
 def record_send(state: SchedulerState, engine: EngineState, request_class: ClassState) -> None:
     """Remember a query sent to an engine for as long as it may count against credits."""
-    lifetime = state.settings.cold_overload_window * LONG_CREDIT_WINDOWS
+    lifetime = state.settings.slow_start_overload_window * LONG_CREDIT_WINDOWS
     engine.record_send(request_class, state.now, lifetime)
--- a/query_gateway/policy/start_times.py
+++ b/query_gateway/policy/start_times.py
@@ -28,7 +28,7 @@
 def start_delay(state: SchedulerState, engine: EngineState, query: QueryState) -> float:
     """Nanoseconds to the earliest start of a query at an engine."""
     if not has_credit(state, engine, query.request_class):
-        return state.settings.cold_overload_window / 2
+        return state.settings.slow_start_overload_window / 2
     threads_before = _threads_before(state, engine.workload, query)
     if not threads_before and capacity.has_capacity(state, engine, query):
         return 0.0
@@ -37,8 +37,8 @@
 
 
 def fleet_start_delay(state: SchedulerState, query: QueryState) -> float:
-    """The same over all engines, where this gateway's quota of the fleet is used up; else 0."""
-    if capacity.is_within_quota(state, query) or query.is_key_ordered:
+    """The same over all engines, where this gateway's share of the fleet is used up; else 0."""
+    if capacity.is_within_fleet_share(state, query) or query.is_key_ordered:
         return 0.0
     limit = capacity.fleet_limit(state, query.request_class)
     return _time_until_capacity(state, state.workload, list(state.fleet.engines.values()), limit, query)
--- a/tests/test_decisions.py
+++ b/tests/test_decisions.py
@@ -558,7 +558,7 @@
     [
         ({"instance_count": 0}, "instances"),
         ({"max_attempts": 0}, "limits.max-attempts"),
-        ({"cold_capacity": 0.0}, "rules.start-capacity"),
+        ({"slow_start_initial_capacity": 0.0}, "rules.start-capacity"),
         ({"retry_allowance": 1.0}, "rules.counted-over"),
     ],
 )
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -56,15 +56,15 @@
                 sent[forward.endpoint].append((world.now, work))
                 world.end_attempt(forward.request_id, OutcomeCode.OK, duration=work // (1 + (work > SEC)))
             world.notify(TimerFired(0), after=150 * MS)
-    rate, grows = 8 * 0.85, (1 - SITE.cold_capacity) / SITE.slow_start_window
+    rate, grows = 8 * 0.85, (1 - SITE.slow_start_initial_capacity) / SITE.slow_start_window
 
     def bears(age: int) -> float:
-        return rate * (SITE.cold_capacity + grows * age)
+        return rate * (SITE.slow_start_initial_capacity + grows * age)
 
-    windows = SITE.cold_overload_factor * SITE.cold_overload_window
+    windows = SITE.slow_start_overload_factor * SITE.slow_start_overload_window
     for sends in sent.values():
         for start, _ in sends:
-            end = start + SITE.cold_overload_window
+            end = start + SITE.slow_start_overload_window
             sent_work = sum(work for sent_at, work in sends if start <= sent_at < end)
             assert sent_work <= bears(start - 103 * SEC) * windows
         # Budgets that are hardly used would leave the engines past slow start with all of the load
@@ -95,7 +95,7 @@
                     else 0
                 )
                 longest_ns[i] = max(longest_ns[i], credited_ns[i])
-    assert 0 < longest_ns[0] <= SITE.cold_overload_window < longest_ns[1]
+    assert 0 < longest_ns[0] <= SITE.slow_start_overload_window < longest_ns[1]
 
 
 @pytest.mark.parametrize("instances", [2, 200])
@@ -204,10 +204,10 @@
 def _part(world: World) -> int:
     """So many queries of ours may be out at pressed engines."""
     query = world.scheduler.state.queries[world.send_request().request_id]
-    world.scheduler.state.quota.rounding.fraction = 0.0  # as the lot that gives least
+    world.scheduler.state.fleet_share.rounding.fraction = 0.0  # as the lot that gives least
     for n in range(200):
         world.scheduler.state.workload.threads_in_use = ThreadsInUse(short=n)
-        if not capacity.is_within_quota(world.scheduler.state, query):
+        if not capacity.is_within_fleet_share(world.scheduler.state, query):
             return n
     raise AssertionError("no bound")
 
