--- a/query_gateway/forwarder/engine_side.py
+++ b/query_gateway/forwarder/engine_side.py
@@ -15,7 +15,7 @@
 from query_gateway.model.events import OutcomeCode
 from query_gateway.model.settings import ClassSettings
 from query_gateway.model.units import MS
-from query_gateway.policy.repetition import NEVER_RAN_CODES, client_may_retry, repeat_deadline
+from query_gateway.policy.repetition import NEVER_RAN_CODES, may_be_rejected, repeat_deadline
 
 # A cancelled attempt counts as in flight for so long. The next attempt may go to its engine over another
 # connection and overtake the cancellation, so that both run at once; by then the cancellation has arrived.
@@ -69,9 +69,8 @@
 
     @property
     def may_be_rejected(self) -> bool:
-        """Whether a rejection is true: nothing may have run, or a client's retry has no second effect."""
-        may_run = self.may_have_run or self.has_attempt_in_flight
-        return not may_run or client_may_retry(self.class_settings)
+        """Whether the request may be rejected, as its client's retry is safe (see `repetition`)."""
+        return may_be_rejected(self.class_settings, self.may_have_run or self.has_attempt_in_flight)
 
     def next_attempt(self, exchange: AttemptOwner, endpoint: str) -> Attempt:
         """Create the next attempt, which is not sent before `start`."""
--- a/query_gateway/forwarder/messages.py
+++ b/query_gateway/forwarder/messages.py
@@ -56,11 +56,11 @@
     class_index: int
     class_name: str
     statement: bytes
-    deadline: int  # when the answer must have left, the way back to the client taken off
+    deadline: int  # clock time: when the answer must have left, the way back to the client taken off
     is_retry: bool
     key: str | None  # requests of one key run one after the other
     idempotency_key: str | None
-    estimated_work: int | None  # estimated work in nanoseconds on one core
+    estimated_work: int | None  # processor time in nanoseconds over all threads
     estimated_memory_mb: float
     table_group: float | None
     is_update: bool = False  # a statement without a result, on a wire that distinguishes these
--- a/query_gateway/model/endpoints.py
+++ b/query_gateway/model/endpoints.py
@@ -5,7 +5,7 @@
 
 
 class EndpointState(Enum):
-    """Whether an endpoint takes queries. The values are the wire's words."""
+    """Whether an endpoint takes queries. The values stand in the messages to planner processes."""
 
     UP = "up"
     DRAINING = "draining"
@@ -13,7 +13,7 @@
 
 
 class EndpointUpdateKind(Enum):
-    """What an update of the list holds. The values are the wire's words."""
+    """What an update of the list holds. The values stand in the messages to planner processes."""
 
     DELTA = "changes"
     SNAPSHOT = "full"
--- a/query_gateway/model/events.py
+++ b/query_gateway/model/events.py
@@ -44,11 +44,11 @@
 
     request_id: int
     class_index: int
-    deadline: int  # clock time, nanoseconds: the client gives up
+    deadline: int  # clock time: when the answer must have left, the way back to the client taken off
     tenant: int
     table_group: float | None
     key: str | None
-    estimated_work: int | None  # nanoseconds, over all its threads
+    estimated_work: int | None  # processor time in nanoseconds over all threads
     estimated_memory_mb: float
     is_retry: bool  # marked by the client
 
--- a/query_gateway/model/key_queues.py
+++ b/query_gateway/model/key_queues.py
@@ -7,7 +7,10 @@
 
 @dataclass(slots=True)
 class KeyQueues:
-    """A first-in, first-out queue for each key of a class whose queries run one at a time."""
+    """A first-in, first-out queue for each key of a class whose queries run one at a time.
+
+    `quarantined_until` keeps its entries after their end; a later quarantine of the key replaces the entry.
+    """
 
     queues: dict[str, list[QueryState]] = field(default_factory=dict)
     quarantined_until: dict[str, int] = field(default_factory=dict)  # by key: clock time, nanoseconds
--- a/query_gateway/model/settings.py
+++ b/query_gateway/model/settings.py
@@ -7,7 +7,7 @@
 
 
 class Idempotency(Enum):
-    """Whether a query may run more than once. The values are the wire's words."""
+    """Whether a query may run more than once. The values stand in the messages to planner processes."""
 
     IDEMPOTENT = "safe"
     KEYED = "keyed"
--- a/query_gateway/policy/admission.py
+++ b/query_gateway/policy/admission.py
@@ -1,4 +1,4 @@
-"""Admission (UNIT 3.3): a new request is queued for its engine, or rejected at once.
+"""Admission (UNIT, section 3.3): a new request is queued for its engine, or rejected at once.
 
 A query is rejected, with the first of these reasons that applies:
 
@@ -9,6 +9,7 @@
 
 Inputs: the request, the expected run time of its class and the start delay of its best route (nanoseconds),
 the lag ratio. A query whose last attempt failed is admitted again by the same rules.
+The paper is cited in `scheduler`.
 """
 
 import math
--- a/query_gateway/policy/answers.py
+++ b/query_gateway/policy/answers.py
@@ -1,9 +1,9 @@
-"""How a query ends: rejected where that is true, failed where it may have run, or by its client.
+"""How a query ends: rejected where a client's retry is safe, failed otherwise, or by its client.
 
-    no attempt may have run, or the client may retry     Reject: the client may send the request again
-    otherwise                                            Fail: it may have run
+    no attempt may have run, or a retry has no second effect     Reject: the client may send it again
+    otherwise                                                    Fail: it may have run
 
-Whether the client may retry is a rule of `repetition`. Attempts still in flight are cancelled where the site
+Which of the two it is, is a rule of `repetition`. Attempts still in flight are cancelled where the site
 allows it. Times are nanoseconds.
 """
 
@@ -15,17 +15,17 @@
 from query_gateway.model.state import SchedulerState
 from query_gateway.model.units import MS
 from query_gateway.policy.controller import record_cost
-from query_gateway.policy.repetition import client_may_retry
+from query_gateway.policy.repetition import may_be_rejected
 
 MIN_RETRY_AFTER_NS: Final = 100 * MS  # the period of the timer: less would not change the answer
 
 
 def give_up(state: SchedulerState, query: QueryState, reason: EndReason, start_delay: float = 0.0) -> None:
-    """Reject a query where that is true, else fail it; its client may come back after `start_delay`."""
+    """Reject a query where a retry is safe, else fail it; its client may come back after `start_delay`."""
     if query.ended:
         return
     request_id, never_ran = query.request.request_id, not query.executed and not query.in_flight
-    if never_ran or client_may_retry(query.settings):
+    if may_be_rejected(query.settings, may_have_run=not never_ran):
         state.actions.append(Reject(request_id, retry_after(state, start_delay), reason))
     else:
         state.actions.append(Fail(request_id, reason))
--- a/query_gateway/policy/capacity.py
+++ b/query_gateway/policy/capacity.py
@@ -1,14 +1,13 @@
 """Concurrency limits: how many threads of an engine, and of the fleet, one gateway may use.
 
     engine on probation with a query in flight     no capacity (`probation`)
-    engine not saturated, or query next of its key
-                                                   capacity, without a limit
+    engine not saturated, or query ordered by key  capacity, without a limit
     engine saturated                               within the concurrency limit of the class there, and within
                                                    this gateway's share of the fleet
 
-The limit of a class in threads is the UNIT paper's (2.3): its share of the cores. Every engine may always
-have one query of each length from each gateway, however small its share; the share of the fleet bounds
-these.
+The limit of a class in threads is its share of the cores (UNIT, section 2.3; cited in `scheduler`). Every
+engine may always have one query of each length from each gateway, however small the gateway's share of its
+cores; the gateway's share of the fleet bounds these.
 """
 
 import math
@@ -69,7 +68,7 @@
     """Whether a query may start at an engine now, as far as limits go."""
     if not probation.allows_query(state, engine):
         return False
-    # The next query of a key keeps the others of its key waiting: no limit on top of that
+    # Queries of a key run one at a time, which bounds them already: no limit on top of that
     if not is_saturated(engine) or query.is_key_ordered:
         return True
     request_class, threads = query.request_class, query.settings.threads
--- a/query_gateway/policy/controller.py
+++ b/query_gateway/policy/controller.py
@@ -1,11 +1,11 @@
-"""The controller of the lag ratio (UNIT 3.2): it weighs rejections against late answers.
+"""The controller of the lag ratio (UNIT, section 3.2): it weighs rejections against late answers.
 
     more weight late than rejected     lag ratio times `LAG_RATIO_STEP`: admission gets stricter
     more weight rejected than late     lag ratio divided by it: admission gets more generous
     both under `COST_FLOOR`            no step
 
 Inputs: decayed sums of the priority weight that was requested, rejected and late. The lag ratio is the factor
-on a query's earliest start in `admission`.
+on a query's earliest start in `admission`. UNIT is cited in `scheduler`.
 """
 
 from typing import Final
@@ -15,8 +15,8 @@
 from query_gateway.policy import tenants
 
 CONTROL_PERIOD_NS: Final = 1 * SEC
-METRIC_DROP: Final = 0.01  # a fall of the metric by this much brings the next step forward; the paper's
-LAG_RATIO_STEP: Final = 1.1  # the paper's
+METRIC_DROP: Final = 0.01  # a fall of the metric by this much brings the next step forward
+LAG_RATIO_STEP: Final = 1.1  # factor by which one step raises the lag ratio, or lowers it
 MIN_LAG_RATIO: Final = 0.25  # beyond this range the ratio only admits all or nothing
 MAX_LAG_RATIO: Final = 4.0
 COST_FLOOR: Final = 0.02  # share of the weight requested; smaller costs differ by chance
--- a/query_gateway/policy/outliers.py
+++ b/query_gateway/policy/outliers.py
@@ -1,9 +1,13 @@
 """Outlier detection: which engines are ejected, and for how long.
 
-    in service --eject--> ejected --ejection time over--> on probation --answer--> in service
-                  ^                                            |
-                  +------------- fails: twice the time --------+
+    in service    --eject-->                      ejected, for `FIRST_EJECTION_NS` at first
+    in service    --one connection reset-->       on probation
+    ejected       --ejection time over-->         on probation
+    ejected       --new start of the engine-->    on probation, the next ejection is short again
+    on probation  --answer or progress note-->    in service
+    on probation  --fails-->                      ejected, for twice the time
 
+Probation begins with the ejection and outlasts it; a new start ends the ejection alone.
 Ejected: an engine that refuses connections or has no capacity, that ended too many attempts in error
 (`fault_rate`), or that is unresponsive (`unresponsive`). One broken connection only begins probation.
 While all engines that are up are ejected, ejections are ignored. Times are nanoseconds.
--- a/query_gateway/policy/probation.py
+++ b/query_gateway/policy/probation.py
@@ -12,7 +12,7 @@
 
 
 def begin_probation(engine: EngineState, now: int) -> None:
-    """In service to on probation: one query at a time from now on, a clock time in nanoseconds."""
+    """Put an engine on probation at the clock time `now` (nanoseconds): it gets one query at a time."""
     engine.on_probation, engine.probation_since = True, now
 
 
--- a/query_gateway/policy/progress_review.py
+++ b/query_gateway/policy/progress_review.py
@@ -4,8 +4,9 @@
 holds:
 
     restart    the query is idempotent, there is time for one more attempt, and
-               its engine was ejected since the send or removed, or the attempt is lost, or, once a query,
-               it is overdue or its progress is far behind a fresh run
+               its engine was ejected since the send or removed, or the attempt is lost, or it is overdue
+               or far behind a fresh run and the query was not restarted before (restarts because of
+               an ejected or removed engine are not counted)
     give up    the query is idempotent, and the attempt is lost, overdue where engines send no notes,
                sure to end after its limit, or its limit has passed
     run on     with a new priority if it has one by now
@@ -44,7 +45,9 @@
     query = attempt.query
     remaining = REMAINING_TIME.remaining_time(attempt, state.now)
     engine_failed = _has_engine_failed(state, attempt)
-    lost = _is_lost(state, attempt)
+    lost = _have_notes_stopped(state, attempt)
+    if lost and not attempt.lost:
+        _record_lost(state, attempt)
     overdue = _is_overdue(state, attempt)
     is_far_behind = attempt.progress > 0 and remaining > RESTART_GAIN * query.run_time
     may_restart_slow = query.restarts == 0 and (overdue or is_far_behind)
@@ -72,18 +75,20 @@
     return ejected_since or not engine.listed
 
 
-def _is_lost(state: SchedulerState, attempt: AttemptState) -> bool:
-    """Whether the progress notes of an attempt have stopped; then it counts no threads from now on.
+def _have_notes_stopped(state: SchedulerState, attempt: AttemptState) -> bool:
+    """Whether an attempt is lost: its engine sends progress notes, and those of this attempt have stopped."""
+    interval = state.settings.progress_interval
+    return interval > 0 and state.now - attempt.last_note_at > LOST_NOTE_PERIODS * interval
+
+
+def _record_lost(state: SchedulerState, attempt: AttemptState) -> None:
+    """Count no threads for a lost attempt from now on, and a fault of its engine.
 
     The answer of a single attempt may never come although its engine answers others. Its threads would count
     as in use for ever, and the gateway would send that engine less and less.
     """
-    interval = state.settings.progress_interval
-    lost = interval > 0 and state.now - attempt.last_note_at > LOST_NOTE_PERIODS * interval
-    if lost and not attempt.lost:
-        state.mark_lost(attempt)
-        fault_rate.record_lost_attempt(state, attempt.engine)
-    return lost
+    state.mark_lost(attempt)
+    fault_rate.record_lost_attempt(state, attempt.engine)
 
 
 def _is_overdue(state: SchedulerState, attempt: AttemptState) -> bool:
--- a/query_gateway/policy/repetition.py
+++ b/query_gateway/policy/repetition.py
@@ -1,4 +1,4 @@
-"""Repetition: may a request run once more, until when, where; and may its client retry it.
+"""Repetition: may a request run once more, until when, where; may its client retry it.
 
     no attempt may have run yet              another attempt may start until the client's deadline
     an attempt may have run, and the class is
@@ -60,9 +60,17 @@
 def client_may_retry(settings: ClassSettings) -> bool:
     """Whether a client's own retry has no second effect, although the request may have run.
 
-    Only then may a request that may have run be rejected; otherwise it has failed. The retry may reach any
-    engine, so one with an idempotency key needs all engines in one deduplication scope.
+    The retry may reach any engine, so one with an idempotency key needs all engines in one deduplication
+    scope.
     """
     if settings.idempotency is Idempotency.KEYED:
         return settings.deduplication_scope is DeduplicationScope.ALL
     return settings.idempotency is Idempotency.IDEMPOTENT
+
+
+def may_be_rejected(settings: ClassSettings, may_have_run: bool) -> bool:
+    """Whether a request without a result is rejected, which tells its client to retry; else it has failed.
+
+    `may_have_run`: an attempt that has ended may have run, or one is in flight.
+    """
+    return not may_have_run or client_may_retry(settings)
--- a/query_gateway/policy/retry_budget.py
+++ b/query_gateway/policy/retry_budget.py
@@ -4,7 +4,8 @@
     `retry_window`
 
 A site without a `retry_allowance` has no such limit. Retries of a fleet that fails would otherwise multiply
-its load just then.
+its load just then. Requests and retries older than the window are forgotten when a retry is asked for; until
+then the requests are kept, however old.
 """
 
 from query_gateway.model.budgets import RetryBudget
--- a/query_gateway/policy/scheduler.py
+++ b/query_gateway/policy/scheduler.py
@@ -7,9 +7,10 @@
     3. the controller steps the lag ratio if that is due
     4. queued queries are released to engines with capacity, or given up
 
-The algorithm is that of UNIT (2.3, 3.2, 3.3): queued queries leave by earliest deadline; a query is admitted
-if `lag ratio * earliest start + mean run time` is before it is due, and if it makes no more weight late than
-its own. All decisions in the order of a request's way: `docs/decisions.md`.
+The algorithm is that of UNIT (sections 2.3, 3.2 and 3.3 of "UNIT: User-centric Transaction Management in
+Web-Database Systems"): queued queries leave by earliest deadline; a query is admitted if
+`lag ratio * earliest start + mean run time` is before it is due, and if it makes no more weight late than its
+own. All decisions in the order of a request's way: `docs/decisions.md`.
 """
 
 from collections.abc import Callable
--- a/query_gateway/policy/slow_start.py
+++ b/query_gateway/policy/slow_start.py
@@ -22,12 +22,10 @@
 from query_gateway.model.state import SchedulerState
 from query_gateway.policy.recovery_ramp import RecoveryRamp, is_in_slow_start, recovery_ramp
 
-BUDGET_SHARE: Final = (
-    0.4  # of the overload budget comes as credits: late sends fall into the window of others
-)
+BUDGET_SHARE: Final = 0.4  # of the overload budget is given out as credits; the rest is for late sends
 QUERIES_IN_BUDGET: Final = 5  # queries of a class that the budget must hold before one is sent
 LONG_CREDIT_WINDOWS: Final = 3  # windows that credits of long classes last, as each of many seldom has one
-RATED_BUSY_SHARE: Final = 0.85  # busy share of the cores that a rating as capacity means
+RATED_BUSY_SHARE: Final = 0.85  # busy share of its cores when an engine works at its rated capacity
 
 
 def has_credit(state: SchedulerState, engine: EngineState, request_class: ClassState) -> bool:
--- a/query_gateway/policy/tenants.py
+++ b/query_gateway/policy/tenants.py
@@ -4,7 +4,8 @@
     a request beyond it                     that weight times `over_quota_weight`
 
 Inputs: the quotas in requests per second over all gateways, the requests counted here, and the counts that
-peers reported within `GOSSIP_LIFETIME_NS`. Gossip goes out with the period of the controller.
+peers reported within `GOSSIP_LIFETIME_NS`. Gossip goes out with the period of the controller. The forwarder
+does not carry it (`Forwarder.apply` drops `SendGossip`): behind it no peer reports anything.
 """
 
 import math
@@ -36,7 +37,11 @@
 
 
 def quota_share(state: SchedulerState, tenant: int) -> float:
-    """This gateway's share of a tenant's traffic: by what peers reported of theirs, else an even one."""
+    """This gateway's share of a tenant's quota.
+
+    Where the site allows gossip, it is the part that this gateway has in the tenant's traffic, by what peers
+    reported of theirs: 1 while none has reported. Otherwise each gateway has an equal share.
+    """
     if not state.settings.allows_gossip:
         return 1 / state.settings.instance_count
     peers, now, traffic = state.settings.instance_count - 1, state.now, state.tenants.traffic
