--- a/query_gateway/discovery/endpoint_feed.py
+++ b/query_gateway/discovery/endpoint_feed.py
@@ -8,6 +8,10 @@
 
 A service that has restarted may know less than this process does. While RESYNCING, the tombstones decide
 which of the endpoints that it reports as up are so.
+
+RESYNCING covers restarted numbering alone (`SequenceAnomaly.RESET`). The reason code `Reason.RESYNC` ends the
+connection of a poll (`EndpointWatchClient`) and covers more: an answer that sets the position back, by a
+restart or a gap, and one that brought nothing and came at once.
 """
 
 from enum import Enum
--- a/query_gateway/lifecycle/shutdown.py
+++ b/query_gateway/lifecycle/shutdown.py
@@ -1,13 +1,16 @@
 """The graceful shutdown: from SIGTERM until every request is answered and the process exits.
 
-    SERVING --SIGTERM--> DRAINING --abort time--> ABORTED
-                            |                        |
-                            +--> the process exits <-+  once no request and no connection is open
+    SERVING --SIGTERM--> FINISHING --abort time--> ABORTED
+                             |                        |
+                             +--> the process exits <-+  once no request and no connection is open
+
+The readiness of FINISHING and ABORTED is `Phase.STOPPING`. `Phase.DRAINING` is another state: an operator
+sends clients away and may take that back.
 
 Whoever sent SIGTERM sends SIGKILL some time later. Clients and routers notice the shutdown only after a
-while, so DRAINING begins with the withdrawal of the addresses, and clients that still come are served.
-Shortly before the SIGKILL every open request is aborted: it gets an answer without a planner, and its client
-may retry.
+while, so FINISHING begins with the withdrawal of the addresses, and clients that still come are served.
+Shortly before the SIGKILL every open request is aborted: it gets an answer without a planner. It is rejected
+where a retry of its client is safe, else it has failed.
 
 Who accepts clients while the process is not SERVING (`Listener` holds the state of each listening socket):
 
@@ -47,8 +50,8 @@
     """How far the shutdown is; see the drawing above. No state is entered again once it was left."""
 
     SERVING = "serving"  # no SIGTERM yet
-    DRAINING = "draining"  # open requests go on to their answers
-    ABORTED = "aborted"  # open requests were aborted, and new ones are rejected
+    FINISHING = "finishing"  # open requests go on to their answers
+    ABORTED = "aborted"  # open requests were rejected or failed, and new ones are rejected
 
 
 @dataclass(slots=True, frozen=True)
@@ -88,10 +91,10 @@
     def begin(self) -> None:
         """Stop gracefully; a second call changes nothing."""
         if self.state is ShutdownState.SERVING:
-            self._serving_to_draining()
+            self._serving_to_finishing()
 
-    def _serving_to_draining(self) -> None:
-        self.state = ShutdownState.DRAINING
+    def _serving_to_finishing(self) -> None:
+        self.state = ShutdownState.FINISHING
         log("shutdown", f"stopping with {self.parts.forwarder.open_request_count} requests open")
         # Withdraws the addresses, so that clients go elsewhere; those that still come are served
         self.parts.readiness.stop()
@@ -152,10 +155,10 @@
         self.loop.call_at(self._grace_period_ends_at, self._close_fronts)
 
     def abort_open_requests(self) -> None:
-        """DRAINING to ABORTED: answer every open request and reject new ones, before SIGKILL comes.
+        """FINISHING to ABORTED: answer every open request and reject new ones, before SIGKILL comes.
 
         SIGKILL would reset the clients' connections, and they could not know whether their requests ran. With
-        an answer in time they may retry.
+        a rejection in time they may retry; a failure says that the request may have run.
         """
         self.state = ShutdownState.ABORTED
         self.parts.fronts.http_server.rejects_all = True
