--- a/Makefile
+++ b/Makefile
@@ -14,7 +14,7 @@
 	.venv/bin/pip -q install -r requirements.txt
 	touch $@
 
-# The decision module is compiled from its typed Python as it stands: the same source, about half the time.
+# The decision module is compiled from its typed Python as it stands (docs/capacity.md, "Compilation").
 # Without a C compiler, or if it fails, the module runs as it is.
 query_gateway/.compiled: $(MODULE) Makefile .venv/.installed
 	rm -f $(COMPILED)
@@ -23,7 +23,7 @@
 	rm -rf build
 	touch $@
 
-# Statements are read a third faster with their inner parts compiled as well; off on the platform, so not in build
+# Compiles the inner parts of reading statements as well; off on the platform, so not in build
 STATEMENTS = $(addprefix query_gateway/statements/,normalizer.py lexer.py sketch.py cache.py)
 fast: build
 	MYPYC_OPT_LEVEL=2 .venv/bin/mypyc $(STATEMENTS) >.venv/mypyc.log 2>&1
