--- a/query_gateway/engine_protocol/connection.py
+++ b/query_gateway/engine_protocol/connection.py
@@ -3,10 +3,15 @@
     DIALLING --establish: the dial succeeded----------------------------------> ESTABLISHED
     DIALLING --close: the dial failed, or no attempt waits for it any longer--> CLOSED
     ESTABLISHED --close: idle, the engine closed, or it is unresponsive-------> CLOSED
-    DIALLING, ESTABLISHED --retire--> RETIRED --close: no attempt is left, or as before--> CLOSED
-
-A connection is retired when its engine drains, restarts or moves, after a response that cannot be read, and
-when it has too many attempts whose late responses may still come.
+    ESTABLISHED --close: bytes that are no frames, or a frame that does not end-> CLOSED
+    ESTABLISHED --retire: an invalid result, or one that takes too long-------> RETIRED
+    ESTABLISHED --retire: too many attempts whose late responses may come-----> RETIRED
+    DIALLING, ESTABLISHED --retire: the engine drains, restarts or moves------> RETIRED
+    RETIRED --close: no attempt is left, or for a cause of ESTABLISHED--------> CLOSED
+
+Unreadable bytes close the connection at once, logged as `malformed-response`, and end every attempt on it. An
+invalid result ends its own attempt alone, as an error; the others go on, and the connection closes after the
+last, logged as `replaced` like every retired one.
 """
 
 import contextlib
@@ -167,7 +172,7 @@
         entry.attempt.on_ended(outcome)
 
     def fail_malformed(self, client_request_id: str) -> None:
-        """End an attempt whose response cannot be read, and retire: the next one may be as unreadable."""
+        """End an attempt whose result is invalid or takes too long, and retire: the next may be as bad."""
         self._retire()
         self.finish(client_request_id, OutcomeCode.ERROR)
 
--- a/query_gateway/engine_protocol/pool.py
+++ b/query_gateway/engine_protocol/pool.py
@@ -180,6 +180,8 @@
             connection.retire()
             for entry in list(connection.attempts.open.values()):
                 if self.withdraw(entry.attempt):
+                    # The scheduler treats it as never run, as it would for `NOT_SENT`, but for this code it
+                    # also ejects the engine. A restart, of which it is notified next, ends that ejection
                     entry.attempt.on_ended(OutcomeCode.CONNECT_FAILED)
         if not self.connections.get(engine):
             self.connections.pop(engine, None)
--- a/query_gateway/engine_protocol/response_handler.py
+++ b/query_gateway/engine_protocol/response_handler.py
@@ -3,7 +3,8 @@
 awaiting the response --OK--> awaiting pages --the last page--> finished, served
 awaiting the response --REFUSED, ERROR, STALE--> finished, with the outcome in `OUTCOMES`
 awaiting pages --ERROR, or any other of these--> finished, as an error
-either --a response that cannot be read, or takes too long--> finished, as an error
+either --an invalid result, or one that takes too long--> finished, as an error
+either --bytes that are no frames, or a frame that does not end--> the connection ends, and its attempts
 """
 
 from typing import Final, Protocol
@@ -24,6 +25,8 @@
 OUTCOMES: Final = {
     frames.REFUSED: OutcomeCode.FULL,
     frames.ERROR: OutcomeCode.ERROR,
+    # This attempt was sent, but the engine declined it, as its request was over already. The code fits all
+    # the same: nothing ran, and the engine is not at fault
     frames.STALE: OutcomeCode.NOT_SENT,
 }
 MAX_NUMBER_DIGITS: Final = 9
@@ -40,14 +43,14 @@
         """End an attempt with its outcome."""
 
     def fail_malformed(self, client_request_id: str) -> None:
-        """End an attempt whose response cannot be read."""
+        """End an attempt whose result is invalid or takes too long."""
 
 
 class ResponseHandler:
     """Applies what was read from a connection to its attempts.
 
     Frames of an attempt that is no longer in flight, second copies, and frames that do not fit the attempt's
-    state change nothing. A response that cannot be read ends its attempt as an error.
+    state change nothing. An invalid result ends its attempt as an error.
     """
 
     def __init__(
--- a/query_gateway/flight/client_call.py
+++ b/query_gateway/flight/client_call.py
@@ -33,6 +33,9 @@
     from query_gateway.parsing.service import Classification, StatementService
 
 MESSAGE_TIMEOUT_S = 5.0  # in which a call must have brought its message
+# The platform's name of Retry-After, in milliseconds. Every rejection has it; 0 tells the client that it may
+# come back at once
+RETRY_AFTER_METADATA = "x-throttle-ms"
 RESPONSE_HEADERS = [(":status", "200"), ("content-type", "application/grpc")]
 # The one status of each verdict; the on-call page names them
 REJECTED_STATUS, FAILED_STATUS = GrpcStatus.RESOURCE_EXHAUSTED, GrpcStatus.INTERNAL
@@ -163,9 +166,9 @@
     def _shape_quarantine(self, statement: FlightStatement, classification: "Classification") -> str | None:
         """Return why statements of this shape do not run for now, if so."""
         statements = self.server.statements
-        return (
-            statements.may_run(classification.fingerprint, statement.received_at_ns) if statements else None
-        )
+        if statements is None:
+            return None
+        return statements.rejection_reason(classification.fingerprint, statement.received_at_ns)
 
     def _forward(
         self, statement: FlightStatement, class_name: str, classification: "Classification | None" = None
@@ -186,7 +189,7 @@
         self._reject(reason, self.server.forwarder.rejection())
 
     def _reject(self, reason: str, rejection: Answer) -> None:
-        self._finish(REJECTED_STATUS, reason, [("x-throttle-ms", str(rejection.retry_after_ms))])
+        self._finish(REJECTED_STATUS, reason, [(RETRY_AFTER_METADATA, str(rejection.retry_after_ms))])
 
     def _send_headers(self) -> None:
         if not self.headers_sent:
--- a/query_gateway/flight/engines.py
+++ b/query_gateway/flight/engines.py
@@ -342,4 +342,6 @@
         connection.grpc.drain()
         for flight_attempt in list(self.attempts.values()):
             if flight_attempt.connection is connection and self.withdraw(flight_attempt.attempt):
+                # The scheduler treats it as never run, as it would for `NOT_SENT`, but for this code it also
+                # ejects the engine
                 flight_attempt.attempt.on_ended(OutcomeCode.CONNECT_FAILED)
--- a/query_gateway/flight/requests.py
+++ b/query_gateway/flight/requests.py
@@ -14,7 +14,8 @@
 if TYPE_CHECKING:
     from query_gateway.parsing.service import Classification
 
-RETURN_RESERVE_NS = 25 * MS  # of the client's timeout, kept for the transfer of call and result
+# Of the client's timeout, kept for the transfer of call and result on its Flight SQL connection
+RETURN_TRIP_RESERVE_NS = 25 * MS
 GRPC_TIMEOUT = re.compile(r"(\d{1,8})([HMSmun])")
 GRPC_TIMEOUT_UNITS_NS = {"H": 3600 * 10**9, "M": 60 * 10**9, "S": 10**9, "m": 10**6, "u": 10**3, "n": 1}
 MAX_TIMEOUT_NS = 3600 * 10**9
@@ -99,7 +100,7 @@
         class_index=flight_class.class_index,
         class_name=class_name,
         statement=statement.text.encode(),
-        deadline=statement.received_at_ns + max(timeout_ns // 2, timeout_ns - RETURN_RESERVE_NS),
+        deadline=statement.received_at_ns + max(timeout_ns // 2, timeout_ns - RETURN_TRIP_RESERVE_NS),
         is_retry=headers.get("x-second-try") == "1",
         key=key if flight_class.ordered_by_key else None,
         idempotency_key=idempotency_key,
--- a/query_gateway/forwarder/attempt.py
+++ b/query_gateway/forwarder/attempt.py
@@ -2,7 +2,8 @@
 
     in flight --on_ended: the engine client reports its outcome------------------> ended
     in flight --withdraw: the exchange takes it back, nothing of it has left-----> ended, NOT_SENT
-    in flight --abort: the exchange stops it, whatever has left------------------> ended, with the code given
+    in flight --abort: the exchange stops it, nothing of it has left-------------> ended, NOT_SENT
+    in flight --abort: the exchange stops it, some of it may have left-----------> ended, with the code given
 
 Events of the engine client go up to the exchange, which is known here as an `AttemptOwner` only; commands of
 the exchange go down to the engine client. The last byte may leave after the end of the attempt
--- a/query_gateway/forwarder/engine_side.py
+++ b/query_gateway/forwarder/engine_side.py
@@ -19,7 +19,7 @@
 
 # A cancelled attempt counts as in flight for so long. The next attempt may go to its engine over another
 # connection and overtake the cancellation, so that both run at once; by then the cancellation has arrived.
-# No answer waits for this.
+# The next attempt of the request waits for this; an exchange that is answered does not.
 CANCEL_PROPAGATION_NS: Final = 60 * MS
 
 
--- a/query_gateway/forwarder/exchange.py
+++ b/query_gateway/forwarder/exchange.py
@@ -72,7 +72,7 @@
 
     @property
     def answered(self) -> bool:
-        """Whether no answer is owed any more."""
+        """Whether no answer is owed any more: it was given, or the client has left without one."""
         return self.state is ExchangeState.ANSWERED
 
     @property
@@ -216,7 +216,11 @@
         self.engine_side.abort(OutcomeCode.TIMEOUT)
 
     def on_overdue(self) -> None:
-        """No planner has ended the exchange in time: fail it."""
+        """No planner has ended the exchange in time: fail it.
+
+        A request that key quarantine has held up to its deadline fails here as well, although nothing of it
+        ran and its planner never knew of it.
+        """
         if not self.answered:
             self.answer(Answer(Verdict.FAILED))
             self.notify_planner(RequestAbandoned(self.request_id))
--- a/query_gateway/forwarder/forwarder.py
+++ b/query_gateway/forwarder/forwarder.py
@@ -8,6 +8,7 @@
 """
 
 from collections.abc import Callable
+from typing import Final
 
 from query_gateway.forwarder.attempt import AttemptTerms, outcome_of_unknown_request
 from query_gateway.forwarder.counters import Counters
@@ -34,6 +35,8 @@
 from query_gateway.model.events import EndpointUpdate, Request
 from query_gateway.model.settings import Settings
 
+ONLY_TENANT: Final = 0  # no client protocol names a tenant, so every request counts for the first one
+
 
 class Forwarder:
     """Accepts requests, carries out what planners decide, and owes each request one final answer.
@@ -246,7 +249,7 @@
         request_id=request_id,
         class_index=request.class_index,
         deadline=request.deadline,
-        tenant=0,
+        tenant=ONLY_TENANT,
         table_group=request.table_group,
         key=request.key,
         estimated_work=request.estimated_work,
--- a/query_gateway/forwarder/readiness.py
+++ b/query_gateway/forwarder/readiness.py
@@ -1,4 +1,9 @@
-"""Whether this process accepts requests: the one state that every server and announcement reads.
+"""Whether clients should send requests here: the one state that is announced to them.
+
+The liveness path, the admin server and the BGP announcement tell clients and routers of it, so that they go
+elsewhere while it is not READY. No phase by itself rejects requests that come all the same, STARTING and
+STOPPING included, but for a long DRAINING: `DRAIN_REJECT_AFTER_S` after it began the HTTP server rejects
+them. The Flight server only sends its clients a GOAWAY, `DRAIN_CLOSE_IDLE_AFTER_S` after it began.
 
 STARTING --start, and a planner is available--> READY
 READY --the last planner is lost--> STARTING
@@ -51,7 +56,7 @@
         return self.phase is Phase.READY
 
     def start(self) -> None:
-        """Accept requests from here on."""
+        """The process is set up: it is ready as soon as a planner is available."""
         previous_phase = self.phase
         self.started = True
         self._notify_if_changed(previous_phase)
@@ -70,7 +75,7 @@
         return not self.stopping
 
     def undrain(self) -> bool:
-        """Accept clients again; False if the process is stopping, which nothing takes back."""
+        """Send clients away no longer; False if the process is stopping, which nothing takes back."""
         previous_phase = self.phase
         self.draining = False
         self._notify_if_changed(previous_phase)
--- a/query_gateway/gateway.py
+++ b/query_gateway/gateway.py
@@ -88,7 +88,7 @@
         self.settings_publisher = PlannerSettingsPublisher(self.forwarder, self.active, share)
         self.planner_links = build_planner_links(core, share)
         # The planners are notified of the endpoint list before the fronts accept requests: a request that
-        # came first would find no engine and be rejected
+        # came first would find no engine and wait in the scheduler's queue
         config = self.active.config
         start_times = StartTimes(steady_now_ns, wall_clock_offset_ns)
         self.endpoint_feed = EndpointFeed(self.forwarder, config.zones_and_kinds, start_times)
--- a/query_gateway/http/connection.py
+++ b/query_gateway/http/connection.py
@@ -231,7 +231,8 @@
 
     def _is_last_response(self) -> bool:
         """Whether the connection ends with the response to be sent."""
-        if self.handler.discarded_bytes or self.server.rejects_all or self.handler.rejects_all:
+        handler = self.handler
+        if handler.discarded_bytes or handler.is_over_connection_limit or self.server.past_abort_time:
             return True
         if not self.server.closing and not self.server.draining_for():
             return False
--- a/query_gateway/http/end_reasons.py
+++ b/query_gateway/http/end_reasons.py
@@ -37,7 +37,7 @@
 
     If none of them did, the connection ended as HTTP asks.
     """
-    if handler.rejects_all:
+    if handler.is_over_connection_limit:
         return Reason.TOO_MANY
     if handler.discarded_bytes:
         return Reason.BAD_REQUEST
--- a/query_gateway/http/plain_request.py
+++ b/query_gateway/http/plain_request.py
@@ -1,7 +1,8 @@
 """A fast parser for the one form that nearly all requests have.
 
-It takes a fraction of the processor time of h11. Whatever differs from this form (another method, unusual or
-repeated headers, an incomplete body, more than one request) is left to h11.
+One regular expression recognises the form, and the state machine of h11 is not run for it. Whatever differs
+from the form (another method, unusual or repeated headers, an incomplete body, more than one request) is left
+to h11.
 """
 
 import re
--- a/query_gateway/http/request_decoding.py
+++ b/query_gateway/http/request_decoding.py
@@ -6,7 +6,8 @@
 from query_gateway.forwarder.table_group import table_group
 from query_gateway.model.units import MS
 
-RESPONSE_TRAVEL_NS = 15 * MS  # of the client's timeout, kept for the transfer of both
+# Of the client's timeout, kept for the transfer of request and response on its HTTP connection
+RETURN_TRIP_RESERVE_NS = 15 * MS
 MAX_TTL_MS = 3_600_000
 MAX_TTL_DIGITS = 9
 MAX_CPU_HINT_MS = 1e8
@@ -75,9 +76,9 @@
 
 
 def decode_request(
-    class_name: str, classes: RequestClasses, headers: dict[str, str], body: bytes, now: int
+    class_name: str, classes: RequestClasses, headers: dict[str, str], body: bytes, arrived_at: int
 ) -> ClientRequest:
-    """Decode one POST at clock time `now` (nanoseconds); raises RequestError.
+    """Decode one POST that had come at clock time `arrived_at` (nanoseconds); raises RequestError.
 
     `classes` are those that requests may name; header names are in lower case.
     """
@@ -98,7 +99,7 @@
         class_index=request_class.index,
         class_name=class_name,
         statement=body,
-        deadline=now + max(ttl // 2, ttl - RESPONSE_TRAVEL_NS),
+        deadline=arrived_at + max(ttl // 2, ttl - RETURN_TRIP_RESERVE_NS),
         is_retry=headers.get(RETRY_HEADER) == "1",
         key=ordering_key if request_class.ordered_by_key else None,
         idempotency_key=idempotency_key,
--- a/query_gateway/http/request_handler.py
+++ b/query_gateway/http/request_handler.py
@@ -26,7 +26,7 @@
     loop: Loop
     forwarder: Forwarder
     statements: "StatementService | None"  # None where statements are not parsed
-    rejects_all: bool  # too late before the process ends to begin anything
+    past_abort_time: bool  # too late before the process ends to begin anything
 
     def draining_for(self, seconds: float = 0.0) -> bool:
         """Whether draining began, and at least so many seconds ago."""
@@ -72,7 +72,7 @@
         """
         self.server, self.stream, self.wake = server, stream, wake
         self.discarded_bytes = 0  # sent ahead of an answer, beyond what the inbox holds
-        self.rejects_all = False  # the connection is above the limit on connections
+        self.is_over_connection_limit = False  # its requests are rejected
         self.has_open_request = False  # one has been read, and no response to it was sent
         self._exchange: Exchange | None = None  # of that request
 
@@ -123,8 +123,8 @@
         return (
             server.loop.lag() > MAX_LOOP_LAG_SECONDS
             or server.draining_for(DRAIN_REJECT_AFTER_S)
-            or server.rejects_all
-            or self.rejects_all
+            or server.past_abort_time
+            or self.is_over_connection_limit
         )
 
     def _reject(self, request: ClientRequest, pending: PendingAnswer) -> None:
@@ -159,7 +159,7 @@
         if decision.is_write:
             reason = decision.reason or f"it writes, so it cannot run as {request.class_name}"
             raise RequestError(400, reason)
-        if statements.may_run(fingerprint, self.server.forwarder.clock()):
+        if statements.rejection_reason(fingerprint, self.server.forwarder.clock()):
             self._reject(request, pending)
         return replace(request, fingerprint=fingerprint)
 
--- a/query_gateway/http/responses.py
+++ b/query_gateway/http/responses.py
@@ -12,6 +12,9 @@
 ROW_END = "\n"
 JSON_HEADER = ("Content-Type", "application/json")
 CLOSE_HEADER = ("Connection", "close")
+# The platform's name of Retry-After, in milliseconds. Every rejection has it; 0 tells the client that it may
+# come back at once
+RETRY_AFTER_HEADER = "X-Throttle-Ms"
 
 Headers = list[tuple[str, str]]
 
@@ -47,7 +50,7 @@
 def response_to(answer: Answer) -> Response:
     """The response that carries the forwarder's final answer."""
     if answer.verdict is Verdict.REJECTED:
-        return Response(429, {"failure": "Overloaded"}, (("X-Throttle-Ms", str(answer.retry_after_ms)),))
+        return Response(429, {"failure": "Overloaded"}, ((RETRY_AFTER_HEADER, str(answer.retry_after_ms)),))
     if answer.verdict is Verdict.FAILED:
         return failure_response(500, "Internal")
     try:
--- a/query_gateway/http/server.py
+++ b/query_gateway/http/server.py
@@ -47,7 +47,7 @@
         self.without_request: dict[HttpConnection, None] = {}  # no complete request came yet, oldest first
         self.idle: dict[HttpConnection, None] = {}  # between two requests, longest idle first
         self.closing = False
-        self.rejects_all = False  # too late before the process ends to begin anything
+        self.past_abort_time = False  # too late before the process ends to begin anything
         self.draining_since: float | None = None  # loop time
         self.readiness.watchers.append(self._on_readiness_changed)
         self.listener = Listener(
@@ -84,7 +84,7 @@
             return
         stream = Stream(self.loop, sock, f"client {peer}", waiting_since=self.listener.waiting_since)
         connection = HttpConnection(self, stream, peer, has_sent_request)
-        connection.handler.rejects_all = len(self.connections) >= self.max_connections
+        connection.handler.is_over_connection_limit = len(self.connections) >= self.max_connections
         self.connections[connection] = None
 
     def _eviction_candidate(self) -> HttpConnection | None:
--- a/query_gateway/lifecycle/shutdown.py
+++ b/query_gateway/lifecycle/shutdown.py
@@ -158,7 +158,7 @@
         an answer in time they may retry.
         """
         self.state = ShutdownState.ABORTED
-        self.parts.fronts.http_server.rejects_all = True
+        self.parts.fronts.http_server.past_abort_time = True
         for exchange in list(self.parts.forwarder.exchanges.values()):
             exchange.end_without_planner()
         if not self._successor_ready:
--- a/query_gateway/model/events.py
+++ b/query_gateway/model/events.py
@@ -19,7 +19,7 @@
     CONNECT_FAILED = "connect_failed"
     RESET = "reset"
     CANCELLED = "cancelled"
-    NOT_SENT = "moot"
+    NOT_SENT = "moot"  # the word for it in the trace; also of one that its engine declined as over already
 
 
 class ProgressKind(Enum):
--- a/query_gateway/net/stream.py
+++ b/query_gateway/net/stream.py
@@ -29,10 +29,14 @@
     DIAL_REFUSED = "dial-refused"  # the peer refused our connection
     DIAL_FAILED = "dial-failed"  # our own machine had no port, route or buffer for it; it is dialled again
     DIAL_TIMEOUT = "dial-timeout"  # our connection did not come up within the dial timeout
-    MALFORMED_RESPONSE = "malformed-response"  # a peer that we dialled broke its protocol
+    # A peer other than a client broke its protocol: one that we dialled, or a forwarder that connected to
+    # its planner process
+    MALFORMED_RESPONSE = "malformed-response"
     UNRESPONSIVE = "unresponsive"  # the peer sent nothing when something was due
     REPLACED = "replaced"  # the peer drains, restarted or moved, or the connection was retired
-    RESYNC = "resync"  # the endpoint list is fetched from its start, or answers bring nothing new at once
+    # The discovery service's answer has a gap, so that the endpoint list is fetched from its start, or shows
+    # a reset of its numbering, or came early and brought nothing new; the next poll waits for the backoff
+    RESYNC = "resync"
     NOTIFIED = "notified"  # a BGP NOTIFICATION was sent (also as the hold timer expired) or received
     FAULT = "fault"  # an error in our own code
 
--- a/query_gateway/parsing/service.py
+++ b/query_gateway/parsing/service.py
@@ -122,7 +122,7 @@
 
     # ---- outcomes of statements: the forwarder's observer
 
-    def may_run(self, fingerprint: bytes, now: int) -> str:
+    def rejection_reason(self, fingerprint: bytes, now: int) -> str:
         """Why one more of the shape may not be accepted; empty if it may.
 
         `now`: clock time in nanoseconds.
--- a/tests/test_connection_ends.py
+++ b/tests/test_connection_ends.py
@@ -44,7 +44,7 @@
 
 
 @pytest.mark.parametrize(
-    ("rejects_all", "discarded_bytes", "closing", "draining", "reason"),
+    ("is_over_connection_limit", "discarded_bytes", "closing", "draining", "reason"),
     [
         (True, 1, True, True, Reason.TOO_MANY),
         (False, 1, True, True, Reason.BAD_REQUEST),
@@ -54,9 +54,11 @@
     ],
 )
 def test_last_response_ends_its_connection_by_the_first_cause_that_holds(
-    rejects_all: bool, discarded_bytes: int, closing: bool, draining: bool, reason: Reason
+    is_over_connection_limit: bool, discarded_bytes: int, closing: bool, draining: bool, reason: Reason
 ) -> None:
-    handler = SimpleNamespace(rejects_all=rejects_all, discarded_bytes=discarded_bytes)
+    handler = SimpleNamespace(
+        is_over_connection_limit=is_over_connection_limit, discarded_bytes=discarded_bytes
+    )
     assert reason_after_last_response(cast(RequestHandler, handler), closing, draining) is reason
 
 
