--- a/query_gateway/forwarder/forwarder.py
+++ b/query_gateway/forwarder/forwarder.py
@@ -134,10 +134,7 @@
         return None
 
     def rejection(self) -> Answer:
-        """The rejection of a request that no planner decides on: the longest Retry-After of the settings.
-
-        Without a planner nobody knows when there is capacity again. The fronts use it as well.
-        """
+        """What a request gets that no planner decides on: the longest Retry-After of the settings."""
         return Answer(Verdict.REJECTED, retry_after_ns=self.settings.max_retry_after)
 
     def _pass_to_planner(self, exchange: Exchange) -> None:
--- a/tests/test_send_guard.py
+++ b/tests/test_send_guard.py
@@ -249,6 +249,11 @@
 
 
 def test_trace_tells_each_step_with_its_reason() -> None:
+    """A request is rejected after an attempt that its engine refused.
+
+    Without the steps in order an engineer could not tell which process decided what. The trace has each step
+    with the reason that was known at the time.
+    """
     world = World()
     world.forward()
     [attempt] = world.engine_client.held
@@ -266,6 +271,11 @@
 
 
 def test_trace_file_has_a_line_for_each_step_and_costs_nothing_where_it_fails(tmp_path: Any) -> None:
+    """The folder of the trace file does not exist.
+
+    An error raised there would end the start of a gateway for the sake of its trace. The gateway goes on
+    without one.
+    """
     assert open_request_trace({}) is None
     assert open_request_trace({TRACE_VARIABLE: str(tmp_path / "no" / "folder")}) is None
     trace = open_request_trace({TRACE_VARIABLE: str(tmp_path / "trace")})
@@ -315,18 +325,32 @@
 
 
 def test_burst_to_an_engine_in_slow_start_is_bounded_by_its_budget_and_the_allowance() -> None:
+    """Requests leave for an engine in slow start all at once.
+
+    More than its budget within one window makes it fall over. The budget lets through what the engine takes
+    and the statistical allowance, and refuses the rest.
+    """
     allowed = 20 + 3 * 20**0.5 + 3
     assert EngineInSlowStart().send_all_allowed(100 * SEC) == int(allowed)
 
 
 @pytest.mark.parametrize(("instances", "processes"), [(2, 1), (1, 2), (4, 2)])
 def test_processes_together_stay_within_the_budget(instances: int, processes: int) -> None:
+    """Several forwarder processes, of one gateway or of several, use up their budgets at the same time.
+
+    They know nothing of each other, so full budgets would add up to an overload. Each has an even part.
+    """
     count = instances * processes
     each = EngineInSlowStart(instances, processes).send_all_allowed(100 * SEC)
     assert 0 < each * count <= 20 + 3 * 20**0.5 + 3
 
 
 def test_budget_returns_with_the_window_and_ends_with_slow_start() -> None:
+    """A budget is used up, and its window passes.
+
+    Sends that counted for ever would keep the engine from ever getting more. What has left counts for one
+    window, and nothing is bounded after slow start.
+    """
     engine = EngineInSlowStart()
     first = engine.send_all_allowed(100 * SEC)
     assert not engine.allows(100 * SEC + 1)
@@ -335,6 +359,11 @@
 
 
 def test_restart_of_an_engine_begins_a_budget_of_its_own() -> None:
+    """An engine restarts while its budget is used up.
+
+    Sends to the process before would count against the new one, which has none of that work. They are
+    forgotten with the restart.
+    """
     engine = EngineInSlowStart()
     engine.send_all_allowed(100 * SEC)
     engine.restart(100 * SEC + 1)
@@ -343,6 +372,11 @@
 
 @pytest.mark.parametrize("is_snapshot", [True, False])
 def test_endpoint_list_tells_which_engines_have_restarted_or_are_no_longer_listed(is_snapshot: bool) -> None:
+    """A snapshot leaves one engine out, or a delta removes it, and another engine has restarted.
+
+    Counted sends of either would stay: memory that grows, or a budget that a new process does not have left.
+    The update names both, and no engine that stayed as it was.
+    """
     state = ForwarderState(settings({}))
     kept, restarted, removed = (
         Endpoint(EndpointInfo(name, EndpointState.UP, 0, 0, 0, 1, 1.0), {}) for name in "abc"
@@ -356,6 +390,10 @@
 
 
 def test_share_of_a_hot_upgrade_divides_the_budget() -> None:
+    """Two processes of one gateway serve during a hot upgrade.
+
+    With a whole budget each they would overload an engine together. Each has its share of the budget.
+    """
     whole, half = EngineInSlowStart(), EngineInSlowStart()
     half.budgets.share = 0.5
     assert half.send_all_allowed(100 * SEC) <= whole.send_all_allowed(100 * SEC) / 2 + 1
@@ -380,6 +418,11 @@
 
 
 def test_answer_is_recorded_as_late_only_beyond_its_slack() -> None:
+    """A request is answered after its deadline, once within the slack and once beyond it.
+
+    A violation at every answer that leaves some milliseconds late would hide the real ones. The invariant
+    counts an answer as late only beyond the slack.
+    """
     world = World()
     world.now += DEADLINE + SEC // 4
     answer(world)
