--- a/query_gateway/planner/process.py
+++ b/query_gateway/planner/process.py
@@ -7,7 +7,7 @@
     IN_FLIGHT --outcome, final--> forgotten
 
 A request that is rejected, failed or abandoned while IN_FLIGHT stays so until its final outcome: the attempt
-still runs at its engine, and the module must be told of its end.
+still runs at its engine, and the module must be notified of its end.
 
 If this process dies, all of this is lost, and with it the queues and what the module learned. The forwarders
 see their connections end and answer the requests themselves (`lifecycle/planner_links.py`); the supervisor
--- a/tests/test_statements_keys.py
+++ b/tests/test_statements_keys.py
@@ -174,7 +174,10 @@
 
 
 def test_the_generated_loads_are_no_idle_exercise() -> None:
-    """Guards the test above against a grammar of which nothing is taken or nothing touches a row."""
+    """The test above would pass on a grammar of which no statement is accepted or none touches a row.
+
+    It would then show nothing. A part of the drawn statements must be accepted, and must touch rows.
+    """
     found: list[str] = []
 
     @given(LOADS)
