--- a/query_gateway/discovery/watch_client.py
+++ b/query_gateway/discovery/watch_client.py
@@ -150,9 +150,9 @@
         is_idle = self.position == position and not is_first and not verifies_newest
         is_early = self.loop.now() < polled_at + MIN_BACKOFF_SECONDS
         if self.position < position or (is_idle and is_early):
-            # The next poll is for a snapshot, or the service answers at once with nothing new. Polled again
-            # without a pause, a service that does so every time would keep both processes busy. The end of
-            # the connection leads to the backoff.
+            # The answer has a gap or shows a reset of the numbering, or it came at once with nothing new.
+            # Polled again without a pause, a service that does so every time would keep both processes busy.
+            # The end of the connection leads to the backoff.
             return Reason.RESYNC
         self._backoff = MIN_BACKOFF_SECONDS
         return None
