--- a/query_gateway/model/actions.py
+++ b/query_gateway/model/actions.py
@@ -33,7 +33,7 @@
     """Answer a request at once: it did not run, or its client may repeat it."""
 
     request_id: int
-    retry_after: int  # nanoseconds; 0: no advice
+    retry_after: int  # nanoseconds for which the client keeps away; 0: it may come back at once
     reason: EndReason = field(default=EndReason.UNKNOWN, compare=False)
 
 
