--- a/query_gateway/forwarder/messages.py
+++ b/query_gateway/forwarder/messages.py
@@ -73,7 +73,7 @@
 
     verdict: Verdict
     pages: tuple[bytes, ...] = ()  # of a served result that was not passed on page by page
-    retry_after_ns: int = 0  # with a rejection: how long to wait before a retry; 0: none
+    retry_after_ns: int = 0  # with a rejection: how long the client keeps away; 0: not at all
 
     @property
     def retry_after_ms(self) -> int:
--- a/query_gateway/forwarder/readiness.py
+++ b/query_gateway/forwarder/readiness.py
@@ -15,8 +15,8 @@
 from enum import Enum
 from typing import Final
 
-# Seconds after the start of draining in which clients still send on idle connections: they poll readiness
-# every 0.1 s and take up to 0.2 s more to act on it. Idle connections are closed only after that.
+# Seconds after the start of draining in which clients still send on idle connections: the platform's clients
+# poll readiness every 0.1 s and take up to 0.2 s more to act on it. Idle connections are closed after that.
 DRAIN_CLOSE_IDLE_AFTER_S: Final = 0.5
 # Seconds after the start of draining from which new requests are rejected: a client that still sends by then
 # has missed the change, and its requests would keep the connection from ever becoming idle.
--- a/query_gateway/http/connection.py
+++ b/query_gateway/http/connection.py
@@ -45,7 +45,7 @@
 
 FIRST_REQUEST_TIMEOUT_SECONDS = 2.0  # from the connection's start until its first request is complete
 REQUEST_TIMEOUT_SECONDS = 5.0  # from the start of a later request until it is complete
-IDLE_TIMEOUT_SECONDS = 6.0  # clients close what was idle for 4 s; those that never do are closed soon after
+IDLE_TIMEOUT_SECONDS = 6.0  # the platform's clients close what was idle for 4 s; others are closed here
 LINGER_SECONDS = 1.0  # how long input is still read after our half-close
 TRANSFER_RETRY_SECONDS = 0.02  # until a connection that could not be transferred is tried again
 DRAIN_FIRST_REQUEST_SECONDS = 0.5  # from a connection's start until its first request, while draining
--- a/query_gateway/lifecycle/hot_upgrade.py
+++ b/query_gateway/lifecycle/hot_upgrade.py
@@ -136,7 +136,7 @@
             self.predecessor.send(Ready())
         self.listener.claim_path()
 
-    def notify_draining(self) -> None:
+    def notify_leaving(self) -> None:
         """Notify the successor that this process accepts no more clients."""
         if self.successor:
             self.successor.send(Draining())
--- a/query_gateway/lifecycle/overlap.py
+++ b/query_gateway/lifecycle/overlap.py
@@ -24,8 +24,8 @@
 from query_gateway.lifecycle.route_announcer import RouteAnnouncer
 from query_gateway.lifecycle.shutdown import Shutdown, ShutdownState
 from query_gateway.lifecycle.slow_start_share import (
-    DRAINING_SHARE,
     FULL_SHARE,
+    LEAVING_SHARE,
     OVERLAP_SHARE,
     SlowStartShare,
 )
@@ -118,7 +118,7 @@
 
     def on_predecessor_draining(self) -> None:
         """The predecessor accepts no more clients: all but its last share is ours."""
-        self.parts.slow_start_share.change_after_window(FULL_SHARE - DRAINING_SHARE)
+        self.parts.slow_start_share.change_after_window(FULL_SHARE - LEAVING_SHARE)
 
     def end_overlap(self) -> None:
         """The other process has ended: this one has all budgets again, whichever of the two it was."""
--- a/query_gateway/lifecycle/planner_links.py
+++ b/query_gateway/lifecycle/planner_links.py
@@ -61,7 +61,7 @@
     def _restart_local(self) -> None:
         """Replace the instance of the decision module that raised an error, and end its open requests."""
         self.planner.restart()
-        # Ending them notifies the planner of requests that the new instance has never seen; those events are
+        # Events that came before the error are about requests that the new instance has never seen; they are
         # dropped
         self.forwarder.on_planner_lost(LOCAL_PLANNER_INDEX)
         self.planner.pending_events.clear()
--- a/query_gateway/lifecycle/shutdown.py
+++ b/query_gateway/lifecycle/shutdown.py
@@ -36,12 +36,12 @@
 from query_gateway.lifecycle.client_fronts import ClientFronts
 from query_gateway.lifecycle.hot_upgrade import HotUpgrade
 from query_gateway.lifecycle.route_announcer import RouteAnnouncer
-from query_gateway.lifecycle.slow_start_share import DRAINING_SHARE, SlowStartShare
+from query_gateway.lifecycle.slow_start_share import LEAVING_SHARE, SlowStartShare
 from query_gateway.net.log import log
 from query_gateway.net.loop import Loop
 
-ACCEPT_GRACE_SECONDS = 0.8  # after SIGTERM; clients and routers take up to 0.6 s to notice the shutdown
-ANSWER_SECONDS = 3.0  # after SIGTERM for open requests; SIGKILL comes 0.7 s later
+ACCEPT_GRACE_SECONDS = 0.8  # after SIGTERM; the platform's clients and routers may take 0.6 s to notice it
+ANSWER_SECONDS = 3.0  # after SIGTERM for open requests; the platform sends SIGKILL 0.7 s later
 ANSWER_SECONDS_WITH_SUCCESSOR = 5.0  # the same where a successor follows
 ABORT_MARGIN_SECONDS = 0.4  # after the answer seconds, or after the longest deadline if that comes first
 
@@ -137,8 +137,8 @@
             listener.release()
         # The successor is notified before it receives the first connection, so that it uses its larger share
         # for the requests on these
-        self.parts.slow_start_share.change(DRAINING_SHARE)
-        hot_upgrade.notify_draining()
+        self.parts.slow_start_share.change(LEAVING_SHARE)
+        hot_upgrade.notify_leaving()
         self.parts.fronts.http_server.start_transfer(hot_upgrade.transfer)
         self.parts.fronts.close_flight()
         self._exit_when_done()
--- a/query_gateway/lifecycle/slow_start_share.py
+++ b/query_gateway/lifecycle/slow_start_share.py
@@ -10,7 +10,7 @@
 
 FULL_SHARE = 1.0
 OVERLAP_SHARE = 0.5  # of each process, while both take requests
-DRAINING_SHARE = 0.1  # of a predecessor that shuts down: it forwards only requests that it has queued
+LEAVING_SHARE = 0.1  # of a predecessor that shuts down: it forwards only requests that it has queued
 
 
 class SlowStartShare:
--- a/query_gateway/planner/supervisor.py
+++ b/query_gateway/planner/supervisor.py
@@ -105,7 +105,8 @@
             log("supervisor", f"{worker.part} ended with {worker.process.returncode} and is restarted")
         try:
             worker.start()
-        except OSError as error:  # out of processes, descriptors or memory: tried again at the next poll
+        except OSError as error:  # out of processes, descriptors or memory
+            # `started_at` is set all the same, so that it is tried again after `RESTART_INTERVAL_S`
             log("supervisor", f"{worker.part} cannot be started: {error.strerror}")
 
     def _stop(self) -> None:
--- a/query_gateway/policy/answers.py
+++ b/query_gateway/policy/answers.py
@@ -35,9 +35,10 @@
 
 
 def retry_after(state: SchedulerState, start_delay: float) -> int:
-    """Retry-After: how long a rejected client should wait, in nanoseconds; 0: the site sends none.
+    """Retry-After: how long a rejected client should wait, in nanoseconds.
 
-    The expected start delay, between `MIN_RETRY_AFTER_NS` and the site's `max_retry_after`.
+    The expected start delay, between `MIN_RETRY_AFTER_NS` and the site's `max_retry_after`. 0, so that it may
+    come back at once, where the settings allow no Retry-After.
     """
     if not state.settings.allows_retry_after:
         return 0
--- a/query_gateway/policy/progress_review.py
+++ b/query_gateway/policy/progress_review.py
@@ -26,7 +26,7 @@
 from query_gateway.policy.start_times import REMAINING_TIME
 
 LOST_NOTE_PERIODS: Final = 1.6  # periods without a progress note after which an attempt is taken for lost
-PRIOR_LOG_SPREAD: Final = 0.7  # of run times of a class: about what cost estimates and slowdown leave
+PRIOR_LOG_SPREAD: Final = 0.7  # standard deviation of the log run times of a class, until its own is learned
 OVERDUE_DEVIATIONS: Final = 1.8  # standard deviations of log run times over the expected one
 RESTART_GAIN: Final = 2.0  # times a fresh run that what remains must exceed before an attempt is restarted
 HOPELESS_OVERRUN: Final = 1.3  # predicted end over the limit, from rough notes, that ends an attempt
--- a/query_gateway/policy/recovery_ramp.py
+++ b/query_gateway/policy/recovery_ramp.py
@@ -5,7 +5,8 @@
 `slow_start_overload_window`, it falls over.
 
 The scheduler spaces its sends by this ramp (`slow_start`), and the forwarder's slow-start budgets bound by it
-what really leaves. All functions are pure; times and ages are nanoseconds.
+what really leaves; attempts without an estimate of their work are not bounded there, nor engines whose start
+the endpoint list does not name. All functions are pure; times and ages are nanoseconds.
 """
 
 from dataclasses import dataclass
--- a/query_gateway/policy/slow_start.py
+++ b/query_gateway/policy/slow_start.py
@@ -10,7 +10,8 @@
 start are not given out, nor those of an age at which the engine can hardly bear a few queries of the class.
 
 Inputs: the start of the engine (nanoseconds), its cores, the mean work of the class (nanoseconds over all
-threads), what was sent there lately. The forwarder's slow-start budgets bound again what really leaves.
+threads), what was sent there lately. The forwarder's slow-start budgets bound again what really leaves, as
+`recovery_ramp` says.
 """
 
 import math
