--- a/query_gateway/forwarder/__init__.py
+++ b/query_gateway/forwarder/__init__.py
@@ -1,13 +1,14 @@
-"""The exchange between one client request and its one final answer.
+"""The forwarder: exchanges between client requests and engines, each with exactly one final answer.
 
-Decides which answer a client gets when planner, engine and deadline disagree, and whether an attempt that a
-planner decided on may still be sent. Owns the table of open exchanges, readiness and the counters. It knows
-no socket, no wire and no clock: the time, timers and engine clients are handed in.
+Arbitrates between planner, engine and deadline when they disagree about a client's answer, and checks that an
+attempt chosen by a planner may still be sent. Owns the table of open exchanges, readiness and the counters.
+Contains no sockets, wire formats or clock: the clock, timers and engine clients are injected.
 
-Read `messages` first, then `exchange` and `attempt` with their states, then `send_guard`. Events go up from
-the attempt to the exchange and the forwarder, commands go down; no two modules import each other.
+Start reading at `messages`, continue with the state machines of `exchange` and `attempt`, then `send_guard`.
+Events propagate upwards from the attempt to the exchange and the forwarder, commands downwards. There are no
+import cycles.
 
-It imports `query_gateway.model` and, of the policy, the shared rules that it enforces: `repetition`,
-`recovery_ramp` and `key_quarantine`. The servers, the engine clients, discovery, the configuration and the
-composition root import it; the model, the policy and the planner do not.
+The package imports `query_gateway.model` and the policy rules that it shares with the planner: `repetition`,
+`recovery_ramp` and `key_quarantine`. It is imported by the servers, the engine clients, discovery, the
+configuration and the composition root, but not by the model, the policy or the planner.
 """
--- a/query_gateway/forwarder/arrival_order.py
+++ b/query_gateway/forwarder/arrival_order.py
@@ -1,11 +1,11 @@
-"""Arrival order: requests with a key wait until every request that came before them is known.
+"""Arrival order: a request with a key waits until all requests that arrived earlier have been read.
 
-The machine accepts connections and buffers requests while this process cannot read them, and reports them in
-any order once it can. A planner runs the requests of a key in the order in which it is notified of them, so
-it is notified of each only when no earlier one can be unread any more.
+The kernel accepts connections and buffers requests while this process is not reading, and then reports them
+as readable in no particular order. A planner runs the requests of a key in the order of its notifications, so
+it must not be notified of a request while an earlier one may still be unread.
 
-Inputs  the request's time of arrival; the watermark: the time up to which all that came is known
-Answer  the requests that may be passed on, in the order of their arrival
+Input:   the arrival time of the request, and the watermark: the time up to which all arrivals have been read
+Result:  the requests that may be passed on, in arrival order
 """
 
 from collections.abc import Callable
@@ -15,57 +15,57 @@
 
 
 class Watermark(Protocol):
-    """The progress of reading, in clock time (nanoseconds)."""
+    """The read progress, as a clock time in nanoseconds."""
 
     @property
     def read_through(self) -> int:
-        """Every request that came before is known."""
+        """The time up to which all arrived requests have been read."""
 
     def await_progress(self, is_awaited: bool) -> None:
-        """Whether somebody waits for the watermark to move."""
+        """Tell the watermark whether any request is waiting for it to advance."""
 
 
 @dataclass(slots=True, frozen=True)
 class _Entry:
     arrived_at: int  # clock time
-    sequence: int  # of what arrived in the same moment
+    sequence: int  # breaks ties between equal arrival times
     release: Callable[[], None]
 
 
 class ArrivalOrder:
-    """What waits for the watermark, by request id."""
+    """The requests that wait for the watermark, by request id."""
 
     def __init__(self, watermark: Watermark) -> None:
-        """Nothing waits."""
+        """Start with an empty queue."""
         self.watermark = watermark
         self._entries: dict[object, _Entry] = {}
         self._sequence = count()
 
     @property
     def waiting_count(self) -> int:
-        """How many wait."""
+        """The number of waiting requests."""
         return len(self._entries)
 
     def must_wait(self, arrived_at: int) -> bool:
-        """Whether an earlier request may still be unknown."""
+        """Whether an earlier request may still be unread."""
         return arrived_at > self.watermark.read_through
 
     def queue(self, request_id: object, arrived_at: int, release: Callable[[], None]) -> None:
-        """Call `release` when the turn of a request has come, unless it is removed."""
+        """Call `release` once all earlier requests have been read, unless the request is removed first."""
         self._entries[request_id] = _Entry(arrived_at, next(self._sequence), release)
         self.watermark.await_progress(True)
 
     def remove(self, request_id: object) -> None:
-        """Forget a request that has ended; harmless if it does not wait."""
+        """Drop a request that has ended; no effect if it is not waiting."""
         self._entries.pop(request_id, None)
 
     def release(self) -> None:
-        """Pass on all whose turn has come; for the end of each turn of the loop."""
+        """Release every request that the watermark has reached; called at the end of each loop turn."""
         if not self._entries:
             return
         read_through = self.watermark.read_through
         due = [item for item in self._entries.items() if item[1].arrived_at <= read_through]
         for request_id, entry in sorted(due, key=lambda item: (item[1].arrived_at, item[1].sequence)):
-            if self._entries.pop(request_id, None):  # releasing another may have removed it
+            if self._entries.pop(request_id, None):  # an earlier release may have removed it
                 entry.release()
         self.watermark.await_progress(bool(self._entries))
--- a/query_gateway/forwarder/attempt.py
+++ b/query_gateway/forwarder/attempt.py
@@ -1,13 +1,13 @@
-"""One attempt: a request as it is sent to one engine.
+"""One attempt to run a request at one engine.
 
-    in flight --on_ended: the engine client reports its outcome------------------> ended
-    in flight --withdraw: the exchange takes it back, nothing of it has left-----> ended, NOT_SENT
-    in flight --abort: the exchange stops it, nothing of it has left-------------> ended, NOT_SENT
-    in flight --abort: the exchange stops it, some of it may have left-----------> ended, with the code given
+    in flight --on_ended: the engine client reports the outcome--------------> ended
+    in flight --withdraw: by the exchange, no byte was sent------------------> ended, NOT_SENT
+    in flight --abort: by the exchange, no byte was sent---------------------> ended, NOT_SENT
+    in flight --abort: by the exchange, some bytes may have been sent--------> ended, with the given code
 
-Events of the engine client go up to the exchange, which is known here as an `AttemptOwner` only; commands of
-the exchange go down to the engine client. The last byte may leave after the end of the attempt
-(`on_written`): an engine client that has begun to write a request finishes it, so it still counts as
+The attempt passes events of the engine client up to its exchange, which it knows only as an `AttemptOwner`,
+and commands of the exchange down to the engine client. `on_written` may be called after the attempt has
+ended: an engine client finishes a request that it has begun to write, so the attempt still counts as
 forwarded.
 """
 
@@ -32,14 +32,14 @@
 
 @dataclass(slots=True, frozen=True)
 class AttemptTerms:
-    """On what terms an attempt runs at its engine."""
+    """The memory grant and the priority with which an attempt runs at its engine."""
 
-    memory_mb: float = 0.0  # 0: no grant
+    memory_mb: float = 0.0  # 0: no memory grant
     priority: int = 1  # 0 is the lowest
 
 
 class AttemptOwner(Protocol):
-    """The exchange as its attempts know it: it takes their events."""
+    """The interface of an exchange to its attempts, which report their events to it."""
 
     context: ExchangeContext
     request_id: int
@@ -52,7 +52,7 @@
 
     @property
     def engine_side(self) -> GuardedAttempts:
-        """All attempts of the exchange."""
+        """The engine side of the exchange, with all its attempts."""
 
     @property
     def is_open(self) -> bool:
@@ -60,26 +60,26 @@
 
     @property
     def answered(self) -> bool:
-        """Whether no answer is owed any more."""
+        """Whether the final answer has been sent, or is no longer needed as the client has disconnected."""
 
     def trace(self, step: TraceStep, *details: object) -> None:
-        """Note a step of the request."""
+        """Record a step of the request in the trace."""
 
     def notify_planner(self, event: Event) -> None:
         """Send an event to the planner of the request."""
 
     def send_page(self, data: bytes, on_sent: Callable[[], None]) -> None:
-        """The attempt has a page of the result for the client."""
+        """Send a result page of the attempt to the client."""
 
     def on_send_refused(self, attempt: "Attempt", refusal: SendRefusal) -> None:
-        """The attempt must not be written."""
+        """Handle the send guard's refusal to let the attempt be written."""
 
     def on_attempt_ended(self, attempt: "Attempt", code: OutcomeCode) -> None:
-        """The attempt has ended; called once."""
+        """Handle the end of the attempt; called exactly once per attempt."""
 
 
 def outcome_of_unknown_request(request_id: int, endpoint: str) -> AttemptOutcome:
-    """The outcome of an attempt that was not sent, as the exchange that counts the attempts has ended."""
+    """The outcome of an attempt that was not sent because its exchange, which numbers attempts, has ended."""
     return AttemptOutcome(
         request_id=request_id,
         final=True,
@@ -94,13 +94,13 @@
 
 
 def _ignore() -> None:
-    """The caller does not wait for the page to be sent."""
+    """The default of `on_sent`, for callers without flow control."""
 
 
 class Attempt:
-    """One attempt of an exchange; the engine client reports to it (see `AttemptHandle`).
+    """One attempt of an exchange; the engine client reports to it through `AttemptHandle`.
 
-    `number` is the planner's count of the attempts of the exchange.
+    `number` is the attempt's number within the exchange, as the planner counts attempts.
     """
 
     __slots__ = (
@@ -116,7 +116,7 @@
         endpoint: str,
         terms: AttemptTerms,
     ) -> None:
-        """An attempt in flight from now on."""
+        """Create the attempt as in flight, starting now."""
         self.exchange = exchange
         self.engine_client = engine_client
         self.number = number
@@ -125,20 +125,20 @@
         self.memory_mb = terms.memory_mb
         self.priority = terms.priority
         self.in_flight = True
-        self.duration = 0  # nanoseconds until the engine had finished the work; 0: it has not
-        self.reported_work = 0  # nanoseconds, as the engine reports it; 0: not reported
-        self.used_mb = 0.0  # as the engine reports it; 0: not reported
-        self.pages: list[bytes] = []  # of a result that is collected, not streamed
+        self.duration = 0  # nanoseconds until the engine had finished executing; 0: not finished
+        self.reported_work = 0  # nanoseconds of work that the engine reported; 0: not reported
+        self.used_mb = 0.0  # memory use that the engine reported; 0: not reported
+        self.pages: list[bytes] = []  # result pages, where the result is buffered rather than streamed
 
     @property
     def request(self) -> ClientRequest:
-        """The request that the attempt runs."""
+        """The client request of the exchange."""
         return self.exchange.request
 
-    # ---- events of the engine client
+    # ---- events from the engine client
 
     def may_be_written(self) -> bool:
-        """Whether the request may leave now; a client that has left is noticed here at the latest."""
+        """Whether the request may be written now; the last check for a client that has disconnected."""
         refusal = self.exchange.context.send_guard.refusal_to_write(self)
         if refusal is None:
             return True
@@ -146,14 +146,14 @@
         return False
 
     def on_written(self) -> None:
-        """The request has left for the engine to its last byte."""
+        """Count the request as forwarded, its last byte having been written to the engine."""
         context = self.exchange.context
         context.counters.forwards += 1
         context.send_guard.check_written(self)
         self.exchange.trace(TraceStep.ATTEMPT_WRITTEN, self.endpoint)
 
     def on_progress(self, kind: ProgressKind, level: float) -> None:
-        """Pass a progress note of the engine on to the planner, and a spill to the observer."""
+        """Forward a progress note of the engine to the planner, and report a spill to the observer."""
         if not self.in_flight:
             return
         exchange = self.exchange
@@ -163,16 +163,16 @@
         exchange.notify_planner(ProgressNote(exchange.request_id, self.number, self.endpoint, kind, level))
 
     def on_executed(self) -> None:
-        """The engine has finished the work; what follows is the transfer of the result."""
+        """Record the run time: the engine has finished executing, and only the result transfer remains."""
         self.duration = self.duration or self.exchange.context.clock() - self.sent_at
 
     def on_measured(self, work_ns: int, used_mb: float) -> None:
-        """The work and the memory that the engine itself reports; 0: not reported."""
+        """Record the work and the memory use that the engine reports; 0: not reported."""
         self.reported_work = work_ns
         self.used_mb = used_mb
 
     def on_page(self, data: bytes, on_sent: Callable[[], None] = _ignore) -> None:
-        """Stream a page of the result to the client, or collect it until the attempt ends."""
+        """Stream a result page to the client, or buffer it until the attempt ends."""
         if not self.in_flight:
             return
         if self.exchange.streams_results:
@@ -181,39 +181,39 @@
             self.pages.append(data)
 
     def on_ended(self, code: OutcomeCode) -> None:
-        """End the attempt; only the first call counts."""
+        """End the attempt; calls after the first one are ignored."""
         if self.in_flight:
             self.in_flight = False
             self.exchange.on_attempt_ended(self, code)
 
-    # ---- commands of the exchange
+    # ---- commands from the exchange
 
     def withdraw(self) -> bool:
-        """End the attempt as never sent, if nothing of it has left; whether that was so."""
+        """End the attempt as not sent if no byte of it has been sent; return whether this was the case."""
         if not self.engine_client.withdraw(self):
             return False
         self.on_ended(OutcomeCode.NOT_SENT)
         return True
 
     def abort(self, code: OutcomeCode) -> None:
-        """End the attempt at once: as never sent if that is so, else cancelled with this code."""
+        """End the attempt at once: as not sent if no byte was sent, else by cancelling it, with `code`."""
         if not self.withdraw() and self.in_flight:
             self.engine_client.cancel(self)
             self.on_ended(code)
 
     def on_send_deadline(self) -> None:
-        """Withdraw the attempt if nothing of it has left when it may no longer be sent.
+        """Withdraw the attempt if no byte of it has been sent by its send deadline.
 
-        A dial that takes long, or an engine that stops reading, may outlast the time in which engines
-        recognise a duplicate; the request would then run twice. What is withdrawn here can never leave.
+        A slow dial, or an engine that stops reading, may delay the attempt beyond the deduplication window of
+        the engines, and the request could then run twice. A withdrawn attempt is never sent.
         """
         if self.in_flight:
             self.withdraw()
 
-    # ---- reports of its end
+    # ---- reports of the end
 
     def outcome(self, code: OutcomeCode, duration: int) -> AttemptOutcome:
-        """The event for the planner that reports the end of the attempt; `duration` in nanoseconds."""
+        """The event that reports the end of the attempt to the planner; `duration` is in nanoseconds."""
         return AttemptOutcome(
             request_id=self.exchange.request_id,
             final=self.exchange.answered,
@@ -227,7 +227,7 @@
         )
 
     def notify_observer(self, code: OutcomeCode, duration: int) -> None:
-        """Report the end of the attempt to the observer, if the statement has a fingerprint."""
+        """Report the end of the attempt to the observer if the statement has a fingerprint."""
         exchange = self.exchange
         observer = exchange.context.observer
         if not self.request.fingerprint or not observer:
--- a/query_gateway/forwarder/class_numbers.py
+++ b/query_gateway/forwarder/class_numbers.py
@@ -1,4 +1,4 @@
-"""The numbers of request classes: which number stands for which class name across configuration reloads."""
+"""Assigns numbers to request classes and keeps them stable across configuration reloads."""
 
 from collections.abc import Collection, Iterable, Mapping
 
@@ -8,10 +8,10 @@
 def assign_class_numbers(
     names: Iterable[str], current: Mapping[str, int], in_use: Collection[int]
 ) -> dict[str, int]:
-    """Number each class name; `in_use` are the numbers that open requests still refer to.
+    """Map each class name to a number; `in_use` are the numbers that open requests still refer to.
 
-    A name keeps the number that it has in `current`. Every other name gets the lowest number that stands for
-    no class and is not in use.
+    A name that is in `current` keeps its number. Every other name gets the lowest number that is neither
+    assigned to a class nor in use.
     """
     names = list(names)
     numbers = {name: current[name] for name in names if name in current}
@@ -30,9 +30,9 @@
 def class_settings_by_number(
     previous: tuple[ClassSettings, ...], current: Mapping[int, ClassSettings]
 ) -> tuple[ClassSettings, ...]:
-    """Class settings indexed by class number.
+    """The class settings indexed by class number.
 
-    A number without a class keeps its previous settings, which requests that are still open run under.
+    The number of a retired class keeps its previous settings, which still apply to its open requests.
     """
     size = max(len(previous), *(number + 1 for number in current))
     return tuple(current[number] if number in current else previous[number] for number in range(size))
--- a/query_gateway/forwarder/exchange.py
+++ b/query_gateway/forwarder/exchange.py
@@ -1,16 +1,17 @@
 """One exchange: a request, its attempts, and exactly one final answer.
 
     OPEN --first page of a streamed result--> STREAMING
-    OPEN, STREAMING --answer: attempt, planner or deadline--> ANSWERED
-    OPEN, STREAMING --abandon: the client has left--> ANSWERED, no answer is owed
+    OPEN, STREAMING --answer: by an attempt, the planner or the deadline--> ANSWERED
+    OPEN, STREAMING --abandon: the client has disconnected--> ANSWERED, without sending an answer
 
-Only here are the client's side and the engine's side connected. A planner decides what happens to the
-request; the forwarder owes the answer, so the deadline ends every exchange, whatever a planner does:
+This is the only module that connects the client side with the engine side. A planner decides what happens to
+the request, but the forwarder guarantees the answer: the deadline ends every exchange, even if the planner
+does not respond.
 
-    deadline                       the attempt in flight ends, the planner may still decide on the answer
-    deadline + PLANNER_GRACE_NS    without an answer the request has failed
+    deadline                       the attempt in flight ends; the planner may still choose the answer
+    deadline + PLANNER_GRACE_NS    the exchange is failed if it has no answer yet
 
-An exchange is settled, and the forwarder forgets it, when it is ANSWERED and no attempt is in flight.
+An exchange is settled, and is removed by the forwarder, once it is ANSWERED and has no attempt in flight.
 """
 
 from collections.abc import Callable
@@ -27,20 +28,20 @@
 from query_gateway.model.events import Event, OutcomeCode, RequestAbandoned
 from query_gateway.model.units import MS
 
-ANSWER_SLACK_NS: Final = 400 * MS  # after its deadline a request counts as answered in time for so long
-PLANNER_GRACE_NS: Final = 5 * MS  # after a deadline the planner has so long to decide on the answer
+ANSWER_SLACK_NS: Final = 400 * MS  # answers later than this after the deadline violate ANSWERED_IN_TIME
+PLANNER_GRACE_NS: Final = 5 * MS  # time for the planner to choose the answer after the deadline
 
 
 class ExchangeState(Enum):
-    """What the client has been sent. `Exchange` names the transitions; none leads back."""
+    """What has been sent to the client. The module lists the transitions; no state is entered again."""
 
-    OPEN = "open"  # nothing: any attempt may still serve the request
+    OPEN = "open"  # nothing yet: any attempt may still serve the request
     STREAMING = "streaming"  # result pages: only the attempt that sent them can complete the result
-    ANSWERED = "answered"  # the final answer, or the client has left and none is owed
+    ANSWERED = "answered"  # the final answer, or no answer is needed as the client has disconnected
 
 
 class Exchange:
-    """One request; the forwarder keeps it until it is settled."""
+    """One client request; the forwarder keeps the exchange until it is settled."""
 
     __slots__ = (
         "context", "request_id", "request", "client", "planner", "engine_side", "streams_results", "timer",
@@ -50,29 +51,29 @@
     def __init__(
         self, context: ExchangeContext, request_id: int, request: ClientRequest, client: Client, wire: str
     ) -> None:
-        """An open exchange that is routed to a planner, which does not know of it yet.
+        """Create an open exchange and choose its planner, which is not notified yet.
 
-        `wire` names the engine client that its attempts are sent with.
+        `wire` selects the engine client that sends the attempts.
         """
         self.context = context
         self.request_id = request_id
         self.request = request
         self.client = client
         self.planner = context.router.planner_for(request.key)
-        # The settings at its start apply until its end, whatever a configuration reload changes
+        # Kept for the whole exchange, so that a configuration reload does not affect open requests
         self.class_settings = context.state.settings.classes[request.class_index]
         self.engine_side = EngineSide(context, wire, self.class_settings)
         self.streams_results = self.engine_side.engine_client.streams_results
         self.state = ExchangeState.OPEN
-        self.abandoned = False  # its client has left
+        self.abandoned = False  # whether the client has disconnected
         self.accepted_at = context.clock()
-        self.ended_at: int | None = None  # clock time from which no answer was owed
-        self.planner_notified = False  # whether the planner has the request and gets its events
-        self.timer: Timer | None = None  # of the deadline, then of the planner's grace
+        self.ended_at: int | None = None  # clock time when the exchange became ANSWERED
+        self.planner_notified = False  # whether the planner knows of the request and receives its events
+        self.timer: Timer | None = None  # for the deadline, then for the planner's grace period
 
     @property
     def answered(self) -> bool:
-        """Whether no answer is owed any more: it was given, or the client has left without one."""
+        """Whether the final answer has been sent, or is no longer needed as the client has disconnected."""
         return self.state is ExchangeState.ANSWERED
 
     @property
@@ -82,24 +83,24 @@
 
     @property
     def is_streaming(self) -> bool:
-        """Whether the client has result pages and waits for more."""
+        """Whether the client has received result pages and waits for more."""
         return self.state is ExchangeState.STREAMING
 
     def trace(self, step: TraceStep, *details: object) -> None:
-        """Note a step of this request and its details, where requests are traced."""
+        """Record a step of this request with its details, if request tracing is on."""
         if sink := self.context.request_trace:
             text = " ".join(map(str, details))
             sink.record(self.context.clock(), self.request_id, self.request.client_request_id, step, text)
 
     def notify_planner(self, event: Event) -> None:
-        """Send an event to the planner, if it knows of this exchange."""
+        """Send an event to the planner if it knows of this exchange."""
         if self.planner_notified:
             self.planner.notify(event)
 
-    # ---- commands of the planner
+    # ---- commands from the planner
 
     def forward(self, endpoint: str) -> None:
-        """Send an attempt to an endpoint, or report to the planner that it was not sent."""
+        """Send an attempt to an endpoint, or report to the planner that the send guard refused it."""
         attempt = self.engine_side.next_attempt(self, endpoint)
         if refusal := self.context.send_guard.refusal_to_start(self, endpoint):
             attempt.in_flight = False
@@ -110,9 +111,10 @@
         self.engine_side.start(attempt)
 
     def cancel(self, attempt_number: int) -> None:
-        """Cancel an attempt that is in flight; only the client, the engine or the deadline ends a stream.
+        """Cancel an attempt in flight, unless it is streaming.
 
-        The client has pages of a streaming attempt, and no other attempt could complete its result.
+        Once the client has pages of an attempt, no other attempt can complete the result. A stream is
+        therefore ended only by the client, the engine or the deadline.
         """
         attempt = self.engine_side.current_attempt
         if self.is_streaming or attempt is None or attempt.number != attempt_number:
@@ -121,28 +123,28 @@
             self.engine_side.cancel(attempt)
 
     def set_terms(self, terms: AttemptTerms) -> None:
-        """Set the terms of further attempts; of one in flight only the priority can change."""
+        """Set the terms of later attempts; for an attempt in flight only the priority changes."""
         self.engine_side.set_terms(terms)
 
-    # ---- events of the engine client, through the attempt
+    # ---- events from the engine client, passed on by the attempt
 
     def send_page(self, data: bytes, on_sent: Callable[[], None]) -> None:
-        """Stream a page to the client; from the first one on no other attempt can serve the request."""
+        """Stream a page to the client; after the first page no other attempt can serve the request."""
         if not self.answered:
             self.state = ExchangeState.STREAMING
             self.client.send_page(data, on_sent)
 
     def on_send_refused(self, attempt: Attempt, refusal: SendRefusal) -> None:
-        """The send guard has refused to write an attempt; its engine client ends it as not sent."""
+        """Trace the send guard's refusal to write an attempt; the engine client then ends it as not sent."""
         self.trace(TraceStep.SEND_REFUSED, attempt.endpoint, refusal.value)
         if refusal is SendRefusal.CLIENT_LEFT:
             self.abandon()
 
     def on_attempt_ended(self, attempt: Attempt, code: OutcomeCode) -> None:
-        """Answer the client if the end of the attempt settles the request, then report it.
+        """Answer the client if the outcome decides the request, then report the outcome.
 
-        The client is answered before the planner is notified: the outcome shows whether the request is over,
-        and the planner may then send the next request of the same key.
+        The client is answered before the planner is notified, because the outcome states whether the request
+        has ended, after which the planner may send the next request of the same key.
         """
         self.engine_side.note_ended(attempt, code)
         duration = self.context.clock() - attempt.sent_at
@@ -152,7 +154,7 @@
         if not self.answered and code is OutcomeCode.OK:
             self.answer(Answer(Verdict.SERVED, tuple(attempt.pages)))
         elif self.is_streaming:
-            # The client has pages of this attempt: a rejection would be untrue, a retry cannot complete them
+            # The client already has pages of this attempt, so the request can be neither rejected nor retried
             self.answer(Answer(Verdict.FAILED))
         attempt.pages.clear()
         attempt.notify_observer(code, duration)
@@ -162,7 +164,7 @@
     # ---- the final answer
 
     def answer(self, answer: Answer) -> None:
-        """Give the one final answer; any later one is ignored."""
+        """Send the final answer; later calls are ignored."""
         if self.answered:
             return
         if answer.verdict is Verdict.REJECTED and not self._check_rejection():
@@ -173,7 +175,7 @@
         self.client.send_answer(answer)
 
     def _check_rejection(self) -> bool:
-        """Whether the request may be rejected: a rejection promises that a retry has no second effect."""
+        """Whether the request may be rejected, which guarantees that a retry has no second effect."""
         if self.is_streaming:
             return False
         if self.engine_side.may_be_rejected:
@@ -183,42 +185,43 @@
         return False
 
     def abandon(self) -> None:
-        """The client has left: no answer is owed."""
+        """End the exchange without an answer, as the client has disconnected."""
         if not self.answered:
             self.abandoned = True
             self._end()
             self.trace(TraceStep.ABANDONED)
             self.notify_planner(RequestAbandoned(self.request_id))
-            # A planner process may cancel late or never, and an engine would run a request without a client:
-            # what has not left is withdrawn here, whatever the planner does
+            # Does not rely on the planner process, which may cancel late or never: an attempt that is still
+            # unsent is withdrawn, so that no engine runs a request without a client
             self.engine_side.withdraw()
             self.settle()
 
     def _end(self) -> None:
-        """No answer is owed from now on."""
+        """Enter ANSWERED, and check that the deadline was met."""
         self.state = ExchangeState.ANSWERED
         self.ended_at = now = self.context.clock()
-        # One whose deadline was over already when it was accepted is answered at once
+        # A request whose deadline had already passed on acceptance is measured from its acceptance
         if now > max(self.request.deadline, self.accepted_at) + ANSWER_SLACK_NS:
             details = f"request {self.request.client_request_id}"
             self.context.invariants.report(Invariant.ANSWERED_IN_TIME, details)
 
     def settle(self) -> None:
-        """Let the forwarder forget the exchange, if it is answered and has no attempt in flight."""
+        """Have the forwarder remove the exchange if it is answered and has no attempt in flight."""
         if self.answered and not self.engine_side.has_attempt_in_flight:
             self.context.on_settled(self.request_id)
 
     # ---- deadlines and the loss of the planner
 
     def on_deadline(self) -> None:
-        """End the attempt in flight, if any; the planner has a grace period to decide on the answer."""
+        """End the attempt in flight, if any, and give the planner a grace period to choose the answer."""
         self.timer = self.context.call_at(self.request.deadline + PLANNER_GRACE_NS, self.on_overdue)
         self.engine_side.abort(OutcomeCode.TIMEOUT)
 
     def on_overdue(self) -> None:
-        """No planner has ended the exchange in time: fail it, or reject what no planner was notified of.
+        """Answer for a planner that has not ended the exchange within the grace period.
 
-        Key quarantine, or an earlier request that may still be unread, has held the latter until now.
+        The request is failed, or rejected if no planner was notified of it. The latter has been waiting for
+        the end of a key quarantine, or for an earlier request that may still be unread.
         """
         if not self.answered:
             self.answer(Answer(Verdict.FAILED if self.planner_notified else Verdict.REJECTED))
@@ -227,12 +230,12 @@
         self.settle()
 
     def end_without_planner(self) -> None:
-        """End the exchange, as its planner is lost: rejected where a client's retry is safe, else failed."""
+        """End the exchange after the loss of its planner: as rejected if a retry is safe, else as failed."""
         self.planner_notified = False
         self.trace(TraceStep.PLANNER_LOST)
-        # Withdrawn first: an attempt of which nothing has left never ran, so it does not rule out a rejection
+        # Withdrawn first, because an attempt that was never sent does not rule out a rejection
         self.engine_side.withdraw()
-        may_be_rejected = self.engine_side.may_be_rejected  # while the attempt is in flight, as it may run
+        may_be_rejected = self.engine_side.may_be_rejected  # read before abort: an attempt in flight may run
         self.engine_side.abort(OutcomeCode.CANCELLED)
         self.answer(Answer(Verdict.REJECTED if may_be_rejected else Verdict.FAILED))
         self.settle()
--- a/query_gateway/forwarder/exchange_context.py
+++ b/query_gateway/forwarder/exchange_context.py
@@ -1,4 +1,4 @@
-"""What every exchange of a forwarder is given: clock, timers, send guard, and who records what happens."""
+"""The shared dependencies of a forwarder's exchanges: clock, timers, engine clients, send guard and sinks."""
 
 from collections.abc import Callable
 from dataclasses import dataclass
@@ -14,17 +14,17 @@
 
 
 class ForwardingEngineClient(EngineClient, Protocol):
-    """An engine client as the forwarder is given it."""
+    """An engine client with the properties that the forwarder needs."""
 
-    streams_results: bool  # result pages go on as they come, else the result is collected first
+    streams_results: bool  # whether result pages are passed on as they arrive rather than buffered
 
 
 @dataclass(slots=True)
 class ExchangeContext:
-    """The surroundings of all exchanges. The forwarder owns it; exchanges and attempts read it.
+    """The shared dependencies. The forwarder owns the context; exchanges and attempts read it.
 
-    `clock` gives nanoseconds and `call_at` takes its times. `on_settled` is called with the request id of an
-    exchange that is answered and has no attempt in flight, at least once.
+    `clock` returns nanoseconds, and `call_at` takes times of this clock. `on_settled` is called at least once
+    with the request id of an exchange that is answered and has no attempt in flight.
     """
 
     clock: Callable[[], int]
--- a/query_gateway/forwarder/forwarder.py
+++ b/query_gateway/forwarder/forwarder.py
@@ -1,8 +1,9 @@
-"""The forwarder: the table of open exchanges, between the servers, the engine clients and the planners.
+"""The forwarder: the table of open exchanges, which connects servers, engine clients and planners.
 
-A server calls `accept`; the planner of the request is notified; its actions come back to `apply`; exchanges
-call engine clients; what engine clients report goes up through the attempt and the exchange, and ends at the
-client and the planner. The modules import downwards only:
+A server calls `accept`, and the forwarder notifies the planner of the request. The actions of the planner are
+passed to `apply`, which makes exchanges call engine clients. Engine clients report to the attempt, which
+passes the reports up to the exchange and from there to the client and the planner. Modules import only those
+to their right:
 
     forwarder > exchange > engine_side > attempt > exchange_context > send_guard > slow_start_budgets
 """
@@ -39,15 +40,15 @@
 from query_gateway.model.events import EndpointUpdate, Request
 from query_gateway.model.settings import Settings
 
-ONLY_TENANT: Final = 0  # no client protocol names a tenant, so every request counts for the first one
+DEFAULT_TENANT: Final = 0  # no client protocol carries a tenant, so all requests count for the first one
 
 
 class Forwarder:
-    """Accepts requests, carries out what planners decide, and owes each request one final answer.
+    """Accepts requests, carries out the planners' decisions, and gives each request one final answer.
 
-    It owns the exchanges and the endpoint list; the caller owns servers, engine clients and planners.
-    Planners are added at start, engine clients before the first request of their wire. The trace and the
-    observer, if any, are set in `context`.
+    The forwarder owns the exchanges and the endpoint list; its caller owns servers, engine clients and
+    planners. Planners are added at start, engine clients before the first request on their wire. The trace
+    sink and the observer are optional and are set in `context`.
     """
 
     def __init__(
@@ -60,24 +61,25 @@
     ) -> None:
         """Start without planners, engine clients and endpoints.
 
-        `clock` gives nanoseconds and `call_at` takes its times. Requests beyond `max_exchanges` are rejected.
+        `clock` returns nanoseconds, and `call_at` takes times of this clock. Requests that would exceed
+        `max_exchanges` open exchanges are rejected.
         """
         self.clock = clock
         self.max_exchanges = max_exchanges
         self.next_request_id = first_request_id
         self.exchanges: dict[int, Exchange] = {}  # by request id
-        self.open_client_request_ids: set[str] = set()  # the clients' ids of the requests in `exchanges`
-        self.on_idle: Callable[[], None] = lambda: None  # called when the last exchange has ended
+        self.open_client_request_ids: set[str] = set()  # of the requests in `exchanges`
+        self.on_idle: Callable[[], None] = lambda: None  # called when the last exchange has been settled
         self.state = ForwarderState(settings)
         self.engine_clients: dict[str, ForwardingEngineClient] = {}  # by wire
         self.router = PlannerRouter()
         self.key_quarantine = KeyQuarantine(clock, call_at, self._pass_to_planner)
-        self.arrival_order: ArrivalOrder | None = None  # None: requests come in order
+        self.arrival_order: ArrivalOrder | None = None  # None: requests are read in order
         self.counters = Counters()
         self.predecessor_fence = PredecessorFence(
             self.router, self.key_quarantine, lambda: self.state.settings
         )
-        self.past_abort_time = False  # too late before the process ends to begin anything
+        self.past_abort_time = False  # the process is about to exit: no new requests
         self.early_rejections = EarlyRejections(self.counters, clock, lambda: self.context.request_trace)
         self.invariants = InvariantChecks()
         self.slow_start_budgets = SlowStartBudgets()
@@ -105,18 +107,18 @@
 
     @property
     def planners(self) -> list[PlannerConnection]:
-        """The planners, by index."""
+        """The planners, ordered by index."""
         return self.router.planners
 
     @property
     def open_request_count(self) -> int:
-        """The requests that are not answered; an answered exchange may stay until its attempt has ended."""
+        """The number of unanswered requests; `exchanges` also has answered ones with an attempt in flight."""
         return sum(not exchange.answered for exchange in self.exchanges.values())
 
     # ---- requests
 
     def accept(self, request: ClientRequest, client: Client, wire: str) -> Exchange:
-        """Take a request; from here on one final answer is owed, which may be given before this returns."""
+        """Accept a request; it gets exactly one final answer, possibly before this method returns."""
         exchange = Exchange(self.context, self.next_request_id, request, client, wire)
         self.next_request_id += 1
         if self.context.request_trace:
@@ -132,43 +134,45 @@
         if request.key and self.arrival_order and self.arrival_order.must_wait(request.received_at):
             exchange.trace(TraceStep.HELD_FOR_ORDER)
             self.arrival_order.queue(
-                exchange.request_id, request.received_at, lambda: self._take_in_order(exchange)
+                exchange.request_id,
+                request.received_at,
+                lambda: self._quarantine_or_pass_to_planner(exchange),
             )
         else:
-            self._take_in_order(exchange)
+            self._quarantine_or_pass_to_planner(exchange)
         return exchange
 
-    def _take_in_order(self, exchange: Exchange) -> None:
-        """Pass on a request before which no other of its key is unknown."""
+    def _quarantine_or_pass_to_planner(self, exchange: Exchange) -> None:
+        """Queue a request for a key quarantine that applies to it, else pass it to its planner."""
         if self.key_quarantine.applies_to(exchange.planner.index, exchange.request.key):
             self.key_quarantine.queue(exchange.planner.index, exchange)
         else:
             self._pass_to_planner(exchange)
 
     def call_in_order(self, arrived_at: int, callback: Callable[[], None]) -> None:
-        """Call once every request with a key that came before a clock time has been passed on."""
+        """Call `callback` once all requests with a key that arrived before `arrived_at` were passed on."""
         if self.arrival_order:
             self.arrival_order.queue(object(), arrived_at, callback)
         else:
             callback()
 
     def keep_arrival_order(self, watermark: Watermark) -> ArrivalOrder:
-        """Put requests with a key in the order of their arrival from now on; the caller calls `release`."""
+        """Order requests with a key by arrival from now on; the caller calls `ArrivalOrder.release`."""
         self.arrival_order = ArrivalOrder(watermark)
         return self.arrival_order
 
     @property
     def held_for_order_count(self) -> int:
-        """How many requests with a key wait until every earlier one is known."""
+        """The number of requests with a key that wait until all earlier ones have been read."""
         return self.arrival_order.waiting_count if self.arrival_order else 0
 
     def _immediate_answer(self, exchange: Exchange) -> Answer | None:
-        """The answer to a request that is not even passed to a planner."""
+        """The answer to a request that is not passed to a planner, or None if it is."""
         if reason := self._early_rejection(exchange):
             self.early_rejections.record(exchange.request.client_request_id, reason, exchange.request_id)
             return self.rejection()
         if exchange.request.client_request_id in self.open_client_request_ids:
-            # An id stands for one request at the engines, so a second one cannot be sent beside it
+            # Engines identify a request by this id, so two open requests cannot share it
             return Answer(Verdict.FAILED)
         return None
 
@@ -176,7 +180,7 @@
         if self.past_abort_time:
             return EarlyRejection.STOPPING
         if len(self.exchanges) >= self.max_exchanges:
-            # More than could be served in time would only fill the memory
+            # Requests that cannot be served in time would only use up memory
             return EarlyRejection.REQUEST_LIMIT
         if not exchange.planner.connected:
             return EarlyRejection.NO_PLANNER
@@ -185,13 +189,13 @@
         return None
 
     def reject_unaccepted(self, client_request_id: str, class_name: str, reason: EarlyRejection) -> Answer:
-        """The answer to a request that a front rejects before it calls `accept`; counts and traces it."""
+        """Count and trace a request that a front rejects without calling `accept`, and return its answer."""
         self.early_rejections.record(client_request_id, reason)
         self.counters.count_answer(class_name, Verdict.REJECTED)
         return self.rejection()
 
     def rejection(self) -> Answer:
-        """What a request gets that no planner decides on: the longest Retry-After of the settings."""
+        """The rejection of a request that no planner decides on, with the maximum Retry-After."""
         return Answer(Verdict.REJECTED, retry_after_ns=self.settings.max_retry_after)
 
     def _pass_to_planner(self, exchange: Exchange) -> None:
@@ -204,7 +208,7 @@
         exchange.notify_planner(_request_event(exchange.request_id, exchange.request))
 
     def _on_settled(self, request_id: int) -> None:
-        """Forget an exchange that is answered and has no attempt in flight; a second call does nothing."""
+        """Remove an exchange that is answered and has no attempt in flight; later calls have no effect."""
         exchange = self.exchanges.pop(request_id, None)
         if exchange is None:
             return
@@ -218,12 +222,12 @@
         if not self.exchanges:
             self.on_idle()
 
-    # ---- what planners decide
+    # ---- planner actions
 
     def apply(self, action: Action, planner_index: int = 0) -> None:
         """Carry out an action of a planner.
 
-        On an exchange that has ended it changes nothing; a `Forward` is answered as not sent.
+        Actions on a settled exchange are ignored, except that a `Forward` is reported back as not sent.
         """
         match action:
             case Forward(request_id, endpoint, _):
@@ -239,7 +243,7 @@
                 if exchange := self.exchanges.get(request_id):
                     exchange.set_terms(AttemptTerms(memory_mb, priority))
             case _:
-                pass  # health checks, polls and gossip belong to other wires than this one
+                pass  # health checks, polls and gossip are not handled by the forwarder
 
     def _forward(self, request_id: int, endpoint: str, planner_index: int) -> None:
         if exchange := self.exchanges.get(request_id):
@@ -259,15 +263,16 @@
     def update_settings(
         self, settings: Settings, planner_settings: list[Settings], new_classes: tuple[int, ...]
     ) -> None:
-        """Apply new settings to requests from here on; `planner_settings` has those of each planner."""
+        """Apply new settings to requests accepted from now on; `planner_settings` is ordered by planner."""
         self.state.settings = settings
         for planner, own_settings in zip(self.planners, planner_settings, strict=True):
             planner.update_settings(own_settings, new_classes)
 
     def update_endpoints(self, endpoints: list[Endpoint], is_snapshot: bool) -> None:
-        """Take in the endpoint list: a snapshot replaces what is known, else these entries have changed.
+        """Update the endpoint list: a snapshot replaces it, a delta has only the entries that have changed.
 
-        Engine clients are updated before planners are notified: attempts may then go to the new endpoints.
+        Engine clients are updated before the planners are notified, so that they know every endpoint to which
+        a planner may send an attempt.
         """
         for engine_name in self.state.update_endpoints(endpoints, is_snapshot):
             self.slow_start_budgets.forget(engine_name)
@@ -279,11 +284,11 @@
     # ---- planners
 
     def add_planner(self, notify: Notify, connected: bool, settings: Settings | None = None) -> None:
-        """Add a planner; `settings`, if any, are sent to it whenever it connects."""
+        """Add a planner; `settings`, if given, are sent to it whenever it connects."""
         self.router.add(notify, connected, settings)
 
     def on_planner_lost(self, planner_index: int) -> None:
-        """End all exchanges of a planner and quarantine its keys until what it had in flight has ended."""
+        """End all exchanges of a planner, and quarantine its keys until its attempts in flight have ended."""
         self.planners[planner_index].connected = False
         self.key_quarantine.start(planner_index, self.settings)
         for exchange in list(self.exchanges.values()):
@@ -291,18 +296,18 @@
                 exchange.end_without_planner()
 
     def on_planner_connected(self, planner_index: int) -> None:
-        """Let a planner that has started decide from here on."""
+        """Bring a planner that has started up to date and route requests to it from now on."""
         endpoints = tuple(endpoint.info for endpoint in self.endpoints.values())
         self.planners[planner_index].connect(endpoints)
 
 
 def _request_event(request_id: int, request: ClientRequest) -> Request:
-    """The event that notifies a planner of a request."""
+    """The event that notifies the planner of a request."""
     return Request(
         request_id=request_id,
         class_index=request.class_index,
         deadline=request.deadline,
-        tenant=ONLY_TENANT,
+        tenant=DEFAULT_TENANT,
         table_group=request.table_group,
         key=request.key,
         estimated_work=request.estimated_work,
--- a/query_gateway/forwarder/invariants.py
+++ b/query_gateway/forwarder/invariants.py
@@ -1,7 +1,7 @@
-"""Run-time checks of what must hold for every request; a violation is counted and reported, never raised.
+"""Run-time checks of the invariants of every request; violations are counted and reported, never raised.
 
-The guards prevent violations. The checks look at what has really happened, where it can no longer be changed:
-a code path that goes around a guard then shows in the log of a running process.
+Guards such as the send guard prevent violations. These checks examine events after they have happened, so
+that a code path that bypasses a guard becomes visible in the log of a running process.
 """
 
 from collections.abc import Callable
@@ -9,38 +9,40 @@
 
 
 class Invariant(Enum):
-    """What must hold; the values stand in the log."""
+    """The invariants; the values appear in the log."""
 
-    SENT_WHILE_OPEN = "sent-while-open"  # an attempt leaves while its request has no answer
-    SENT_FOR_CLIENT = "sent-for-a-client"  # and its client is connected
-    SENT_BEFORE_DEADLINE = "sent-in-time"  # and its deadline is ahead
-    SENT_TO_UP_ENDPOINT = "sent-to-an-up-endpoint"  # and its endpoint neither drains nor is removed
-    SINGLE_ATTEMPT = "one-attempt"  # no request has two attempts in flight
-    REPEATED_SAFELY = "repeated-safely"  # an attempt after one that may have run is one its class allows
-    REJECTED_SAFELY = "rejected-truly"  # a rejection promises that a retry has no second effect
-    ANSWERED_IN_TIME = "answered-in-time"  # the answer leaves no later than shortly after the deadline
-    ANSWERED_BEFORE_CLOSE = "answered-before-close"  # no connection ends over a request without its answer
+    SENT_WHILE_OPEN = "sent-while-open"  # an attempt is sent only while its request is unanswered
+    SENT_FOR_CLIENT = "sent-for-a-client"  # an attempt is sent only while its client is connected
+    SENT_BEFORE_DEADLINE = "sent-in-time"  # an attempt is sent only before the deadline of its request
+    SENT_TO_UP_ENDPOINT = "sent-to-an-up-endpoint"  # an attempt is sent only to an endpoint that is up
+    SINGLE_ATTEMPT = "one-attempt"  # a request has at most one attempt in flight
+    REPEATED_SAFELY = (
+        "repeated-safely"  # after an attempt that may have run, the class must allow another one
+    )
+    REJECTED_SAFELY = "rejected-truly"  # a request is rejected only if a retry has no second effect
+    ANSWERED_IN_TIME = "answered-in-time"  # the answer is sent no later than shortly after the deadline
+    ANSWERED_BEFORE_CLOSE = "answered-before-close"  # a connection closes only when its requests are answered
 
 
 def _ignore(invariant: Invariant, details: str) -> None:
-    """Drop the report."""
+    """Discard the report."""
 
 
 class InvariantChecks:
-    """Counts violations; `on_violation` gets each with its details."""
+    """Counts violations and passes each with its details to `on_violation`."""
 
     def __init__(self) -> None:
-        """Begin with no violation, and reports dropped."""
+        """Start with zero counts; reports are discarded until `on_violation` is set."""
         self.violations: dict[Invariant, int] = dict.fromkeys(Invariant, 0)
         self.on_violation: Callable[[Invariant, str], None] = _ignore
 
     @property
     def total(self) -> int:
-        """Violations since the process started."""
+        """The number of violations since the process started."""
         return sum(self.violations.values())
 
     def report(self, invariant: Invariant, details: str) -> None:
-        """Count a violation and pass it on."""
+        """Count a violation and pass it to `on_violation`."""
         self.violations[invariant] += 1
         self.on_violation(invariant, details)
 
--- a/query_gateway/forwarder/messages.py
+++ b/query_gateway/forwarder/messages.py
@@ -1,9 +1,9 @@
-"""What servers and engine clients exchange with the forwarder: small typed values, free of any wire.
+"""The types that servers and engine clients exchange with the forwarder, independent of any wire format.
 
-Times are clock times in nanoseconds, durations are nanoseconds unless a name has another unit.
+Times are clock times in nanoseconds, and durations are in nanoseconds unless the name has another unit.
 
-Events of an engine client go up through `AttemptHandle`, commands go down through `EngineClient`; results and
-the answer go up to the `Client`.
+An engine client reports events through `AttemptHandle` and receives commands through `EngineClient`. Result
+pages and the answer are sent to the `Client`.
 """
 
 from collections.abc import Callable
@@ -19,17 +19,17 @@
 
 
 class Timer(Protocol):
-    """A pending call that can be cancelled."""
+    """A scheduled call that can be cancelled."""
 
     def cancel(self) -> None:
-        """Do not make the call; without effect once it was made."""
+        """Cancel the call; no effect once it has been made."""
 
 
 CallAt = Callable[[int, Callable[[], None]], Timer]  # schedules a call at a clock time
 
 
 class Verdict(Enum):
-    """How a request ended for its client; the value is the word of the log."""
+    """How a request ended for its client; the values appear in the log."""
 
     SERVED = "served"
     REJECTED = "rejected"
@@ -37,22 +37,22 @@
 
 
 class EarlyRejection(Enum):
-    """Why a request was rejected without a planner; the value stands in the trace and the figures."""
+    """Why a request was rejected without asking a planner; the values appear in the trace and the figures."""
 
-    LOOP_LAG = "loop-lag"  # the event loop is late
+    LOOP_LAG = "loop-lag"  # the event loop is running late
     DRAINING = "draining"
-    STOPPING = "stopping"  # the process is about to end
-    CONNECTION_LIMIT = "connection-limit"  # its connection came beyond the limit
+    STOPPING = "stopping"  # the process is about to exit
+    CONNECTION_LIMIT = "connection-limit"  # its connection exceeds the connection limit
     NO_PARSER = "no-parser"  # its statement could not be parsed in time
-    STATEMENT_LIMIT = "statement-limit"  # as many statements of its shape run as may
-    REQUEST_LIMIT = "request-limit"  # as many requests are open as may be
+    STATEMENT_LIMIT = "statement-limit"  # the limit of running statements of its shape is reached
+    REQUEST_LIMIT = "request-limit"  # the limit of open exchanges is reached
     NO_PLANNER = "no-planner"  # its planner is not connected
-    PREDECESSOR_SERVES = "predecessor-serves"  # it has a key, and a process before this one orders these
+    PREDECESSOR_SERVES = "predecessor-serves"  # it has a key, and the predecessor still orders such requests
 
 
 @dataclass(slots=True, frozen=True)
 class RequestClass:
-    """What the servers know of a request class: its number in the settings, what its requests must bring."""
+    """What servers know of a request class: its number in the settings and what its requests must carry."""
 
     index: int
     needs_idempotency_key: bool
@@ -64,61 +64,61 @@
 
 @dataclass(slots=True, frozen=True)
 class ClientRequest:
-    """One request of a client, as any server decodes it; a client's retry is a request of its own."""
+    """One client request in the form common to all servers; a client's retry is a separate request."""
 
-    client_request_id: str  # the client's id for this request, passed on unchanged
+    client_request_id: str  # the client's id for this request, forwarded unchanged
     class_index: int
     class_name: str
     statement: bytes
-    deadline: int  # clock time: when the answer must have left, the way back to the client taken off
+    deadline: int  # clock time by which the answer must be sent, with the transfer to the client deducted
     is_retry: bool
-    key: str | None  # requests of one key run one after the other
+    key: str | None  # requests with the same key run one at a time
     idempotency_key: str | None
     estimated_work: int | None  # processor time in nanoseconds over all threads
     estimated_memory_mb: float
     table_group: float | None
-    received_at: int = 0  # clock time when it had come, as exactly as is known: requests of a key go by it
-    is_update: bool = False  # a statement without a result, on a wire that distinguishes these
-    fingerprint: bytes = b""  # of the parsed statement; empty: not parsed, so nothing is learned from it
+    received_at: int = 0  # clock time of arrival, as exactly as is known; orders the requests of a key
+    is_update: bool = False  # a statement without a result, on wires that distinguish these
+    fingerprint: bytes = b""  # of the parsed statement; empty: not parsed, and not used for learned state
 
 
 @dataclass(slots=True, frozen=True)
 class Answer:
-    """The one final answer to a request."""
+    """The final answer to a request."""
 
     verdict: Verdict
-    pages: tuple[bytes, ...] = ()  # of a served result that was not passed on page by page
-    retry_after_ns: int = 0  # with a rejection: how long the client keeps away; 0: not at all
+    pages: tuple[bytes, ...] = ()  # the result of a served request, unless it was streamed
+    retry_after_ns: int = 0  # for a rejection: how long the client should wait before a retry; 0: no wait
 
     @property
     def retry_after_ms(self) -> int:
-        """The same in milliseconds, rounded up, as the fronts send it."""
+        """`retry_after_ns` in milliseconds, rounded up, as the fronts send it."""
         return -(-self.retry_after_ns // MS)
 
 
 @dataclass(slots=True, frozen=True)
 class Endpoint:
-    """An engine on the endpoint list with its address on each wire that it speaks, by the wire's name."""
+    """An engine on the endpoint list, with its address on each wire that it supports, by name of the wire."""
 
     info: EndpointInfo
     addresses: dict[str, str]
 
 
 class Client(Protocol):
-    """The client's side of an exchange: gets result pages, where these are streamed, and one answer."""
+    """The client side of an exchange: receives streamed result pages, if any, and one answer."""
 
     def has_left(self) -> bool:
-        """Whether the client has closed or cancelled, as far as the machine knows just now."""
+        """Whether the client has disconnected or cancelled, as far as the kernel knows at this moment."""
 
     def send_page(self, page: bytes, on_sent: Callable[[], None]) -> None:
-        """Send one page; `on_sent` is called when it has left, so that the engine may send more."""
+        """Send one page; `on_sent` is called when it has been sent, for flow control of the engine."""
 
     def send_answer(self, answer: Answer) -> None:
-        """Send the final answer; called once at most, and nothing is sent after it."""
+        """Send the final answer; called at most once, after which nothing else is sent."""
 
 
 class AttemptHandle(Protocol):
-    """What an engine client sees of an attempt, and reports about it."""
+    """The interface of an attempt to its engine client, which reports events to it."""
 
     endpoint: str
     sent_at: int
@@ -127,69 +127,69 @@
 
     @property
     def request(self) -> ClientRequest:
-        """The request that the attempt runs."""
+        """The client request of the exchange."""
 
     @property
     def in_flight(self) -> bool:
-        """Whether the attempt has not ended; an ended one changes nothing by what is reported."""
+        """Whether the attempt has not ended; reports after its end do not change its outcome."""
 
     def may_be_written(self) -> bool:
-        """Whether the request may leave now; must be called just before its first byte leaves.
+        """Whether the request may be written now; must be called right before its first byte is sent.
 
-        If not, the caller ends the attempt as not sent, unless it has ended.
+        If it may not, the caller ends the attempt as not sent, unless the attempt has already ended.
         """
 
     def on_written(self) -> None:
-        """The request has left for the engine to its last byte."""
+        """The last byte of the request has been written to the engine."""
 
     def on_progress(self, kind: ProgressKind, level: float) -> None:
-        """The engine sent a progress note."""
+        """The engine has sent a progress note."""
 
     def on_page(self, data: bytes, on_sent: Callable[[], None] = ...) -> None:
-        """One page of the result has come; `on_sent` is called when it has left for the client."""
+        """A result page has arrived; `on_sent` is called when the page has been sent to the client."""
 
     def on_executed(self) -> None:
-        """The engine has finished the work; what follows is the transfer of the result."""
+        """The engine has finished executing; only the transfer of the result remains."""
 
     def on_measured(self, work_ns: int, used_mb: float) -> None:
-        """The work and the memory that the engine itself reports; 0: not reported."""
+        """The engine has reported its work and memory use; 0: not reported."""
 
     def on_ended(self, code: OutcomeCode) -> None:
-        """The attempt has ended; a second end is ignored."""
+        """The attempt has ended; calls after the first one are ignored."""
 
 
 class QueryObserver(Protocol):
-    """Notified of what happens to requests whose statement has a fingerprint; it decides nothing here."""
+    """Observes requests whose statement has a fingerprint; has no influence on their exchanges."""
 
     def on_accepted(self, request: ClientRequest) -> None:
-        """The request is open from here on."""
+        """The request has been accepted and is open."""
 
     def on_settled(self, request: ClientRequest) -> None:
-        """The request is answered and no attempt of it is in flight; called once for each accepted one."""
+        """The request is answered and has no attempt in flight; called once per accepted request."""
 
     def on_spilled(self, request: ClientRequest, now: int) -> None:
-        """The engine reported that the statement spills to disk."""
+        """The engine has reported that the statement spills to disk."""
 
-    def on_attempt_ended(  # noqa: PLR0913, PLR0917 - six plain values, passed on as they are in one place
+    def on_attempt_ended(  # noqa: PLR0913, PLR0917 - six plain values, passed by a single caller
         self, request: ClientRequest, endpoint: str, code: OutcomeCode, work_ns: int, used_mb: float, now: int
     ) -> None:
-        """An attempt has ended; `work_ns` over all threads, `used_mb` 0 where the engine reports none."""
+        """An attempt has ended; `work_ns` is over all threads, `used_mb` is 0 if the engine reports none."""
 
 
 class EngineClient(Protocol):
-    """The engine side: starts, cancels and re-prioritizes attempts on one wire."""
+    """Starts, cancels and re-prioritizes attempts on one wire."""
 
     def start(self, attempt: AttemptHandle) -> None:
-        """Send the attempt to its endpoint; its end is reported to it, at once if it cannot be sent."""
+        """Send the attempt to its endpoint, and call its `on_ended`, at once if it cannot be sent."""
 
     def withdraw(self, attempt: AttemptHandle) -> bool:
-        """Whether nothing of the attempt had left, so that it surely never ran; then nothing will leave."""
+        """Prevent the attempt from being sent; False if some of it was sent, so that it may have run."""
 
     def cancel(self, attempt: AttemptHandle) -> None:
-        """Stop the attempt at the engine; its end is not reported for that."""
+        """Cancel the attempt at the engine, without calling its `on_ended`."""
 
     def set_priority(self, attempt: AttemptHandle) -> None:
-        """Pass the attempt's new priority on to the engine."""
+        """Send the attempt's new priority to the engine."""
 
     def update_endpoints(self, endpoints: list[Endpoint], is_snapshot: bool) -> None:
-        """Take in the endpoint list: a snapshot replaces what is known, else these entries have changed."""
+        """Update the endpoint list: a snapshot replaces it, a delta has only the changed entries."""
--- a/query_gateway/forwarder/planner_routing.py
+++ b/query_gateway/forwarder/planner_routing.py
@@ -1,8 +1,9 @@
-"""Planner routing: the planners of a forwarder, and which of them decides on a request.
+"""Planner routing: selects the planner that decides on a request.
 
-Inputs  the request's key, and which planners are connected
-Answer  one planner, from its acceptance until its end
-Reason  only one planner can keep the requests of a key in order; all others are spread evenly
+Input:      the key of the request, and which planners are connected
+Result:     one planner, for the whole life of the request
+Rationale:  only a single planner can keep the requests of a key in order; requests without a key are spread
+            evenly
 """
 
 from dataclasses import dataclass
@@ -16,42 +17,42 @@
 
 @dataclass(slots=True)
 class PlannerConnection:
-    """One planner as the forwarder reaches it, in this process or in another."""
+    """The connection to one planner, in this process or in another."""
 
     index: int
     notify: Notify
-    connected: bool  # whether events reach it
-    settings: Settings | None  # sent when it connects; None until a reload: it keeps those it started with
+    connected: bool  # whether events reach the planner
+    settings: Settings | None  # sent when it connects; None before a reload: it keeps those of its start
 
     def connect(self, endpoints: tuple[EndpointInfo, ...]) -> None:
-        """Send a planner that has started what it needs to decide: its settings, then all endpoints."""
+        """Send a planner that has started the state it needs to decide: its settings, then all endpoints."""
         self.connected = True
-        if self.settings:  # the settings it read at its start may number the classes otherwise
+        if self.settings:  # the settings that it read at its start may number the classes differently
             all_classes = tuple(range(len(self.settings.classes)))
             self.notify(SettingsUpdate(self.settings, all_classes))
         self.notify(EndpointUpdate(EndpointUpdateKind.SNAPSHOT, endpoints))
 
     def update_settings(self, settings: Settings, new_classes: tuple[int, ...]) -> None:
-        """Give it other settings; `new_classes` are the numbers that stand for another class from now on."""
+        """Send new settings to the planner; `new_classes` are the numbers that now denote another class."""
         self.settings = settings
         self.notify(SettingsUpdate(settings, new_classes))
 
 
 class PlannerRouter:
-    """The planners of a forwarder; they are added at start only."""
+    """The planners of a forwarder, which are added only at start."""
 
     def __init__(self) -> None:
-        """Begin without planners."""
+        """Start without planners."""
         self.planners: list[PlannerConnection] = []
-        self.requests_routed = 0  # those without a key
+        self.keyless_requests_routed = 0
 
     @property
     def any_connected(self) -> bool:
-        """Whether any planner can decide."""
+        """Whether any planner is connected and can decide on requests."""
         return any(planner.connected for planner in self.planners)
 
     def add(self, notify: Notify, connected: bool, settings: Settings | None = None) -> None:
-        """Add a planner; `settings`, if any, are sent to it whenever it connects."""
+        """Add a planner; `settings`, if given, are sent to it whenever it connects."""
         self.planners.append(PlannerConnection(len(self.planners), notify, connected, settings))
 
     def notify_all(self, event: Event) -> None:
@@ -62,11 +63,11 @@
     def planner_for(self, key: str | None) -> PlannerConnection:
         """The planner that decides on a request with this key.
 
-        A key always goes to the same planner, connected or not. Requests without a key take turns among the
-        planners that are connected.
+        A key is always routed to the same planner, connected or not. Requests without a key are distributed
+        round-robin over the connected planners.
         """
         if key:
             return self.planners[crc32(key.encode()) % len(self.planners)]
         connected = [planner for planner in self.planners if planner.connected] or self.planners[:1]
-        self.requests_routed += 1
-        return connected[self.requests_routed % len(connected)]
+        self.keyless_requests_routed += 1
+        return connected[self.keyless_requests_routed % len(connected)]
--- a/query_gateway/forwarder/postponed_attempts.py
+++ b/query_gateway/forwarder/postponed_attempts.py
@@ -1,11 +1,12 @@
-"""Attempts that our own machine cannot send just now, for want of a descriptor, a port or a buffer.
+"""Postponed attempts: those that lack a local resource to be sent, such as a descriptor, a port or a buffer.
 
-    postponed --interval--> started again, which may postpone it once more
+    postponed --after RETRY_INTERVAL_S--> started again, and possibly postponed again
         |
-        |--begun, withdrawn or cancelled--> removed
-        `--for as long as a dial may take--> ended as not sent
+        |--taken by a connection, withdrawn or cancelled--> removed
+        `--the dial timeout has passed--> ended as not sent
 
-The engine is not at fault, and an attempt that ended at once would use up the request's retries in a moment.
+The engine is not at fault. If such an attempt ended at once, the request would use up its retries within a
+moment.
 """
 
 from collections.abc import Callable
@@ -18,17 +19,17 @@
 
 
 class Timers(Protocol):
-    """What is used of the loop; times are loop times in seconds."""
+    """The timers of the event loop; times are loop times in seconds."""
 
     def now(self) -> float:
-        """The present time."""
+        """The current loop time."""
 
     def call_at(self, when: float, callback: Callable[[], None]) -> object:
-        """Call back at that time."""
+        """Schedule a call of `callback`."""
 
 
 class PostponedAttempts:
-    """The attempts of one engine client that wait to be started again."""
+    """The postponed attempts of one engine client."""
 
     def __init__(self, timers: Timers, start: Callable[[AttemptHandle], None]) -> None:
         """`start` sends an attempt, or postpones it again."""
@@ -36,11 +37,11 @@
         self._give_up_at: dict[str, float] = {}  # by client request id; loop times
 
     def __len__(self) -> int:
-        """How many wait."""
+        """The number of postponed attempts."""
         return len(self._give_up_at)
 
     def postpone(self, attempt: AttemptHandle, give_up_after_s: float) -> None:
-        """Start an attempt again soon; it ends as not sent so long after it was postponed first."""
+        """Start an attempt again soon; `give_up_after_s` after its first postponement it ends as not sent."""
         now = self._timers.now()
         give_up_at = self._give_up_at.setdefault(attempt.request.client_request_id, now + give_up_after_s)
         if now >= give_up_at:
@@ -50,10 +51,10 @@
         self._timers.call_at(now + RETRY_INTERVAL_S, lambda: self._start_again(attempt))
 
     def remove(self, attempt: AttemptHandle) -> bool:
-        """Wait no more with an attempt; whether it was waiting."""
+        """Remove an attempt; return whether it was postponed."""
         return self._give_up_at.pop(attempt.request.client_request_id, None) is not None
 
     def _start_again(self, attempt: AttemptHandle) -> None:
-        """Start it, unless it was withdrawn or cancelled meanwhile."""
+        """Start an attempt again, unless it has been withdrawn or cancelled in the meantime."""
         if attempt.in_flight and attempt.request.client_request_id in self._give_up_at:
             self._start(attempt)
--- a/query_gateway/forwarder/predecessor_fence.py
+++ b/query_gateway/forwarder/predecessor_fence.py
@@ -1,11 +1,12 @@
-"""The predecessor fence: requests with a key are run by one process of a hot upgrade at a time.
+"""The predecessor fence: in a hot upgrade only one process at a time runs requests with a key.
 
     NONE --this process starts as a successor--> SERVING --it drains--> DRAINING --it has ended--> NONE
                                                     `-------- it has ended ----------------------^
 
-Each process orders the requests of a key that it knows, and nothing of that order is transferred. While the
-predecessor serves, it may take requests of any key, so that all of ours are rejected. While it drains it
-takes none, but may still run some, so that ours wait; once it has ended, for one key quarantine more.
+Each process orders only the requests that it has received itself; the order is not transferred to the
+successor. While the predecessor serves, it may accept requests of any key, so this process rejects all
+requests with a key. While the predecessor drains, it accepts none but may still run some, so they wait here.
+After it has ended, they wait for one more key quarantine.
 """
 
 from collections.abc import Callable
@@ -18,20 +19,20 @@
 
 
 class PredecessorState(Enum):
-    """The process before this one, as far as it runs requests of keys."""
+    """Whether the predecessor may accept or run requests with a key."""
 
-    NONE = "none"  # none runs
-    SERVING = "serving"  # it accepts clients, as this one does
-    DRAINING = "draining"  # it answers what is open there
+    NONE = "none"  # no predecessor is running
+    SERVING = "serving"  # the predecessor accepts requests, as does this process
+    DRAINING = "draining"  # the predecessor only answers its open requests
 
 
 class PredecessorFence:
-    """Follows the predecessor; what waits is in the key quarantine."""
+    """Tracks the state of the predecessor; waiting requests are queued in the key quarantine."""
 
     def __init__(
         self, router: PlannerRouter, key_quarantine: KeyQuarantine[Exchange], settings: Callable[[], Settings]
     ) -> None:
-        """There is no predecessor. `settings` returns those in force."""
+        """Start without a predecessor; `settings` returns the settings in force."""
         self.router, self.key_quarantine, self.settings = router, key_quarantine, settings
         self.state = PredecessorState.NONE
 
@@ -40,17 +41,17 @@
         return bool(key) and self.state is PredecessorState.SERVING
 
     def on_serving(self) -> None:
-        """A predecessor accepts clients beside this process."""
+        """Handle a predecessor that accepts requests alongside this process."""
         self.state = PredecessorState.SERVING
 
     def on_draining(self) -> None:
-        """The predecessor accepts nothing more."""
+        """Handle the start of the predecessor's draining, from which on it accepts no requests."""
         self.state = PredecessorState.DRAINING
         for planner in self.router.planners:
             self.key_quarantine.start_unbounded(planner.index)
 
     def on_ended(self) -> None:
-        """The predecessor, if there was one, has ended."""
+        """Handle the end of the predecessor; no effect if there was none."""
         if self.state is PredecessorState.NONE:
             return
         self.state = PredecessorState.NONE
--- a/query_gateway/forwarder/readiness.py
+++ b/query_gateway/forwarder/readiness.py
@@ -1,30 +1,31 @@
-"""Whether clients should send requests here: the one state that is announced to them.
+"""Readiness: whether clients should send requests to this process.
 
-The liveness path, the admin server and the BGP announcement tell clients and routers of it, so that they go
-elsewhere while it is not READY. No phase by itself rejects requests that come all the same, STARTING and
-STOPPING included, but for a long DRAINING: `DRAIN_REJECT_AFTER_S` after it began the HTTP server rejects
-them. The Flight server only sends its clients a GOAWAY, `DRAIN_CLOSE_IDLE_AFTER_S` after it began.
+The liveness path, the admin server and the BGP announcement publish it, so that clients and routers choose
+another gateway while it is not READY. Requests that arrive nevertheless are not rejected because of the
+phase, not even in STARTING and STOPPING. The only exception is a long DRAINING: `DRAIN_REJECT_AFTER_S` after
+its start the HTTP server rejects requests. The Flight server only sends its clients a GOAWAY, at
+`DRAIN_CLOSE_IDLE_AFTER_S`.
 
 STARTING --start, and a planner is available--> READY
 READY --the last planner is lost--> STARTING
 STARTING, READY --drain--> DRAINING --undrain--> STARTING, READY
-any --stop--> STOPPING, which is final
+any --stop--> STOPPING, which is terminal
 """
 
 from collections.abc import Callable
 from enum import Enum
 from typing import Final
 
-# Seconds after the start of draining in which clients still send on idle connections: the platform's clients
-# poll readiness every 0.1 s and take up to 0.2 s more to act on it. Idle connections are closed after that.
+# Idle connections are closed this long after the start of draining. Until then clients may still send on
+# them: the platform's clients poll readiness every 0.1 s and take up to another 0.2 s to act on a change.
 DRAIN_CLOSE_IDLE_AFTER_S: Final = 0.5
-# Seconds after the start of draining from which new requests are rejected: a client that still sends by then
-# has missed the change, and its requests would keep the connection from ever becoming idle.
+# New requests are rejected from this long after the start of draining. A client that still sends by then has
+# missed the change, and its requests would prevent its connection from ever becoming idle.
 DRAIN_REJECT_AFTER_S: Final = 1.5
 
 
 class Phase(Enum):
-    """The phase of the process as clients and operators see it; the value is the word of the admin server."""
+    """The phase of the process for clients and operators; the admin server reports the values."""
 
     STARTING = "starting"
     READY = "ready"
@@ -33,17 +34,17 @@
 
 
 class Readiness:
-    """The readiness of one process. Watchers are called after every change of the phase."""
+    """The readiness of one process; the watchers are called after every change of phase."""
 
     def __init__(self) -> None:
-        """Not started, with a planner assumed to be available until `set_planner_available` changes that."""
+        """Start in STARTING; a planner is assumed to be available until `set_planner_available` is called."""
         self.started = self.draining = self.stopping = False
         self.planner_available = True
         self.watchers: list[Callable[[], None]] = []
 
     @property
     def phase(self) -> Phase:
-        """The phase: stopping outranks draining, and draining outranks starting and ready."""
+        """The current phase; stopping takes precedence over draining, draining over all others."""
         if self.stopping:
             return Phase.STOPPING
         if self.draining:
@@ -56,33 +57,33 @@
         return self.phase is Phase.READY
 
     def start(self) -> None:
-        """The process is set up: it is ready as soon as a planner is available."""
+        """Mark the process as set up; it is ready as soon as a planner is available."""
         previous_phase = self.phase
         self.started = True
         self._notify_if_changed(previous_phase)
 
     def set_planner_available(self, available: bool) -> None:
-        """Note whether any planner can decide; without one the process is not ready."""
+        """Set whether any planner is available; without one the process is not ready."""
         previous_phase = self.phase
         self.planner_available = available
         self._notify_if_changed(previous_phase)
 
     def drain(self) -> bool:
-        """Send clients away; False if the process is stopping anyway."""
+        """Start draining; return False if the process is already stopping."""
         previous_phase = self.phase
         self.draining = True
         self._notify_if_changed(previous_phase)
         return not self.stopping
 
     def undrain(self) -> bool:
-        """Send clients away no longer; False if the process is stopping, which nothing takes back."""
+        """End draining; return False if the process is stopping, which cannot be reverted."""
         previous_phase = self.phase
         self.draining = False
         self._notify_if_changed(previous_phase)
         return not self.stopping
 
     def stop(self) -> None:
-        """Finish what is open and exit; this is final."""
+        """Enter STOPPING, in which the process completes its open requests and exits."""
         previous_phase = self.phase
         self.stopping = True
         self._notify_if_changed(previous_phase)
--- a/query_gateway/forwarder/send_guard.py
+++ b/query_gateway/forwarder/send_guard.py
@@ -1,18 +1,19 @@
-"""The send guard: every attempt passes it as it starts, and again as its first byte is about to leave.
-
-The scheduler plans an attempt; until its first byte leaves, time passes. The attempt may wait for a
-connection that comes up late or for an engine that does not read; a planner process may decide late, or on an
-outdated endpoint list. The guard therefore applies the same rules once more, at the last moment when the
-attempt can still be taken back, and on the state of this process.
-
-Inputs  the request with its deadline and client, its earlier attempts, the endpoint list in force, the
-        slow-start budgets, the clock (nanoseconds)
-Answer  None if the attempt may be sent, else a `SendRefusal`
-Reason  `policy.repetition` says until when a request may run once more, `policy.recovery_ramp` what an engine
-        in slow start takes; nothing is sent to an engine that is not up, or for a client that has left
-
-After the last byte `check_written` compares what has really left with the same rules. It prevents nothing: a
-violation shows a path that went around the guard.
+"""The send guard: checks every attempt when it starts, and again right before its first byte is written.
+
+Time passes between the decision of the scheduler and the first byte of an attempt. The attempt may wait for a
+connection that is slow to establish or for an engine that does not read, and a planner process may decide
+late or on an outdated endpoint list. The guard therefore applies the same rules again, to the state of this
+process, at the last moment when the attempt can still be withdrawn.
+
+Input:      the request with its deadline and client, its earlier attempts, the endpoint list in force, the
+            slow-start budgets, the clock (nanoseconds)
+Result:     None if the attempt may be sent, else a `SendRefusal`
+Rationale:  `policy.repetition` defines until when a request may run again, and `policy.recovery_ramp` how
+            much work an engine in slow start can take; nothing is sent to an engine that is not up, or for a
+            client that has disconnected
+
+After the last byte, `check_written` checks the attempt against the same rules. It prevents nothing, but a
+violation reveals a code path that bypasses the guard.
 """
 
 from collections.abc import Callable
@@ -26,56 +27,57 @@
 from query_gateway.model.endpoints import EndpointState
 from query_gateway.policy.repetition import NEVER
 
-# After its request has ended, an attempt may need so long from the guard to its last byte on the socket
+# Tolerance of `check_written` for the time from the guard's decision to the last byte on the socket, in which
+# the request may end
 SEND_LATENCY_NS: Final = 100_000_000
 
 
 class SendRefusal(Enum):
-    """Why an attempt is not sent; the values stand in the trace."""
+    """Why an attempt is not sent; the values appear in the trace."""
 
-    REQUEST_NOT_OPEN = "not-open"  # the request is answered, or its client has pages of a result
+    REQUEST_NOT_OPEN = "not-open"  # the request is answered, or its client has received result pages
     ATTEMPT_IN_FLIGHT = "second-attempt"  # another attempt of the request is in flight
-    TOO_LATE = "too-late"  # its deadline is over, or engines no longer recognise a duplicate
-    NOT_REPEATABLE = "may-have-run"  # an attempt may have run, and its class may not run twice
-    ENDPOINT_NOT_UP = "endpoint-not-up"  # the engine drains, was removed, or does not speak this wire
+    TOO_LATE = "too-late"  # the deadline or the deduplication window has passed
+    NOT_REPEATABLE = "may-have-run"  # an attempt may have run, and the class does not allow another run
+    ENDPOINT_NOT_UP = "endpoint-not-up"  # the engine is draining, removed, or has no address on this wire
     CLIENT_LEFT = "client-left"
-    SLOW_START = "cold-endpoint"  # the engine's slow-start budget of this window is used up
+    SLOW_START = "cold-endpoint"  # the slow-start budget of the engine is used up in this window
 
 
 class GuardedAttempts(Protocol):
-    """What the guard reads of the attempts of a request."""
+    """The attempts of a request, as far as the guard reads them."""
 
     @property
     def wire(self) -> str:
-        """The wire that they are sent on."""
+        """The wire on which the attempts are sent."""
 
     @property
     def repeat_deadline(self) -> int:
-        """Until when one more attempt may start, the client's deadline aside."""
+        """The clock time until which another attempt may start, regardless of the client's deadline."""
 
     @property
     def has_attempt_in_flight(self) -> bool:
-        """Whether one of them has not ended."""
+        """Whether the latest attempt has not ended."""
 
     @property
     def endpoints_in_flight(self) -> list[str]:
-        """The engines that have an attempt in flight."""
+        """The engines with an attempt in flight."""
 
 
 class GuardedExchange(Protocol):
-    """What the guard reads of an exchange."""
+    """An exchange, as far as the guard reads it."""
 
     @property
     def request(self) -> ClientRequest:
-        """The request."""
+        """The client request."""
 
     @property
     def client(self) -> Client:
-        """Its client."""
+        """The client of the request."""
 
     @property
     def engine_side(self) -> GuardedAttempts:
-        """Its attempts."""
+        """The attempts of the request."""
 
     @property
     def is_open(self) -> bool:
@@ -83,27 +85,27 @@
 
     @property
     def abandoned(self) -> bool:
-        """Whether its client has left."""
+        """Whether the client has disconnected before the answer."""
 
     @property
     def ended_at(self) -> int | None:
-        """Since when no answer is owed; None: one is."""
+        """The clock time when the request was answered or abandoned; None: it is neither."""
 
 
 class GuardedAttempt(Protocol):
-    """What the guard reads of an attempt that has started."""
+    """An attempt that has started, as far as the guard reads it."""
 
     @property
     def exchange(self) -> GuardedExchange:
-        """The exchange that it belongs to."""
+        """The exchange of the attempt."""
 
     @property
     def endpoint(self) -> str:
-        """The engine that it goes to."""
+        """The engine to which the attempt is sent."""
 
     @property
     def in_flight(self) -> bool:
-        """Whether it has not ended."""
+        """Whether the attempt has not ended."""
 
 
 class SendGuard:
@@ -116,14 +118,14 @@
         clock: Callable[[], int],
         invariants: InvariantChecks,
     ) -> None:
-        """Judge by the endpoint list and settings of `state`; violations are counted by `invariants`."""
+        """Check against the endpoint list and settings of `state`; report violations to `invariants`."""
         self.state = state
         self.budgets = budgets
         self.clock = clock
         self.invariants = invariants
 
     def refusal_to_start(self, exchange: GuardedExchange, endpoint: str) -> SendRefusal | None:
-        """Why an attempt at an endpoint may not start; None if it may."""
+        """The reason why an attempt at an endpoint may not start, or None if it may."""
         if not exchange.is_open:
             return SendRefusal.REQUEST_NOT_OPEN
         if exchange.engine_side.has_attempt_in_flight:
@@ -131,15 +133,15 @@
         return self._refusal_at(exchange, endpoint, self.clock())
 
     def refusal_to_write(self, attempt: GuardedAttempt) -> SendRefusal | None:
-        """Why an attempt that has started must not be written; None if its first byte may leave now."""
+        """The reason why a started attempt must not be written, or None if it may be written now."""
         exchange = attempt.exchange
         if not exchange.is_open or not attempt.in_flight:
             return SendRefusal.REQUEST_NOT_OPEN
         now = self.clock()
         if refusal := self._refusal_at(exchange, attempt.endpoint, now):
             return refusal
-        # A client may close between two polls of the loop, and an engine would run its request for no client.
-        # This reads the client's socket itself; it comes late, as it costs a system call
+        # A client may disconnect between two polls of the event loop, and the engine would run an abandoned
+        # request. This check reads the client's socket; it follows the others because it costs a system call
         if exchange.client.has_left():
             return SendRefusal.CLIENT_LEFT
         engine = self.state.endpoints[attempt.endpoint].info
@@ -148,7 +150,7 @@
         return None
 
     def _refusal_at(self, exchange: GuardedExchange, endpoint_name: str, now: int) -> SendRefusal | None:
-        """The rules of both moments."""
+        """The checks common to the start of an attempt and its first byte."""
         attempts = exchange.engine_side
         repeat_deadline = attempts.repeat_deadline
         if repeat_deadline == NEVER:
@@ -162,7 +164,7 @@
         return None
 
     def check_written(self, attempt: GuardedAttempt) -> None:
-        """Count an attempt that has left to its last byte, and every invariant that it violates."""
+        """Count a completely written attempt in the budgets, and report every invariant that it violates."""
         exchange, now = attempt.exchange, self.clock()
         endpoint = self.state.endpoints.get(attempt.endpoint)
         if endpoint is not None:
--- a/query_gateway/forwarder/slow_start_budgets.py
+++ b/query_gateway/forwarder/slow_start_budgets.py
@@ -1,14 +1,14 @@
-"""Slow-start budgets: how much work this process may still send to an engine that has started lately.
+"""Slow-start budgets: limit the work that this process sends to an engine that has started recently.
 
-The scheduler spaces its attempts at such an engine (`policy.slow_start`), but they can leave together all the
-same: behind a connection that came up late, or behind a planner process that was suspended. The engine would
-be overloaded and fail. Therefore work is counted here as it leaves, and bounded within each window.
+The scheduler spaces its attempts at such an engine (`policy.slow_start`). They may still be written together,
+after a connection that was slow to establish or a planner process that was suspended, and the engine would be
+overloaded and fail. This module therefore counts the work as it is written, and limits it per window.
 
-Inputs  the engine's start and kind, the recovery ramp of the settings, the work sent within the last
-        `slow_start_overload_window`, and the part of the budget that belongs to this process
-Answer  whether one more attempt may leave now
-Reason  `slow_start_overload_factor` times the engine's present capacity is what it takes within a window;
-        chance may bring more than the scheduler planned, so a statistical allowance is added
+Input:      the engine's start and kind, the recovery ramp of the settings, the work sent within the last
+            `slow_start_overload_window`, and this process's share of the budget
+Result:     whether another attempt may be written now
+Rationale:  within a window an engine can take `slow_start_overload_factor` times its present capacity; random
+            variation may exceed what the scheduler planned, so a statistical allowance is added
 
 Times are clock times in nanoseconds. Work is in nanoseconds on one core.
 """
@@ -22,53 +22,54 @@
 from query_gateway.model.settings import Settings
 from query_gateway.policy.recovery_ramp import is_in_slow_start, recovery_ramp
 
-DEFAULT_CORES: Final = 1  # of an engine, where the settings name no kinds
+DEFAULT_CORES: Final = 1  # cores of an engine if the settings define no kinds
 
 
 @dataclass(slots=True, frozen=True)
 class StatisticalAllowance:
-    """By how much a random number of requests may exceed the expected one.
+    """How far a random number of requests may exceed its expected value.
 
-    The number of requests within a window has about the square root of its expectation as standard deviation.
+    The standard deviation of the number of requests within a window is about the square root of its expected
+    value.
     """
 
     standard_deviations: float
     extra_requests: float
 
     def above(self, expected_requests: float) -> float:
-        """The allowance in requests."""
+        """The allowance, in requests, for an expected number of requests."""
         return self.standard_deviations * math.sqrt(expected_requests) + self.extra_requests
 
 
-SMALL_BUDGET_REQUESTS: Final = 30.0  # a budget of fewer requests counts as small
+SMALL_BUDGET_REQUESTS: Final = 30.0  # a budget of fewer requests than this is small
 SMALL_BUDGET_ALLOWANCE: Final = StatisticalAllowance(standard_deviations=3.0, extra_requests=3.0)
 LARGE_BUDGET_ALLOWANCE: Final = StatisticalAllowance(standard_deviations=2.0, extra_requests=2.0)
-# Of one process. Where many processes divide a budget, the part of each is below one request
+# For each process: where many processes divide a budget, the share of each may be below one request
 MIN_ALLOWANCE_REQUESTS: Final = 2.0
 
 
 class _SentWork(NamedTuple):
-    """The work of one attempt that has left."""
+    """The work of one completely written attempt."""
 
     sent_at: int
     work: float
 
 
 class SlowStartBudgets:
-    """Counts the work that leaves for each engine in slow start."""
+    """Counts and limits the work sent to each engine in slow start."""
 
     def __init__(self, process_count: int = 1) -> None:
-        """`process_count`: the forwarder processes of this gateway, which divide its budget evenly."""
+        """`process_count` is the number of forwarder processes that share this gateway's budget evenly."""
         self.process_count = process_count
-        # The part of this process's budget that it may use, 0 to 1: below 1 while it divides the budget with
-        # the other process of a hot upgrade
+        # The fraction of this process's budget that it may use, 0 to 1; below 1 while the two processes of a
+        # hot upgrade share the budget
         self.share = 1.0
-        self._sent: dict[str, deque[_SentWork]] = {}  # by engine: what has left within the last window
+        self._sent: dict[str, deque[_SentWork]] = {}  # by engine: the attempts written within the last window
 
     def allows(self, engine: EndpointInfo, settings: Settings, work: int | None, now: int) -> bool:
-        """Whether one more attempt with this estimated work may leave for the engine now.
+        """Whether another attempt with this estimated work may be written to the engine now.
 
-        Attempts without an estimate, and those at an engine that is not in slow start, always may.
+        There is no limit for attempts without an estimate, and for engines that are not in slow start.
         """
         if not self._is_bounded(engine, settings, now) or not work:
             return True
@@ -78,16 +79,16 @@
         return used <= self._allowed_work(engine, settings, now, mean_work)
 
     def record(self, engine: EndpointInfo, settings: Settings, work: int | None, now: int) -> None:
-        """Count an attempt that has left to its last byte."""
+        """Count a completely written attempt."""
         if work and self._is_bounded(engine, settings, now):
             self._sent_in_window(engine, settings, now).append(_SentWork(now, float(work)))
 
     def forget(self, engine_name: str) -> None:
-        """Drop what was counted for an engine whose process has ended: a restarted one has run none of it."""
+        """Reset the count of an engine whose process has ended: after a restart it runs none of that work."""
         self._sent.pop(engine_name, None)
 
     def _is_bounded(self, engine: EndpointInfo, settings: Settings, now: int) -> bool:
-        """Whether the engine is in slow start; what was counted for it goes as that ends."""
+        """Whether the engine is in slow start; resets its count if it is not."""
         if is_in_slow_start(settings, engine.started_at, now):
             return True
         self._sent.pop(engine.name, None)
@@ -100,21 +101,21 @@
         return sent
 
     def _allowed_work(self, engine: EndpointInfo, settings: Settings, now: int, mean_work: float) -> float:
-        """What this process may send within one window, if its attempts have `mean_work` on average."""
+        """The work that this process may send within one window if its attempts average `mean_work`."""
         age = max(0, now - engine.started_at)
         capacity_in_cores = _cores(engine, settings) * recovery_ramp(settings).capacity_at(age)
-        gateways_budget = (
+        fleet_budget = (
             settings.slow_start_overload_factor * capacity_in_cores * settings.slow_start_overload_window
         )
-        expected_requests = gateways_budget / mean_work
+        expected_requests = fleet_budget / mean_work
         is_small = expected_requests < SMALL_BUDGET_REQUESTS
         allowance = (SMALL_BUDGET_ALLOWANCE if is_small else LARGE_BUDGET_ALLOWANCE).above(expected_requests)
-        own_part = self.share / (settings.instance_count * self.process_count)
-        return (expected_requests * own_part + max(MIN_ALLOWANCE_REQUESTS, allowance * own_part)) * mean_work
+        fraction = self.share / (settings.instance_count * self.process_count)
+        return (expected_requests * fraction + max(MIN_ALLOWANCE_REQUESTS, allowance * fraction)) * mean_work
 
 
 def _cores(engine: EndpointInfo, settings: Settings) -> int:
-    """The cores of an engine by its kind; of an unknown kind it counts as the largest."""
+    """The number of cores of an engine by its kind; an unknown kind counts as the largest one."""
     cores_by_kind = settings.cores_by_kind
     if engine.kind < len(cores_by_kind):
         return cores_by_kind[engine.kind]
--- a/query_gateway/forwarder/table_group.py
+++ b/query_gateway/forwarder/table_group.py
@@ -1,7 +1,7 @@
-"""The table group of a statement: the number at the end of the name of the schema that it reads or writes.
+"""Finds the table group of a statement: the numeric suffix of the name of the schema that it reads or writes.
 
-A scanner for SQL that is not parsed further: it skips comments and string literals, finds dotted names, and
-knows from the words around them which ones are the names of tables.
+This is a scanner for SQL that is not fully parsed. It skips comments and string literals, finds dotted names,
+and tells from the preceding keywords which of them are table names.
 """
 
 import re
@@ -24,24 +24,24 @@
 _WORDS_AFTER_TABLES = {"where", "group", "order", "set", "select", "having", "limit", "values"}
 _SCHEMA_WITH_GROUP = re.compile(r".*_(\d{1,9})", re.DOTALL)
 
-# The kind and the text of a token: a plain tuple, as one is made for every word of every statement
+# The kind and the text of a token; a plain tuple for speed, as there is one for every word of every statement
 Token = tuple[str, str]
 _NAME = "name"  # a quoted name
-_WORD = "word"  # a keyword or a name without quotes
-_MARK = "mark"  # any other character
-_VALUE = "value"  # a literal, whose text does not matter
+_WORD = "word"  # a keyword or an unquoted name
+_MARK = "mark"  # any other character, such as punctuation
+_VALUE = "value"  # a literal; its text is not kept
 _DOT = (_MARK, ".")
 
 
 class _DottedName(NamedTuple):
-    """A name of two or more parts, and whether it stands where a table's name does."""
+    """A name of two or more parts, and whether it is in the position of a table name."""
 
     parts: list[str]
     is_table: bool
 
 
 def _end_of_comment(text: str, start: int) -> int:
-    """The end of a block comment whose opening mark ends at `start`; such comments nest."""
+    """The end of a block comment whose opening delimiter ends at `start`; block comments nest."""
     depth = 1
     for mark in re.finditer(r"/\*|\*/", text[start:]):
         depth += 1 if mark.group() == "/*" else -1
@@ -57,7 +57,7 @@
 
 
 def _tokenize(text: str) -> list[Token]:
-    """The tokens of a statement without its space and comments; what is not closed goes on to the end."""
+    """The tokens of a statement without white space and comments; unterminated ones extend to the end."""
     tokens: list[Token] = []
     position = 0
     while match := _TOKEN.match(text, position):
@@ -81,7 +81,7 @@
 
 
 def _dotted_parts(tokens: list[Token], position: int) -> list[str]:
-    """The parts of the name that begins at a position, with the dots between them taken off."""
+    """The parts of the dotted name that starts at a position."""
     parts = [tokens[position][1]]
     while position + 2 < len(tokens) and tokens[position + 1] == _DOT:
         kind, text = tokens[position + 2]
@@ -93,11 +93,11 @@
 
 
 def _dotted_names(tokens: list[Token]) -> list[_DottedName]:
-    """Every dotted name of a statement, in order."""
+    """The dotted names of a statement, in order."""
     names: list[_DottedName] = []
     position = 0
-    table_follows = False  # whether the next name is a table's
-    in_table_list = False  # whether another table's name follows a comma
+    table_follows = False  # whether the next name is a table name
+    in_table_list = False  # whether a comma is followed by another table name
     while position < len(tokens):
         kind, text = tokens[position]
         position += 1
@@ -123,7 +123,7 @@
 
 
 def table_group(statement: str) -> int | None:
-    """The first table's group; a name elsewhere (a column's) counts only if no table has one."""
+    """The group of the first table that has one; other names, such as columns, count only if no table has."""
     names = _dotted_names(_tokenize(statement))
     table_schemas = [name.parts[-2] for name in names if name.is_table]
     other_schemas = [name.parts[0] for name in names if not name.is_table]
