--- a/query_gateway/policy/admission.py
+++ b/query_gateway/policy/admission.py
@@ -1,15 +1,15 @@
-"""Admission (UNIT, section 3.3): a new request is queued for its engine, or rejected at once.
+"""Admission (UNIT, section 3.3): decides whether a request is queued for an engine or rejected at once.
 
-A query is rejected, with the first of these reasons that applies:
+The first condition that applies rejects the query:
 
-    LATE               now + lag ratio * start delay + run time is not before it is due
-    TOO_MANY_QUEUED    it would wait, and queries hold most of the connections that clients may have
-    OVER_QUOTA         it is beyond its tenant's quota, and its engine is saturated
-    ENDANGERS_OTHERS   it would make more priority weight late behind it than its own
+    LATE               now + lag ratio * start delay + run time is not before its due time
+    TOO_MANY_QUEUED    it would have to wait, and open queries hold most of the allowed client connections
+    OVER_QUOTA         it exceeds its tenant's quota, and its engine is saturated
+    ENDANGERS_OTHERS   it would make queries queued behind it late whose total priority weight exceeds its own
 
 Inputs: the request, the expected run time of its class and the start delay of its best route (nanoseconds),
 the lag ratio. A query whose last attempt failed is admitted again by the same rules.
-The paper is cited in `scheduler`.
+The citation of the paper is in `scheduler`.
 """
 
 import math
@@ -28,12 +28,12 @@
 from query_gateway.policy.saturation import is_saturated
 from query_gateway.policy.work_estimate import expected_work
 
-MAX_CONNECTION_SHARE: Final = 0.75  # of the clients' connections in use, from which nothing more is queued
-CLIENT_JITTER_NS: Final = 1 * MS  # by which a client's timeout may differ from one request to the next
+MAX_CONNECTION_SHARE: Final = 0.75  # of the client connection limit; above it no query is queued
+CLIENT_JITTER_NS: Final = 1 * MS  # variation of a client's timeout between requests
 
 
-def arrive(state: SchedulerState, request: Request) -> None:
-    """Take a new request in and decide whether it is admitted."""
+def handle_request(state: SchedulerState, request: Request) -> None:
+    """Register a new request and decide whether it is admitted."""
     if request.request_id in state.queries or request.class_index >= len(state.classes):
         return
     retry_budget.record_request(state.retry_budget, state.settings, state.now)
@@ -49,7 +49,7 @@
 def _new_query(state: SchedulerState, request: Request, request_class: ClassState) -> QueryState:
     threads = request_class.settings.threads
     work = expected_work(request_class, request)
-    due_at = min(state.now + _objective(state, request, request_class, work), request.deadline)
+    due_at = min(state.now + _remaining_objective(state, request, request_class, work), request.deadline)
     return QueryState(
         request=request,
         request_class=request_class,
@@ -63,11 +63,13 @@
     )
 
 
-def _objective(state: SchedulerState, request: Request, request_class: ClassState, work: float) -> int:
-    """Nanoseconds that are left of a request's latency objective.
+def _remaining_objective(
+    state: SchedulerState, request: Request, request_class: ClassState, work: float
+) -> int:
+    """Nanoseconds that remain of a request's latency objective.
 
-    A client's retry has less time left than a first request of its class; what is missing has passed since
-    the first one, and is taken off.
+    A client's retry arrives with less time to its deadline than a first request of its class. The difference
+    has elapsed since the first request and is subtracted from the objective.
     """
     settings, remaining = request_class.settings, request.deadline - state.now
     objective = settings.latency_objective + int(settings.objective_per_run_time * work / settings.threads)
@@ -79,7 +81,7 @@
 
 
 def admit(state: SchedulerState, query: QueryState) -> None:
-    """Check whether a query can be in time and what it endangers; it is queued for its engine or given up."""
+    """Queue a query for its best engine, or give it up if it would be late or endangers others."""
     route = routing.best_route(state, query)
     engine, delay = (route.engine, route.start_delay) if route else (None, 0.0)
     if reason := _rejection_reason(state, query, engine, delay):
@@ -94,14 +96,14 @@
 def _rejection_reason(
     state: SchedulerState, query: QueryState, engine: EngineState | None, delay: float
 ) -> EndReason | None:
-    """Why a query is not admitted; None if it is."""
+    """Reason for which a query is rejected; None if it is admitted."""
     if state.now + state.controller.lag_ratio * delay + query.run_time >= query.due_at:
         return EndReason.LATE
-    # Each queued query holds a connection of its client. With all of them held new clients find none, and
-    # time out without an answer; a client that gets in can at least be rejected.
+    # Each queued query holds a client connection. Once all connections are held, new clients cannot connect
+    # and time out without an answer; a client that can connect is at least rejected.
     if delay > 0 and _holds_most_connections(state):
         return EndReason.TOO_MANY_QUEUED
-    # A tenant's requests beyond its quota have little weight, but at a saturated engine they delay all others
+    # Requests over quota have a low weight, but at a saturated engine they still delay all other queries
     is_over_quota = query.priority_weight < query.settings.priority_weight
     if engine is not None and is_over_quota and is_saturated(engine):
         return EndReason.OVER_QUOTA
@@ -111,13 +113,13 @@
 
 
 def _holds_most_connections(state: SchedulerState) -> bool:
-    """Whether the open queries hold most of the connections that clients may have, where a limit is known."""
+    """Whether the open queries hold most of the allowed client connections; False if no limit is known."""
     limit = state.settings.max_client_connections * MAX_CONNECTION_SHARE
     return 0 < limit <= len(state.queries)
 
 
 def _endangered_weight(state: SchedulerState, query: QueryState, engine: EngineState, delay: float) -> float:
-    """Priority weight queued behind a query that would come late because of it, and would not have."""
+    """Priority weight of the queries queued behind this one that it would make late."""
     if delay <= 0:
         return 0.0
     limit = capacity.concurrency_limit(state, engine.cores, query.request_class)
@@ -126,7 +128,7 @@
 
 
 def weight_made_late(queue: DeadlineQueue, query: QueryState, added_delay: float) -> float:
-    """Priority weight from a query's place on that a delay (nanoseconds) would make late, and is not yet."""
+    """Priority weight of queries behind `query` that a delay (nanoseconds) would make late."""
     return math.fsum(
         other.priority_weight
         for other in queue.queries_behind(query)
--- a/query_gateway/policy/answers.py
+++ b/query_gateway/policy/answers.py
@@ -1,10 +1,10 @@
-"""How a query ends: rejected where a client's retry is safe, failed otherwise, or by its client.
+"""Ends queries: rejects those that a client may safely retry, fails the others, and records abandoned ones.
 
-    no attempt may have run, or a retry has no second effect     Reject: the client may send it again
-    otherwise                                                    Fail: it may have run
+    no attempt may have run, or a second run has no further effect     Reject: the client may retry
+    otherwise                                                          Fail: the request may have run
 
-Which of the two it is, is a rule of `repetition`. Attempts still in flight are cancelled where the site
-allows it. Times are nanoseconds.
+`repetition` decides between the two. Attempts that are still in flight are cancelled where the site allows
+cancellation. Times are nanoseconds.
 """
 
 from typing import Final
@@ -17,11 +17,11 @@
 from query_gateway.policy.controller import record_cost
 from query_gateway.policy.repetition import may_be_rejected
 
-MIN_RETRY_AFTER_NS: Final = 100 * MS  # the period of the timer: less would not change the answer
+MIN_RETRY_AFTER_NS: Final = 100 * MS  # the timer period; a shorter wait would lead to the same decision
 
 
 def give_up(state: SchedulerState, query: QueryState, reason: EndReason, start_delay: float = 0.0) -> None:
-    """Reject a query where a retry is safe, else fail it; its client may come back after `start_delay`."""
+    """Reject a query if a retry is safe, else fail it; Retry-After follows from `start_delay`."""
     if query.ended:
         return
     request_id, never_ran = query.request.request_id, not query.executed and not query.in_flight
@@ -35,10 +35,10 @@
 
 
 def retry_after(state: SchedulerState, start_delay: float) -> int:
-    """Retry-After: how long a rejected client should wait, in nanoseconds.
+    """Nanoseconds that a rejected client should wait before it retries, for Retry-After.
 
-    The expected start delay, between `MIN_RETRY_AFTER_NS` and the site's `max_retry_after`. 0, so that it may
-    come back at once, where the settings allow no Retry-After.
+    The expected start delay, bounded by `MIN_RETRY_AFTER_NS` and the site's `max_retry_after`. Returns 0, an
+    immediate retry, where the settings do not allow Retry-After.
     """
     if not state.settings.allows_retry_after:
         return 0
@@ -46,21 +46,21 @@
 
 
 def _record_cost(state: SchedulerState, query: QueryState, late: bool) -> None:
-    """Count a query that was given up, as late or as rejected; a client's retry counts once, by the first."""
+    """Record the cost of a query that was given up; a client's retry was counted with its first request."""
     if not query.request.is_retry:
         weight = query.priority_weight
         record_cost(state, 0.0, 0.0 if late else weight, weight if late else 0.0)
 
 
 def mark_answered(state: SchedulerState, query: QueryState) -> None:
-    """The request ended by an outcome or by its client."""
+    """Mark a query as ended by an outcome or by its client, and record the cost if it is late."""
     if not query.ended and state.now > query.due_at and not query.request.is_retry:
         record_cost(state, 0.0, 0.0, query.priority_weight)
     query.ended = True
 
 
-def abandon(state: SchedulerState, event: RequestAbandoned) -> None:
-    """A client has left: nothing more of its query is needed."""
+def handle_abandonment(state: SchedulerState, event: RequestAbandoned) -> None:
+    """End the query of a client that has left, and cancel its attempts."""
     query = state.queries.get(event.request_id)
     if query is not None and not query.ended:
         mark_answered(state, query)
@@ -75,7 +75,7 @@
 
 
 def cancel_attempt(state: SchedulerState, attempt: AttemptState) -> None:
-    """Cancel an attempt once, where the site allows it."""
+    """Cancel an attempt, at most once and only where the site allows cancellation."""
     if state.settings.allows_cancellation and not attempt.cancelled:
         attempt.cancelled = True
         state.actions.append(Cancel(attempt.query.request.request_id, attempt.number))
--- a/query_gateway/policy/attempt_guard.py
+++ b/query_gateway/policy/attempt_guard.py
@@ -1,15 +1,15 @@
-"""The guard that each attempt passes before it is sent, and whether there is time for one more.
+"""Checks made before each attempt is sent, and the check that a further attempt can end in time.
 
-An attempt may be sent if all of this holds:
+An attempt may be sent if all of these conditions hold:
 
     the query is open, before its client's deadline, and has attempts left
-    the engine is usable for it (`placement`), and it may run again (`repetition`)
-    no attempt of it is in flight, or the site allows hedging and the class may run twice
-    it is next of its key (`key_ordering`)
-    the engine has a slow-start credit for it (`slow_start`)
+    the engine is usable for the query (`placement`), and the query may run again (`repetition`)
+    no attempt of the query is in flight, or the site allows hedging and the class may run twice
+    the query is the next of its key (`key_ordering`)
+    the engine has a slow-start credit for the query (`slow_start`)
     for a retry: the retry budget allows one more (`retry_budget`)
 
-The forwarder's send guard checks again what may have changed as the first byte leaves.
+The forwarder's send guard repeats the checks whose result may change before the first byte is sent.
 """
 
 from query_gateway.model.records import EngineState, QueryState
@@ -35,5 +35,5 @@
 
 
 def has_time_for_attempt(query: QueryState, now: int) -> bool:
-    """Whether a query has an attempt left, and time to end before it is due if that one starts now."""
+    """Whether a query has an attempt left that would end before the due time if it started now."""
     return query.attempt_count < query.max_attempts and now + query.run_time < query.due_at
--- a/query_gateway/policy/attempt_terms.py
+++ b/query_gateway/policy/attempt_terms.py
@@ -1,7 +1,7 @@
-"""The terms that an attempt runs on at its engine: its memory grant and its priority.
+"""Terms of an attempt at its engine: memory grant and priority.
 
-Inputs: the request's estimate of its memory (MB), corrected by what its class has shown; what the engine does
-when memory is short; the class and the due time. Answer: MB, 0 for no grant; a priority, 0 is the lowest.
+Inputs: the request's memory estimate (MB), corrected by the mean error of its class; how the engine behaves
+when memory is short; the class and the due time. The grant is in MB, 0 for none; priority 0 is the lowest.
 """
 
 from typing import Final
@@ -11,25 +11,25 @@
 from query_gateway.model.settings import MemoryShortage
 from query_gateway.model.state import SchedulerState
 
-MEMORY_MARGIN: Final = 1.15  # memory over the corrected estimate, where memory granted is taken from others
+MEMORY_MARGIN: Final = 1.15  # factor on the corrected estimate, where a grant takes memory from others
 LATE_PRIORITY: Final = 0
 LONG_PRIORITY: Final = 1
 SHORT_PRIORITY: Final = 3
 
 
 def memory_grant_mb(state: SchedulerState, query: QueryState, engine: EngineState) -> float:
-    """The memory to grant a query at an engine, in MB; 0: the site grants none."""
+    """Memory grant of a query at an engine, in MB; 0 where the site takes no grants."""
     settings = state.settings
     if not settings.takes_memory_grants:
         return 0.0
     largest_mb = engine.memory_mb * settings.max_grant_share
-    if settings.memory_shortage is MemoryShortage.PAGE:  # only what is in use counts: all is granted
+    if settings.memory_shortage is MemoryShortage.PAGE:  # only memory in use counts: grant the maximum
         return largest_mb
     return min(largest_mb, query.corrected_memory_mb() * MEMORY_MARGIN)
 
 
 def priority(state: SchedulerState, query: QueryState) -> int:
-    """Priority at the engine. Loads count as short: others wait for their tables and their key."""
+    """Priority of a query at its engine. Loads rank as short: other queries wait for their tables and key."""
     if state.now >= query.due_at:
         return LATE_PRIORITY
     is_long = query.request_class.is_long and not query.settings.locks_tables
@@ -37,7 +37,7 @@
 
 
 def set_terms(state: SchedulerState, query: QueryState, engine: EngineState) -> None:
-    """Set the terms of an attempt that is about to be sent, where the site takes any."""
+    """Set the terms of an attempt that is about to be sent, where the site supports any."""
     memory_mb = memory_grant_mb(state, query, engine)
     query.priority = priority(state, query)
     if memory_mb or state.settings.heeds_priorities:
@@ -45,7 +45,7 @@
 
 
 def update_priority(state: SchedulerState, query: QueryState) -> None:
-    """Change the priority of a query in flight if it has another one by now, where the site heeds it."""
+    """Update the priority of a query in flight if it has changed, where engines heed priorities."""
     if not state.settings.heeds_priorities:
         return
     new_priority = priority(state, query)
--- a/query_gateway/policy/attempts.py
+++ b/query_gateway/policy/attempts.py
@@ -1,12 +1,12 @@
-"""Attempts: sending one, and what follows from its progress and its outcome.
+"""Sends attempts and processes their progress notes and outcomes.
 
-    sent --outcome, final-------------------------> the request is answered
-         --outcome, not final, another in flight--> the request goes on with the other one
-         --outcome, not final, the last one-------> admitted again if another attempt is allowed and in
-                                                    time (`attempt_guard`), else given up
+    sent --final outcome----------------------------------> the request is answered
+         --other outcome, another attempt in flight-------> the request continues with that attempt
+         --other outcome, no attempt in flight------------> admitted again if a further attempt is allowed and
+                                                            in time (`attempt_guard`), else given up
 
-An outcome also changes what is known of the engine (`outliers`), of the class (`fleet_estimator`), and
-whether the key of the query is held up (`key_quarantine`).
+An outcome also updates the health of the engine (`outliers`) and the estimates of its class
+(`fleet_estimator`), and may start a key quarantine (`key_quarantine`).
 """
 
 from typing import Final
@@ -31,11 +31,11 @@
 from query_gateway.policy.repetition import NEVER_RAN_CODES
 from query_gateway.policy.saturation import is_saturated
 
-WARM_TABLE_GROUPS: Final = 4  # table groups taken to be warm in an engine's cache
+WARM_TABLE_GROUPS: Final = 4  # most recent table groups that an engine's cache is assumed to hold
 
 
 def forward(state: SchedulerState, query: QueryState, engine: EngineState) -> None:
-    """Send an attempt that has passed the guard to an engine, with its terms."""
+    """Send an attempt that has passed `attempt_guard` to an engine, with its terms."""
     attempt_terms.set_terms(state, query, engine)
     state.actions.append(Forward(query.request.request_id, engine.info.name, 0))
     state.add_attempt(query, engine)
@@ -44,7 +44,7 @@
 
 
 def record_outcome(state: SchedulerState, outcome: AttemptOutcome) -> None:
-    """Take in the end of an attempt: learn from it, then retry the query or end it."""
+    """Process the end of an attempt: update the estimates, then retry or end the query."""
     query, engine = state.queries.get(outcome.request_id), state.fleet.engines.get(outcome.endpoint)
     attempt = query.attempt(outcome.attempt_number) if query else None
     if query is None or engine is None or attempt is None:
@@ -67,7 +67,7 @@
 
 
 def _retry_or_give_up(state: SchedulerState, query: QueryState) -> None:
-    """No attempt is in flight and no answer given: another one where allowed and in time, else the end."""
+    """Admit a query without an attempt in flight again if a retry is allowed and in time, else give it up."""
     if attempt_guard.has_time_for_attempt(query, state.now) and may_run_again(query, state.now):
         admission.admit(state, query)
     else:
@@ -75,12 +75,12 @@
 
 
 def record_progress(state: SchedulerState, note: ProgressNote) -> None:
-    """Take in a progress note of an attempt that was not cancelled."""
+    """Process a progress note; notes of cancelled attempts are ignored."""
     query = state.queries.get(note.request_id)
     attempt = query.attempt(note.attempt_number) if query else None
     if query is None or attempt is None or attempt.cancelled:
         return
-    probation.record_received(attempt.engine, state.now)
+    probation.record_response(attempt.engine, state.now)
     attempt.last_note_at = state.now
     if note.kind is ProgressKind.PROGRESS:
         FLEET_ESTIMATOR.learn_from_progress(state, attempt, note.level)
--- a/query_gateway/policy/capacity.py
+++ b/query_gateway/policy/capacity.py
@@ -1,13 +1,13 @@
-"""Concurrency limits: how many threads of an engine, and of the fleet, one gateway may use.
+"""Concurrency limits: how many threads one gateway may use at an engine and over the fleet.
 
     engine on probation with a query in flight     no capacity (`probation`)
     engine not saturated, or query ordered by key  capacity, without a limit
     engine saturated                               within the concurrency limit of the class there, and within
                                                    this gateway's share of the fleet
 
-The limit of a class in threads is its share of the cores (UNIT, section 2.3; cited in `scheduler`). Every
-engine may always have one query of each length from each gateway, however small the gateway's share of its
-cores; the gateway's share of the fleet bounds these.
+The thread limit of a class is derived from its share of the cores (UNIT, section 2.3; cited in `scheduler`).
+Each gateway may have one short and one long query at every engine, even if its share of the cores is smaller
+than that; the gateway's share of the fleet bounds their number.
 """
 
 import math
@@ -22,14 +22,12 @@
 from query_gateway.policy.saturation import is_saturated
 from query_gateway.policy.statistical_allowance import allowance
 
-THREADS_PER_CORE: Final = 1.0  # limit of a class in this gateway's share of the cores
-FLEET_SHARE_PERIOD_NS: Final = (
-    1 * SEC
-)  # how long one rounding of the fleet share lasts: the period of the controller
+THREADS_PER_CORE: Final = 1.0  # threads that a class may use for each core of this gateway's share
+FLEET_SHARE_PERIOD_NS: Final = 1 * SEC  # between two roundings of the fleet share; equals the control period
 
 
 def class_share(state: SchedulerState, cores: float, request_class: ClassState) -> float:
-    """Threads that a class may use of so many cores: this gateway's share and a statistical allowance."""
+    """Threads that a class may use of `cores`: this gateway's share and a statistical allowance."""
     count = state.settings.instance_count
     share = cores / count
     variance = share * (1 - 1 / count) * request_class.settings.threads
@@ -37,24 +35,24 @@
 
 
 def concurrency_limit(state: SchedulerState, cores: float, request_class: ClassState) -> float:
-    """Threads that a class may use at an engine of so many cores: its share, but at least one query."""
+    """Threads that a class may use at an engine with `cores`: its share, but at least one query."""
     return max(float(request_class.settings.threads), class_share(state, cores, request_class))
 
 
 def fleet_limit(state: SchedulerState, request_class: ClassState) -> float:
-    """Threads that a class may use over all engines, fewer in times of congestion."""
+    """Threads that a class may use over all engines; congestion reduces them."""
     snapshot = state.fleet.snapshot
     return class_share(state, snapshot.cores, request_class) / snapshot.congestion
 
 
 def is_within_fleet_share(state: SchedulerState, query: QueryState) -> bool:
-    """Whether this gateway's share of the fleet allows one more query of a class.
+    """Whether this gateway's share of the fleet allows one more query of the class.
 
-    With many gateways "at least one query" at each engine adds up to several times what the fleet can do. The
-    share is rounded to an integer of queries at random, up or down, so that one under a single query is kept
-    on average.
+    With many gateways, one query from each at each engine can add up to several times the capacity of the
+    fleet. The share is rounded to a whole number of queries at random, up or down, so that a share of less
+    than one query is kept on average.
     """
-    if state.settings.memory_shortage is MemoryShortage.WAIT:  # engines let queries wait: no need of it
+    if state.settings.memory_shortage is MemoryShortage.WAIT:  # engines queue queries: no bound needed
         return True
     period = math.floor(state.now / FLEET_SHARE_PERIOD_NS - state.fleet_share.phase)
     rounding = state.fleet_share.rounding.draw(period, state.random)
@@ -65,10 +63,10 @@
 
 
 def has_capacity(state: SchedulerState, engine: EngineState, query: QueryState) -> bool:
-    """Whether a query may start at an engine now, as far as limits go."""
+    """Whether the concurrency limits allow a query to start at an engine now."""
     if not probation.allows_query(state, engine):
         return False
-    # Queries of a key run one at a time, which bounds them already: no limit on top of that
+    # Queries of a key run one at a time, so they need no further limit
     if not is_saturated(engine) or query.is_key_ordered:
         return True
     request_class, threads = query.request_class, query.settings.threads
--- a/query_gateway/policy/class_lengths.py
+++ b/query_gateway/policy/class_lengths.py
@@ -1,8 +1,8 @@
-"""Class lengths: which classes of queries are long, which are short, and their shares of the work.
+"""Classifies query classes as short or long, and computes their shares of the work.
 
-Input: the mean work of each class, in nanoseconds over all threads of a query. A class is long if its work is
-above the geometric middle of the least and the greatest. Short and long queries have concurrency limits of
-their own, so that long ones cannot take all the threads that short ones need.
+Input: the mean work of each class, in nanoseconds over all threads of a query. A class is long if its mean
+work exceeds the geometric mean of the smallest and the largest. Short and long queries have separate
+concurrency limits, so that long queries cannot occupy all threads that short ones need.
 """
 
 import math
@@ -10,20 +10,20 @@
 
 from query_gateway.model.request_classes import RequestClasses
 
-LONG_CLASS_MARGIN: Final = 1.001  # over the geometric middle for a class to be long: equal ones are short
+LONG_CLASS_MARGIN: Final = 1.001  # factor on the geometric mean, so that classes of equal work are all short
 
 
 def refresh_class_lengths(classes: RequestClasses) -> None:
-    """Divide the classes into short and long ones, and the work in flight among them."""
-    works = [request_class.mean_work() for request_class in classes]
-    weights = [  # threads in flight
+    """Refresh which classes are long, their shares of the work, and the mean threads per query."""
+    mean_works = [request_class.mean_work() for request_class in classes]
+    weights = [  # proportional to the threads in flight of a class
         (request_class.work.count + 1) * request_class.mean_work() for request_class in classes
     ]
     total = math.fsum(weights)
-    middle = math.sqrt(min(works) * max(works)) * LONG_CLASS_MARGIN
-    for request_class, work, weight in zip(classes, works, weights, strict=True):
+    threshold = math.sqrt(min(mean_works) * max(mean_works)) * LONG_CLASS_MARGIN
+    for request_class, work, weight in zip(classes, mean_works, weights, strict=True):
         request_class.work_share = weight / total
-        request_class.is_long = work > middle
+        request_class.is_long = work > threshold
     queries = [
         weight / request_class.settings.threads
         for weight, request_class in zip(weights, classes, strict=True)
--- a/query_gateway/policy/controller.py
+++ b/query_gateway/policy/controller.py
@@ -1,11 +1,11 @@
-"""The controller of the lag ratio (UNIT, section 3.2): it weighs rejections against late answers.
+"""Controller of the lag ratio (UNIT, section 3.2): balances rejections against late answers.
 
-    more weight late than rejected     lag ratio times `LAG_RATIO_STEP`: admission gets stricter
-    more weight rejected than late     lag ratio divided by it: admission gets more generous
-    both under `COST_FLOOR`            no step
+    more weight late than rejected     lag ratio multiplied by `LAG_RATIO_STEP`: stricter admission
+    more weight rejected than late     lag ratio divided by it: more permissive admission
+    both at most `COST_FLOOR`          no step
 
-Inputs: decayed sums of the priority weight that was requested, rejected and late. The lag ratio is the factor
-on a query's earliest start in `admission`. UNIT is cited in `scheduler`.
+Inputs: decayed sums of the priority weight that was requested, rejected and late. In `admission`, the lag
+ratio multiplies a query's start delay. UNIT is cited in `scheduler`.
 """
 
 from typing import Final
@@ -15,12 +15,12 @@
 from query_gateway.policy import tenants
 
 CONTROL_PERIOD_NS: Final = 1 * SEC
-METRIC_DROP: Final = 0.01  # a fall of the metric by this much brings the next step forward
-LAG_RATIO_STEP: Final = 1.1  # factor by which one step raises the lag ratio, or lowers it
-MIN_LAG_RATIO: Final = 0.25  # beyond this range the ratio only admits all or nothing
+METRIC_DROP: Final = 0.01  # a larger fall of the metric triggers a step before the period is over
+LAG_RATIO_STEP: Final = 1.1  # factor by which one step raises or lowers the lag ratio
+MIN_LAG_RATIO: Final = 0.25  # outside this range the ratio would admit either everything or nothing
 MAX_LAG_RATIO: Final = 4.0
-COST_FLOOR: Final = 0.02  # share of the weight requested; smaller costs differ by chance
-COST_DECAY_NS: Final = 10 * SEC  # of the sums of weight: a few control periods
+COST_FLOOR: Final = 0.02  # share of the requested weight; differences between smaller costs are noise
+COST_DECAY_NS: Final = 10 * SEC  # decay time of the weight sums: several control periods
 
 
 def record_cost(state: SchedulerState, requested: float, rejected: float, late: float) -> None:
@@ -29,7 +29,7 @@
 
 
 def adjust_lag_ratio(state: SchedulerState) -> None:
-    """Step the lag ratio if a period has passed or the metric fell; gossip goes out at the same time."""
+    """Step the lag ratio and send gossip if a control period has passed or the metric fell."""
     controller, costs = state.controller, state.controller.costs.shares()
     metric = 1 - costs.rejected - costs.late
     is_due = state.now - controller.checked_at >= CONTROL_PERIOD_NS
--- a/query_gateway/policy/fault_rate.py
+++ b/query_gateway/policy/fault_rate.py
@@ -1,11 +1,11 @@
-"""Fault rate: which engine an error counts against, and by how much a faulty engine is avoided.
+"""Fault rate: which engine an error is attributed to, and how strongly routing avoids a faulty engine.
 
-    a query ends in error, for the first time       counts against the engine
-    it ends in error again, at the same engine      counts against the engine
-    it ends in error at a second engine             clears the first; the query itself is at fault
+    first error of a query                      counts against its engine
+    further error at the same engine            counts against that engine
+    error at a second engine                    clears the first engine: the query is at fault
 
-The fault rate is a decayed share, from 0 to 1, of the attempts that ended in error. The penalty is the factor
-by which routing takes a run at the engine to be longer than at a healthy one.
+The fault rate is the decayed share of attempts that ended in error, from 0 to 1. The penalty is the factor
+by which routing multiplies the expected run time at an engine.
 """
 
 import math
@@ -14,19 +14,18 @@
 from query_gateway.model.records import EngineState, QueryState
 from query_gateway.model.state import SchedulerState
 
-FAULT_WEIGHT: Final = 0.15  # least weight of a new outcome in the fault rate
-TOLERATED_SLOWDOWN: Final = 0.25  # log slowdown over the peers' median that is not taken for a fault
-MIN_SUCCESS_RATE: Final = 0.1  # bounds the penalty of an engine that only fails
+FAULT_WEIGHT: Final = 0.15  # minimum weight of a new outcome in the fault rate
+TOLERATED_SLOWDOWN: Final = 0.25  # log slowdown above the peers' median that adds no penalty
+MIN_SUCCESS_RATE: Final = 0.1  # bounds the penalty of an engine whose attempts all fail
 
 
 def record_answer(state: SchedulerState, engine: EngineState, query: QueryState, failed: bool) -> None:
-    """Count an answer in the fault rate of its engine, or clear the engine that failed the query before.
+    """Count an answer in the fault rate of its engine, or clear the engine where the query failed before.
 
-    A client may send a query that no engine can serve. Counted against each engine that tries it, such
-    queries would get all engines ejected; the second engine that fails shows that the first was not to
-    blame.
+    A client may send a query that no engine can serve. Counted against every engine that tries it, such
+    queries would get all engines ejected. A failure at a second engine shows that the first was not at fault.
     """
-    # Where answers are few, each counts for more
+    # The fewer the recent answers, the more weight each one has
     weight = max(FAULT_WEIGHT, 1 / (2 + engine.log_slowdown.weight))
     if not failed or not query.failed_at or query.failed_at[0] is engine:
         engine.fault_rate += weight * (failed - engine.fault_rate)
@@ -39,13 +38,13 @@
 
 
 def record_lost_attempt(state: SchedulerState, engine: EngineState) -> None:
-    """An attempt got no answer from an engine that answers others: a fault of the engine."""
+    """Count a lost attempt as a fault of its engine, which answers others but did not answer this one."""
     engine.fault_rate += FAULT_WEIGHT * (1 - engine.fault_rate)
     refresh_penalty(state, engine)
 
 
 def refresh_penalty(state: SchedulerState, engine: EngineState) -> None:
-    """Rate an engine: 1 when healthy; more if it is slower than its peers at this time, or fails."""
+    """Refresh an engine's penalty: 1 if healthy, more if it is slower than its peers or fails."""
     excess = engine.snapshot.slowdown - state.fleet.snapshot.median_slowdown - TOLERATED_SLOWDOWN
-    slow = math.exp(max(0.0, excess))
-    engine.snapshot.penalty = slow / max(MIN_SUCCESS_RATE, 1 - engine.fault_rate)
+    slowdown_factor = math.exp(max(0.0, excess))
+    engine.snapshot.penalty = slowdown_factor / max(MIN_SUCCESS_RATE, 1 - engine.fault_rate)
--- a/query_gateway/policy/fleet_snapshot.py
+++ b/query_gateway/policy/fleet_snapshot.py
@@ -1,8 +1,8 @@
-"""The fleet snapshot: which engines are up, in slow start, saturated or slow, and how congested the fleet is.
+"""Fleet snapshot: which engines are up, in slow start, saturated or slow, and how congested the fleet is.
 
 It is refreshed before the events of a batch once `SNAPSHOT_PERIOD_NS` has passed, and at once when the
-endpoint list or an ejection has changed. Decisions in between read the same snapshot; only an engine's
-penalty also follows each fault (`fault_rate`).
+endpoint list or an ejection changes. All decisions in between use the same snapshot; only an engine's penalty
+is also refreshed at each fault (`fault_rate`).
 """
 
 from typing import Final
@@ -20,7 +20,7 @@
 
 
 def refresh_fleet_snapshot(state: SchedulerState, force: bool = False) -> None:
-    """Refresh the snapshot if that is due or forced."""
+    """Refresh the snapshot if its period has passed, or if forced."""
     snapshot = state.fleet.snapshot
     elapsed = state.now - snapshot.taken_at
     if elapsed < SNAPSHOT_PERIOD_NS and not force:
@@ -38,9 +38,9 @@
 
 
 def _forget_removed_engines(state: SchedulerState) -> None:
-    """Drop engines that are off the list once nothing of theirs is in flight or queued.
+    """Drop engines that are no longer on the endpoint list and have nothing in flight or queued.
 
-    Engines get new names when they are replaced; kept for ever they would fill the memory.
+    A replaced engine gets a new name, so records that were kept for ever would exhaust the memory.
     """
     state.fleet.engines = {
         name: engine
@@ -50,21 +50,21 @@
 
 
 def _refresh_members(state: SchedulerState) -> None:
-    """Refresh which engines are up, ejected and in slow start, and the cores of those that count."""
+    """Refresh which engines are up, ejected and in slow start, and the cores that count as capacity."""
     settings, snapshot, engines = state.settings, state.fleet.snapshot, state.fleet.engines.values()
     snapshot.up = [engine for engine in engines if engine.is_up]
     usable = [engine for engine in snapshot.up if not engine.is_ejected(state.now)]
-    snapshot.all_ejected = not usable  # then ejections are ignored: the fault is not an engine's
+    snapshot.all_ejected = not usable  # ejections are then ignored: the cause is not a single engine
     for engine in engines:
         engine.snapshot.in_slow_start = is_in_slow_start(settings, engine.started_at, state.now)
-    # Engines in slow start are bounded by their credits; neither their cores nor their threads count here
+    # Credits bound the engines in slow start, so neither their cores nor their threads count here
     snapshot.engines_in_slow_start = [engine for engine in snapshot.up if engine.snapshot.in_slow_start]
     past_slow_start = [engine for engine in usable or snapshot.up if not engine.snapshot.in_slow_start]
     snapshot.cores = float(sum(engine.cores for engine in past_slow_start)) or 1.0
 
 
 def _recount_threads(state: SchedulerState) -> None:
-    """Sum up the threads in use over all engines past slow start, also over those that are not up."""
+    """Sum the threads in use over all engines past slow start, including those that are not up."""
     counted = [engine for engine in state.fleet.engines.values() if not engine.snapshot.in_slow_start]
     state.workload.threads_in_use = ThreadsInUse(
         short=sum(engine.workload.threads_in_use.short for engine in counted),
--- a/query_gateway/policy/placement.py
+++ b/query_gateway/policy/placement.py
@@ -1,7 +1,7 @@
-"""Placement: which engines may serve a query at all.
+"""Placement: which engines may serve a query.
 
-An engine is usable if the endpoint list has it up, it is not ejected, the class may run in its zone and on
-its kind, and, where an attempt with an idempotency key may have run, it would drop a duplicate of that
+An engine is usable if it is up on the endpoint list and not ejected, and the class may run in its zone and on
+its kind. If an attempt with an idempotency key may have run, the engine must also drop a duplicate of that
 attempt (`repetition`).
 """
 
@@ -19,12 +19,12 @@
 
 
 def may_run_again(query: QueryState, now: int) -> bool:
-    """Whether a query may run once more, by its idempotency and by what may have run of it."""
+    """Whether a query may run again, by its idempotency and the attempts that may have run."""
     return repetition.may_run_again(query.settings, query.first_executed_at, now)
 
 
 def may_run_at(query: QueryState, engine: EngineState, now: int) -> bool:
-    """Whether an engine is within a query's placement constraints and drops a duplicate of what ran."""
+    """Whether an engine meets a query's placement constraints and drops duplicates of earlier attempts."""
     settings = query.settings
     if not allows_placement(settings, engine.info):
         return False
@@ -36,6 +36,6 @@
 
 
 def is_usable(state: SchedulerState, engine: EngineState, query: QueryState) -> bool:
-    """Whether an engine may serve a query now, apart from its capacity."""
+    """Whether an engine may serve a query now, regardless of its capacity."""
     ejected = engine.is_ejected(state.now) and not state.fleet.snapshot.all_ejected
     return not ejected and engine.is_up and may_run_at(query, engine, state.now)
--- a/query_gateway/policy/probation.py
+++ b/query_gateway/policy/probation.py
@@ -1,10 +1,10 @@
-"""Probation: how an engine comes back into full service.
+"""Probation: the return of an engine to full service.
 
-    in service --begin_probation--> on probation --record_received--> in service
+    in service --begin_probation--> on probation --record_response--> in service
                                                   (once its ejection is over)
 
-An engine on probation gets one query at a time. Probation begins with an ejection, or with one connection
-that broke, and ends with an answer or a progress note.
+An engine on probation gets one query at a time. Probation begins with an ejection or a single connection
+reset, and ends with an answer or a progress note.
 """
 
 from query_gateway.model.records import EngineState
@@ -12,20 +12,20 @@
 
 
 def begin_probation(engine: EngineState, now: int) -> None:
-    """Put an engine on probation at the clock time `now` (nanoseconds): it gets one query at a time."""
+    """Put an engine on probation from the clock time `now` (nanoseconds)."""
     engine.on_probation, engine.probation_since = True, now
 
 
 def allows_query(state: SchedulerState, engine: EngineState) -> bool:
-    """Whether probation lets an engine have one more query now."""
+    """Whether probation allows one more query at an engine now."""
     return not (engine.on_probation and engine.in_flight) or state.fleet.snapshot.all_ejected
 
 
-def record_received(engine: EngineState, now: int) -> None:
-    """An answer or a progress note came: on probation to in service, once the ejection is over.
+def record_response(engine: EngineState, now: int) -> None:
+    """Record an answer or a progress note, which ends probation once the ejection is over.
 
-    An engine that was unreachable has a new process, although the endpoint list may not have its start yet:
-    it begins its slow start here, as its full share at once would overload it.
+    An engine that was unreachable runs in a new process, whose start the endpoint list may not report yet.
+    Its slow start begins here, as a full share of the queries at once would overload it.
     """
     engine.last_received_at = now
     if engine.on_probation and now >= engine.ejected_until:
--- a/query_gateway/policy/progress_review.py
+++ b/query_gateway/policy/progress_review.py
@@ -1,18 +1,18 @@
-"""Review of attempts in flight: each runs on, is cancelled to run elsewhere, or is given up.
+"""Review of attempts in flight: each continues, is cancelled to run elsewhere, or is given up.
 
-Each timer period, for the last attempt of each query where the site allows cancellation, the first that
-holds:
+Every timer period, the first matching rule applies to the last attempt of each query, where the site allows
+cancellation:
 
-    restart    the query is idempotent, there is time for one more attempt, and
-               its engine was ejected since the send or removed, or the attempt is lost, or it is overdue
-               or far behind a fresh run and the query was not restarted before (restarts because of
-               an ejected or removed engine are not counted)
+    restart    the query is idempotent, there is time for one more attempt, and one of these holds:
+               the engine was ejected after the send or removed; the attempt is lost; the attempt is overdue
+               or far behind a new run, and the query was not restarted before (restarts due to an ejected
+               or removed engine do not count)
     give up    the query is idempotent, and the attempt is lost, overdue where engines send no notes,
-               sure to end after its limit, or its limit has passed
-    run on     with a new priority if it has one by now
+               predicted to end after its limit, or past its limit
+    continue   with a new priority if that has changed
 
-The limit is the client's deadline, or the due time for a class whose late answers count for nothing. Only an
-idempotent query is cancelled: another one may have had its effect. Times are nanoseconds.
+The limit is the client's deadline, or the due time for a class whose late answers have no weight. Only
+idempotent queries are cancelled: any other may already have had its effect. Times are nanoseconds.
 """
 
 import math
@@ -25,29 +25,29 @@
 from query_gateway.policy.fleet_estimator import FLEET_ESTIMATOR
 from query_gateway.policy.start_times import REMAINING_TIME
 
-LOST_NOTE_PERIODS: Final = 1.6  # periods without a progress note after which an attempt is taken for lost
-PRIOR_LOG_SPREAD: Final = 0.7  # standard deviation of the log run times of a class, until its own is learned
-OVERDUE_DEVIATIONS: Final = 1.8  # standard deviations of log run times over the expected one
-RESTART_GAIN: Final = 2.0  # times a fresh run that what remains must exceed before an attempt is restarted
-HOPELESS_OVERRUN: Final = 1.3  # predicted end over the limit, from rough notes, that ends an attempt
+LOST_NOTE_PERIODS: Final = 1.6  # note periods without a progress note after which an attempt counts as lost
+PRIOR_LOG_SPREAD: Final = 0.7  # standard deviation of a class's log run times before it is learned
+OVERDUE_DEVIATIONS: Final = 1.8  # standard deviations of log run times above the expected one
+RESTART_GAIN: Final = 2.0  # factor by which the remaining time must exceed a new run for a restart
+HOPELESS_OVERRUN: Final = 1.3  # remaining time over time to the limit that ends an attempt: notes are rough
 
 
 def review_attempts(state: SchedulerState) -> None:
-    """Eject engines that are unresponsive, then review the last attempt of each query."""
+    """Eject unresponsive engines, then review the last attempt of each query."""
     outliers.eject_unresponsive(state)
     for query in [query for query in state.queries.values() if query.in_flight and not query.ended]:
         attempt = query.in_flight[-1]
         if not attempt.cancelled and state.settings.allows_cancellation:
-            _review(state, attempt)
+            _review_attempt(state, attempt)
 
 
-def _review(state: SchedulerState, attempt: AttemptState) -> None:
+def _review_attempt(state: SchedulerState, attempt: AttemptState) -> None:
     query = attempt.query
     remaining = REMAINING_TIME.remaining_time(attempt, state.now)
     engine_failed = _has_engine_failed(state, attempt)
     lost = _have_notes_stopped(state, attempt)
     if lost and not attempt.lost:
-        _record_lost(state, attempt)
+        _record_lost_attempt(state, attempt)
     overdue = _is_overdue(state, attempt)
     is_far_behind = attempt.progress > 0 and remaining > RESTART_GAIN * query.run_time
     may_restart_slow = query.restarts == 0 and (overdue or is_far_behind)
@@ -57,9 +57,9 @@
         answers.cancel_attempt(state, attempt)
         return
     limit = query.request.deadline if query.settings.late_weight > 0 else query.due_at
-    hopeless = attempt.progress > 0 and remaining > HOPELESS_OVERRUN * (limit - state.now)
+    misses_limit = attempt.progress > 0 and remaining > HOPELESS_OVERRUN * (limit - state.now)
     overdue_without_notes = overdue and not state.settings.progress_interval
-    if query.is_idempotent and (lost or overdue_without_notes or hopeless or state.now >= limit):
+    if query.is_idempotent and (lost or overdue_without_notes or misses_limit or state.now >= limit):
         answers.give_up(state, query, EndReason.ATTEMPT_LOST)
     else:
         attempt_terms.update_priority(state, query)
@@ -68,7 +68,7 @@
 def _has_engine_failed(state: SchedulerState, attempt: AttemptState) -> bool:
     """Whether an attempt's engine was ejected after the send, or is off the endpoint list.
 
-    What was sent to an ejected engine on purpose, as all of them were ejected, is left to run.
+    An attempt that was sent to an ejected engine because all engines were ejected continues.
     """
     engine = attempt.engine
     ejected_since = engine.is_ejected(state.now) and attempt.sent_at < engine.probation_since
@@ -76,27 +76,27 @@
 
 
 def _have_notes_stopped(state: SchedulerState, attempt: AttemptState) -> bool:
-    """Whether an attempt is lost: its engine sends progress notes, and those of this attempt have stopped."""
+    """Whether the engine sends progress notes and those of this attempt have stopped: the attempt is lost."""
     interval = state.settings.progress_interval
     return interval > 0 and state.now - attempt.last_note_at > LOST_NOTE_PERIODS * interval
 
 
-def _record_lost(state: SchedulerState, attempt: AttemptState) -> None:
-    """Count no threads for a lost attempt from now on, and a fault of its engine.
+def _record_lost_attempt(state: SchedulerState, attempt: AttemptState) -> None:
+    """Stop counting the threads of a lost attempt, and count it as a fault of its engine.
 
-    The answer of a single attempt may never come although its engine answers others. Its threads would count
-    as in use for ever, and the gateway would send that engine less and less.
+    An engine may never answer a single attempt although it answers others. The threads of that attempt would
+    count as in use for ever, and the gateway would send the engine fewer and fewer queries.
     """
     state.mark_lost(attempt)
     fault_rate.record_lost_attempt(state, attempt.engine)
 
 
 def _is_overdue(state: SchedulerState, attempt: AttemptState) -> bool:
-    """Whether an attempt without progress has run longer than its class does, even at this engine.
+    """Whether an attempt without progress has exceeded the run time of its class, allowing for a slow engine.
 
-    Until the spread of a class is learned a prior one counts as well: a class whose runs never end would
-    never show its spread, and its attempts would fill all engines. Where engines send progress notes those
-    show how far a run is, so there only a learned spread counts.
+    A prior spread counts until the spread of a class is learned: a class whose runs never end would never
+    show its spread, and its attempts would fill all engines. Where engines send progress notes, these show
+    how far a run is, so only a learned spread counts there.
     """
     query, enough = attempt.query, FLEET_ESTIMATOR.learned_samples
     error = query.request_class.run_time_error
--- a/query_gateway/policy/recovery_ramp.py
+++ b/query_gateway/policy/recovery_ramp.py
@@ -1,12 +1,12 @@
-"""The recovery ramp: when an engine is in slow start, and what share of its capacity it has at an age.
+"""Recovery ramp: when an engine is in slow start, and the share of its capacity that it has at a given age.
 
-From its start an engine's capacity grows linearly from `slow_start_initial_capacity` to 1 over
-`slow_start_window`. Sent more than `slow_start_overload_factor` times its present capacity within
-`slow_start_overload_window`, it falls over.
+From its start, an engine's capacity grows linearly from `slow_start_initial_capacity` to 1 over
+`slow_start_window`. It fails under overload if it is sent more than `slow_start_overload_factor` times its
+present capacity within `slow_start_overload_window`.
 
-The scheduler spaces its sends by this ramp (`slow_start`), and the forwarder's slow-start budgets bound by it
-what really leaves; attempts without an estimate of their work are not bounded there, nor engines whose start
-the endpoint list does not name. All functions are pure; times and ages are nanoseconds.
+The scheduler spaces its sends by this ramp (`slow_start`), and the forwarder's slow-start budgets use it to
+bound what is actually sent. The budgets exempt attempts without a work estimate and engines whose start the
+endpoint list does not report. All functions are pure; times and ages are nanoseconds.
 """
 
 from dataclasses import dataclass
@@ -14,12 +14,12 @@
 
 from query_gateway.model.settings import Settings
 
-# Share of the capacity per nanosecond; divides where a ramp starts at full capacity and does not grow
+# Share of the capacity per nanosecond; avoids a division by zero for a ramp that starts at full capacity
 MIN_GROWTH: Final = 1e-15
 
 
 def is_in_slow_start(settings: Settings, started_at: int, now: int) -> bool:
-    """Whether an engine that started at a clock time is in slow start; 0: its start is not known."""
+    """Whether an engine that started at a clock time is in slow start; a start of 0 is unknown."""
     if not started_at or settings.slow_start_overload_factor <= 0:
         return False
     return now - started_at < settings.slow_start_window
@@ -27,26 +27,26 @@
 
 @dataclass(slots=True, frozen=True)
 class RecoveryRamp:
-    """The capacity of an engine in slow start by its age, as a share of its full capacity."""
+    """Capacity of an engine in slow start as a function of its age, as a share of its full capacity."""
 
     initial_capacity: float
     growth: float  # per nanosecond
 
     def capacity_at(self, age: float) -> float:
-        """The share that it has at an age."""
+        """Share of the capacity at an age."""
         return self.initial_capacity + self.growth * age
 
     def mean_capacity_until(self, age: float) -> float:
-        """The mean share from its start up to an age."""
+        """Mean share of the capacity from the start up to an age."""
         return self.initial_capacity + self.growth * age / 2
 
     def age_at_capacity(self, capacity: float) -> float:
-        """The age at which it has a share; negative if it has that from the start."""
+        """Age at which a share is reached; negative if the initial capacity exceeds it."""
         return (capacity - self.initial_capacity) / max(self.growth, MIN_GROWTH)
 
 
 def recovery_ramp(settings: Settings) -> RecoveryRamp:
-    """The ramp that the site's settings give to every engine; defined while there is a slow start."""
+    """Ramp of all engines by the site's settings; valid only where slow start is enabled."""
     return RecoveryRamp(
         settings.slow_start_initial_capacity,
         (1 - settings.slow_start_initial_capacity) / settings.slow_start_window,
--- a/query_gateway/policy/release.py
+++ b/query_gateway/policy/release.py
@@ -1,9 +1,10 @@
-"""Release of queued queries: each leaves by earliest deadline when an engine has capacity, or is given up.
+"""Release of queued queries: by earliest deadline, each is sent once an engine has capacity, or is given up.
 
-    given up as CLIENT_TIMEOUT    its client is about to give up
-    given up as LATE              half a run would end after it is due, and it may not run late
-    stays                         not next of its key, or no engine has capacity for it
-    leaves                        for its own engine if that was just found, else for that of least run time
+    given up as CLIENT_TIMEOUT    its client is about to time out
+    given up as LATE              half a run would end after the due time, and the query may not run late
+    stays queued                  it is not the next of its key, or no engine has capacity for it
+    sent                          to its own engine if it was just routed there, else to that with the least
+                                  expected run time
 
 Inputs: the queue by earliest deadline, the capacity of each engine. Times are nanoseconds.
 """
@@ -27,27 +28,27 @@
 )
 from query_gateway.policy.saturation import is_saturated
 
-CLIENT_MARGIN_NS: Final = 200 * MS  # two timer periods before a client gives up, as one may come late
-LAST_START_SHARE: Final = 0.5  # of the run time that must be left; some runs are that much shorter
+CLIENT_MARGIN_NS: Final = 200 * MS  # before a client's timeout; two timer periods, as one may be late
+LAST_START_SHARE: Final = 0.5  # of the run time that must fit before the due time; some runs are that short
 
 
 @dataclass(slots=True)
 class BlockedLengths:
-    """Whether a query of a short or of a long class has found no capacity in this look at the queue."""
+    """Class lengths, short or long, for which this pass over the queue has found no capacity."""
 
     short: bool = False
     long: bool = False
 
     def all(self) -> bool:
-        """Whether that is so of all classes."""
+        """Whether both lengths are blocked."""
         return self.short and self.long
 
     def has(self, is_long: bool) -> bool:
-        """Whether that is so of long classes, or of short ones."""
+        """Whether a length is blocked."""
         return self.long if is_long else self.short
 
     def add(self, is_long: bool) -> None:
-        """Note it of long classes, or of short ones."""
+        """Mark a length as blocked."""
         if is_long:
             self.long = True
         else:
@@ -55,43 +56,43 @@
 
 
 def release_queued(state: SchedulerState) -> None:
-    """Look at queued queries by earliest deadline; those that stay keep their order.
+    """Release or give up queued queries by earliest deadline; the others keep their order.
 
-    A long queue is looked over in full only once in a while, as each look takes time for every query; in
-    between only until both lengths of classes have found no capacity.
+    Each query takes time to examine, so a long queue gets a full pass only at intervals. The passes in
+    between stop once both class lengths are blocked, or after `EXACT_LENGTH` queries.
     """
     queue = state.workload.queue
     queued = queue.entries
     if not queued:
         return
-    staying = queue.entries = []
+    still_queued = queue.entries = []
     blocked = BlockedLengths()
-    is_full_look = state.now >= state.last_full_release_at + start_times.QUEUED_LIFETIME_NS * len(queued)
-    if is_full_look:
+    is_full_pass = state.now >= state.last_full_release_at + start_times.QUEUED_LIFETIME_NS * len(queued)
+    if is_full_pass:
         state.last_full_release_at = state.now
     for index, entry in enumerate(queued):
-        if not is_full_look and (blocked.all() or index == start_times.EXACT_LENGTH):
-            staying.extend(queued[index:])
+        if not is_full_pass and (blocked.all() or index == start_times.EXACT_LENGTH):
+            still_queued.extend(queued[index:])
             break
         query = entry.query
-        engine = _release(state, query, blocked)
-        _leave_engine_queue(state, query, released=engine is not None)
+        engine = _select_engine(state, query, blocked)
+        _remove_from_engine_queue(state, query, released=engine is not None)
         if engine:
             attempts.forward(state, query, engine)
         elif not query.ended:
-            staying.append(entry)
+            still_queued.append(entry)
 
 
-def _leave_engine_queue(state: SchedulerState, query: QueryState, released: bool) -> None:
-    """Take a query out of the queue of its engine once it has left or ended, or may not run there."""
+def _remove_from_engine_queue(state: SchedulerState, query: QueryState, released: bool) -> None:
+    """Remove a query from the queue of its engine once it was sent, has ended or may not run there."""
     engine = query.queued_at
     if engine and (query.ended or released or not placement.is_usable(state, engine, query)):
         engine.workload.queue.remove(query)
         query.queued_at = None
 
 
-def _release(state: SchedulerState, query: QueryState, blocked: BlockedLengths) -> EngineState | None:
-    """The engine that a query leaves for now, if any; one that cannot be in time is given up."""
+def _select_engine(state: SchedulerState, query: QueryState, blocked: BlockedLengths) -> EngineState | None:
+    """Engine that a query is sent to now, if any; a query that cannot be in time is given up."""
     if query.ended:
         return None
     if reason := _give_up_reason(state, query):
@@ -108,7 +109,7 @@
 
 
 def _give_up_reason(state: SchedulerState, query: QueryState) -> EndReason | None:
-    """Why a queued query must not wait any longer; None if it may."""
+    """Reason for which a queued query is given up; None if it may wait."""
     if state.now + CLIENT_MARGIN_NS >= query.request.deadline:
         return EndReason.CLIENT_TIMEOUT
     late = state.now + query.run_time * LAST_START_SHARE >= query.due_at
@@ -116,10 +117,10 @@
 
 
 def _may_run_late(state: SchedulerState, query: QueryState) -> bool:
-    """Whether a query runs although it will be late, as its key had to wait, which no rejection mends.
+    """Whether a query may run although it will be late, as it waited for its key and no rejection can help.
 
-    It does where its late answer counts for more than what those behind it in its key lose, and where no
-    engine past slow start is saturated: there, other queries could be in time in its place.
+    Its late answer must be worth more than the loss of the queries behind it in its key. No engine past slow
+    start may be saturated, as other queries could be in time there instead.
     """
     if not query.is_key_ordered:
         return False
@@ -131,9 +132,9 @@
 
 
 def _engine_with_capacity(state: SchedulerState, query: QueryState) -> EngineState | None:
-    """The query's own engine or another with capacity: none stays idle while queries wait."""
+    """Engine with capacity, the query's own or another, so that none is idle while queries wait."""
     own_engine = query.queued_at
-    # Routed in this batch, among all candidates, to the engine of least start delay
+    # Routed on arrival in this batch, among all candidates, without a start delay
     just_routed = query.start_at <= query.arrived_at == state.now
     if own_engine and just_routed and _may_start(state, own_engine, query):
         return own_engine
--- a/query_gateway/policy/repetition.py
+++ b/query_gateway/policy/repetition.py
@@ -1,14 +1,15 @@
-"""Repetition: may a request run once more, until when, where; may its client retry it.
+"""Repetition: whether, until when and where a request may run again, and whether its client may retry it.
 
     no attempt may have run yet              another attempt may start until the client's deadline
     an attempt may have run, and the class is
         IDEMPOTENT       it may run again
-        KEYED            it may run again while the engines still drop a duplicate of the first attempt:
-                         within `deduplication_window` of its send, at an engine in the same scope
+        KEYED            it may run again while engines still drop a duplicate of the first attempt: within
+                         `deduplication_window` of its send, at an engine in the same scope
         NON_IDEMPOTENT   it may not run again
 
-The scheduler plans by these rules and the forwarder's send guard enforces them as the first byte leaves; in
-between, time passes and attempts end. All functions are pure. Times are clock times in nanoseconds.
+The scheduler plans by these rules, and the forwarder's send guard enforces them before the first byte is
+sent, as time passes and attempts end in between. All functions are pure. Times are clock times in
+nanoseconds.
 """
 
 from typing import Final
@@ -17,7 +18,7 @@
 from query_gateway.model.events import OutcomeCode
 from query_gateway.model.settings import ClassSettings, DeduplicationScope, Idempotency
 
-# Outcomes of an attempt that the engine surely never ran
+# Outcomes that rule out that the engine ran the attempt
 NEVER_RAN_CODES: Final = (OutcomeCode.FULL, OutcomeCode.CONNECT_FAILED, OutcomeCode.NOT_SENT)
 
 NO_DEADLINE: Final = 2**62 - 1  # later than any clock time
@@ -25,12 +26,12 @@
 
 
 def may_run_twice(settings: ClassSettings) -> bool:
-    """Whether a second attempt can be allowed at all once one may have run."""
+    """Whether a second attempt can be allowed once one may have run."""
     return settings.idempotency is not Idempotency.NON_IDEMPOTENT
 
 
 def repeat_deadline(settings: ClassSettings, first_executed_at: int | None) -> int:
-    """Until when one more attempt may start, the client's deadline aside.
+    """Clock time until which a further attempt may start, regardless of the client's deadline.
 
     `first_executed_at` is when the first attempt that may have run was sent; None: no attempt may have run.
     """
@@ -42,12 +43,12 @@
 
 
 def may_run_again(settings: ClassSettings, first_executed_at: int | None, now: int) -> bool:
-    """Whether one more attempt may start now, the client's deadline aside."""
+    """Whether a further attempt may start now, regardless of the client's deadline."""
     return now < repeat_deadline(settings, first_executed_at)
 
 
 def recognises_duplicate(settings: ClassSettings, executed_at: EndpointInfo, other: EndpointInfo) -> bool:
-    """Whether an engine drops a duplicate by its idempotency key, when another one ran it first."""
+    """Whether `other` recognises an idempotency key that `executed_at` has already processed."""
     match settings.deduplication_scope:
         case DeduplicationScope.ALL:
             return True
@@ -58,10 +59,10 @@
 
 
 def client_may_retry(settings: ClassSettings) -> bool:
-    """Whether a client's own retry has no second effect, although the request may have run.
+    """Whether a client may retry a request that may have run without a further effect.
 
-    The retry may reach any engine, so one with an idempotency key needs all engines in one deduplication
-    scope.
+    The client's retry may reach any engine, so a request with an idempotency key needs all engines in one
+    deduplication scope.
     """
     if settings.idempotency is Idempotency.KEYED:
         return settings.deduplication_scope is DeduplicationScope.ALL
@@ -69,7 +70,7 @@
 
 
 def may_be_rejected(settings: ClassSettings, may_have_run: bool) -> bool:
-    """Whether a request without a result is rejected, which tells its client to retry; else it has failed.
+    """Whether a request without a result is rejected, which tells its client to retry; otherwise it fails.
 
     `may_have_run`: an attempt that has ended may have run, or one is in flight.
     """
--- a/query_gateway/policy/retry_budget.py
+++ b/query_gateway/policy/retry_budget.py
@@ -1,11 +1,11 @@
 """Retry budget: how many retries a site allows for the requests of a sliding window.
 
-    retries within `retry_window` <= `retry_allowance` + `retries_per_request` * requests within
-    `retry_window`
+    retries within `retry_window` <=
+        `retry_allowance` + `retries_per_request` * requests within `retry_window`
 
-A site without a `retry_allowance` has no such limit. Retries of a fleet that fails would otherwise multiply
-its load just then. Requests and retries older than the window are forgotten when a retry is asked for; until
-then the requests are kept, however old.
+A site without a `retry_allowance` has no such limit. The budget keeps retries from multiplying the load of a
+fleet that is already failing. Requests and retries older than the window are dropped when a retry is checked;
+until then the requests are kept, whatever their age.
 """
 
 from query_gateway.model.budgets import RetryBudget
@@ -19,7 +19,7 @@
 
 
 def allows_retry(budget: RetryBudget, settings: Settings, now: int) -> bool:
-    """Whether one more retry stays within the budget at a clock time (nanoseconds)."""
+    """Whether the budget allows one more retry at a clock time (nanoseconds)."""
     if settings.retry_allowance is None:
         return True
     budget.forget_before(now - settings.retry_window)
--- a/query_gateway/policy/routing.py
+++ b/query_gateway/policy/routing.py
@@ -1,8 +1,9 @@
-"""Routing: which of the usable engines should answer a query first.
+"""Routing: selects the engine that should answer a query first.
 
-The route is the engine with the least sum of start delay (`start_times`) and expected run time. The expected
-run time is the query's own, times a cost: 1 at a healthy idle engine, more for load, faults, crossing zones
-and repeating an attempt, less for a warm cache. Of a large fleet a random sample is looked at.
+The route is the engine with the smallest sum of start delay (`start_times`) and expected run time. The
+expected run time is the run time of the query multiplied by a cost: 1 at a healthy idle engine, more for
+load, faults, another zone and a repeated engine, less for a warm cache. In a large fleet, only a random
+sample of the engines is considered.
 """
 
 from dataclasses import dataclass
@@ -16,35 +17,35 @@
 from query_gateway.policy.slow_start import has_credit
 from query_gateway.policy.start_times import REMAINING_TIME, fleet_start_delay, start_delay
 
-SAMPLE_SIZE: Final = 12  # engines drawn for a closer look; bounds the time, and gateways draw different ones
+SAMPLE_SIZE: Final = 12  # engines considered per query; bounds the time, and spreads the gateways
 # Costs in shares of the run time
-LOAD_COST: Final = 1.0  # for one thread of this gateway on each core of its share
-WARM_CACHE_GAIN: Final = 0.3  # saved by tables that this gateway read there lately
-LOADS_AND_READERS_COST: Final = 1.0  # for a load off the engines for loads of its tables, or a reader on them
-CROSS_ZONE_COST: Final = 2.0  # for each point of the site's fee on crossing zones
-WARM_ENGINE_COST: Final = 0.5  # for an engine past slow start, while one within it has a credit
-REPEATED_ENGINE_COST: Final = 1.0  # for an engine where an attempt of the query may have run
-TIE_BREAKER_COST: Final = 0.01  # at most, so that gateways with the same view do not all take the same engine
+LOAD_COST: Final = 1.0  # for one thread of this gateway per core of its share
+WARM_CACHE_GAIN: Final = 0.3  # saved where this gateway recently read the same tables
+LOADS_AND_READERS_COST: Final = 1.0  # for a load off the engines chosen for its tables, or a reader on them
+CROSS_ZONE_COST: Final = 2.0  # per unit of the site's fee for crossing zones
+WARM_ENGINE_COST: Final = 0.5  # for an engine without a slow-start credit, so that credits are used first
+REPEATED_ENGINE_COST: Final = 1.0  # for an engine where an attempt of the query may already have run
+TIE_BREAKER_COST: Final = 0.01  # upper bound; keeps gateways with the same view from choosing the same engine
 
 
 @dataclass(slots=True)
 class Route:
-    """An engine for a query, and when the query should start and have its answer there."""
+    """An engine for a query, with the delays until the query should start and be answered there."""
 
     engine: EngineState
     start_delay: float  # nanoseconds
-    answer_delay: float  # nanoseconds, with the costs that count as run time
+    answer_delay: float  # nanoseconds, including the costs in run time
 
 
 def candidates(state: SchedulerState, query: QueryState) -> list[EngineState]:
-    """A random sample of the usable engines, so that many gateways do not all take the same one.
+    """A random sample of the usable engines, so that many gateways do not all choose the same one.
 
-    Engines in slow start with a credit for the query are always among them: a credit lasts for a short time,
-    and an engine that is not drawn meanwhile would stay idle.
+    Engines in slow start with a credit for the query are always included: a credit lasts only for a short
+    time, and an engine outside the sample would stay idle during it.
     """
     snapshot = state.fleet.snapshot
-    is_small = len(snapshot.up) <= SAMPLE_SIZE
-    sampled = snapshot.up if is_small else state.random.sample(snapshot.up, SAMPLE_SIZE)
+    fits_sample = len(snapshot.up) <= SAMPLE_SIZE
+    sampled = snapshot.up if fits_sample else state.random.sample(snapshot.up, SAMPLE_SIZE)
     sampled = sampled + [
         engine
         for engine in snapshot.engines_in_slow_start
@@ -69,7 +70,7 @@
 
 
 def expected_run_time(state: SchedulerState, engine: EngineState, query: QueryState) -> float:
-    """Run time (nanoseconds) at an engine, with all costs."""
+    """Run time (nanoseconds) at an engine, including all costs."""
     settings = query.settings
     cost = _load_cost(state, engine, query)
     if query.request.table_group in engine.warm_table_groups and not settings.locks_tables:
@@ -88,9 +89,10 @@
 
 
 def _load_cost(state: SchedulerState, engine: EngineState, query: QueryState) -> float:
-    """The cost of an engine's load and faults, as shares of the run time.
+    """Cost of an engine's load and faults, in shares of the run time.
 
-    The threads of this gateway count for all gateways: others send there as much, for the same reasons.
+    The threads of this gateway are multiplied by the number of gateways, as the others route by the same
+    rules and send as much there.
     """
     threads = engine.workload.threads_in_use.total() * state.settings.instance_count
     load = (threads + query.settings.threads) / engine.cores + engine.snapshot.load_of_others
@@ -98,7 +100,7 @@
 
 
 def _lock_conflict_cost(state: SchedulerState, engine: EngineState, query: QueryState) -> float:
-    """The cost of a load off the engines for loads of its tables, or of a reader on them."""
+    """Cost of a load on an engine that takes none of its table group, or of a reader on one that does."""
     table_group = query.request.table_group
     if not state.classes.has_lock_conflicts or table_group is None:
         return 0.0
--- a/query_gateway/policy/saturation.py
+++ b/query_gateway/policy/saturation.py
@@ -1,10 +1,10 @@
-"""Saturation: whether an engine has all it can do, and how congested the fleet is.
+"""Saturation: whether an engine is fully used, and how congested the fleet is.
 
-    saturated at the last fleet snapshot     its slowdown, or the load that engines report, is above a limit
-    saturated since then                     this gateway alone has sent it `saturation_threads`
+    saturated at the last fleet snapshot     the engine's slowdown or its reported load exceeds a limit
+    saturated since then                     this gateway alone has `saturation_threads` in use there
 
-Inputs: slowdowns as logarithms of run time over the uncontended one, loads as busy shares of the cores,
-threads in use of this gateway. Concurrency limits and the fleet share bind only at saturated engines
+Inputs: slowdowns as logarithms of run time over the uncontended run time, loads as busy shares of the cores,
+threads in use of this gateway. Concurrency limits and the fleet share apply only at saturated engines
 (`capacity`).
 
 Congestion is the factor by which this gateway's capacity over the fleet is divided.
@@ -17,19 +17,19 @@
 from query_gateway.model.state import SchedulerState
 from query_gateway.policy.statistical_allowance import allowance
 
-SATURATED_SLOWDOWN: Final = 1.7  # run time over the uncontended one from which an engine counts as saturated
-SATURATED_LOAD: Final = 0.92  # reported busy share of the cores from which it does
-SATURATED_THREADS: Final = 1.1  # threads of all gateways for each of its cores from which it does
+SATURATED_SLOWDOWN: Final = 1.7  # run time over the uncontended one above which an engine is saturated
+SATURATED_LOAD: Final = 0.92  # reported busy share of the cores above which it is
+SATURATED_THREADS: Final = 1.1  # threads of all gateways per core from which it is
 
 
 def is_saturated(engine: EngineState) -> bool:
-    """Whether an engine is saturated by the last fleet snapshot, or by what was sent to it since."""
+    """Whether an engine is saturated by the last fleet snapshot or by the queries sent since."""
     snapshot = engine.snapshot
     return snapshot.saturated or engine.workload.threads_in_use.total() >= snapshot.saturation_threads
 
 
 def refresh_saturation(state: SchedulerState, engine: EngineState) -> None:
-    """Refresh an engine's part of the fleet snapshot; slowdown and load have been refreshed before."""
+    """Refresh the saturation of an engine, after its slowdown and load."""
     fleet, snapshot = state.fleet, engine.snapshot
     loaded = fleet.load_reports.weight > 0 and snapshot.load > SATURATED_LOAD
     snapshot.saturated = snapshot.slowdown > math.log(SATURATED_SLOWDOWN) or loaded
@@ -41,13 +41,12 @@
 
 
 def refresh_congestion(state: SchedulerState) -> None:
-    """Refresh the congestion of the fleet; slowdowns and loads have been refreshed before.
+    """Refresh the congestion of the fleet, after the slowdowns and loads.
 
-    Each gateway may always have one query at an engine, so many gateways can keep a fleet congested by that
-    alone: queries run slowly at every engine, and none recovers. Dividing every gateway's capacity by the
-    congestion ends this. Where engines report no load, the median slowdown stands in for it; where a
-    gateway's share is under one core, a low slowdown lets the share grow, as the other gateways leave theirs
-    unused.
+    Each gateway may always have one query at an engine, so many gateways can keep a fleet congested: queries
+    run slowly at every engine, and none recovers. Dividing the capacity of every gateway by the congestion
+    resolves this. Where engines report no load, the median slowdown is used instead. Where a gateway's share
+    is less than one core, a low slowdown lets the share grow, as the other gateways leave theirs unused.
     """
     settings, fleet = state.settings, state.fleet
     cores_per_gateway = max(settings.cores_by_kind, default=1) / settings.instance_count
--- a/query_gateway/policy/scheduler.py
+++ b/query_gateway/policy/scheduler.py
@@ -1,16 +1,17 @@
-"""The scheduler: which query goes to which engine, when, on what terms, or is rejected.
+"""The scheduler: decides which query goes to which engine, when and on what terms, and which are rejected.
 
-Events in, actions out; types: `query_gateway/model`; times are nanoseconds. For each batch of events:
+It turns events into actions (types in `query_gateway/model`; times are nanoseconds). For each batch:
 
-    1. the fleet snapshot is refreshed if that is due
-    2. the events are taken in: the endpoint list first, then outcomes and notes, requests, the review timer
-    3. the controller steps the lag ratio if that is due
+    1. the fleet snapshot is refreshed if its period has passed
+    2. the events are handled: the endpoint list first, then outcomes and notes, requests, the timer
+    3. the controller steps the lag ratio if its period has passed
     4. queued queries are released to engines with capacity, or given up
 
 The algorithm is that of UNIT (sections 2.3, 3.2 and 3.3 of "UNIT: User-centric Transaction Management in
-Web-Database Systems"): queued queries leave by earliest deadline; a query is admitted if
-`lag ratio * earliest start + mean run time` is before it is due, and if it makes no more weight late than its
-own. All decisions in the order of a request's way: `docs/decisions.md`.
+Web-Database Systems"): queued queries run by earliest deadline; a query is admitted if
+`lag ratio * earliest start + mean run time` is before its due time, and if it makes no more priority weight
+late than its own. `docs/decisions.md` lists all decisions in the order in which a request passes through
+them.
 """
 
 from collections.abc import Callable
@@ -35,14 +36,14 @@
 from query_gateway.policy.fleet_snapshot import refresh_fleet_snapshot
 
 TIMER_PERIOD_NS: Final = 100 * MS  # how often attempts in flight are reviewed
-STALL_NS: Final = 500 * MS  # a batch so much later than the one before it shows a stall of this process
-WATCH_BACKOFF_NS: Final = 1 * SEC  # until the endpoint list is watched again after a failure
-PRIOR_WORK: Final = 1 / 12  # share of the client timeout, for each thread, taken as work before any sample
+STALL_NS: Final = 500 * MS  # gap between two batches, with a timer set, above which this process was stalled
+WATCH_BACKOFF_NS: Final = 1 * SEC  # from a failed watch of the endpoint list to the next
+PRIOR_WORK: Final = 1 / 12  # work of a class before any sample, as a share of the client timeout per thread
 
 
 @dataclass(slots=True, frozen=True)
 class EventHandler:
-    """What an event leads to, and its place among the events of a batch: lower ones come first."""
+    """Handler of an event type; events of a batch are handled in ascending order of stage."""
 
     stage: int
     handle: Callable[[SchedulerState, Any], None]
@@ -63,7 +64,7 @@
 
 
 def _ignore(state: SchedulerState, event: Any) -> None:
-    """Take an event in that decides nothing."""
+    """Handle an event that affects no decision."""
 
 
 HANDLERS: Final[dict[type, EventHandler]] = {
@@ -71,37 +72,37 @@
     ev.AttemptOutcome: EventHandler(1, attempts.record_outcome),
     ev.ProgressNote: EventHandler(1, attempts.record_progress),
     ev.GossipMessage: EventHandler(1, SchedulerState.record_gossip),
-    ev.Request: EventHandler(2, admission.arrive),
-    ev.RequestAbandoned: EventHandler(2, answers.abandon),
+    ev.Request: EventHandler(2, admission.handle_request),
+    ev.RequestAbandoned: EventHandler(2, answers.handle_abandonment),
     ev.SettingsUpdate: EventHandler(2, SchedulerState.update_settings),
     ev.TimerFired: EventHandler(3, _review_attempts),
 }
 IGNORED: Final = EventHandler(1, _ignore)
 
 
-def _handler(event: ev.Event) -> EventHandler:
+def _handler_for(event: ev.Event) -> EventHandler:
     return HANDLERS.get(type(event), IGNORED)
 
 
 class Scheduler:
-    """The decision module of one gateway: events in, actions out."""
+    """The scheduler of one gateway."""
 
     def __init__(self, settings: Settings, seed: int) -> None:
-        """Begin with no engine and no query. Raises ValueError where the settings contradict themselves."""
+        """Start without engines and queries. Raises ValueError if the settings contradict each other."""
         settings.check()
         self.state = SchedulerState(settings, Random(seed), PRIOR_WORK)
 
     def handle(self, now: int, events: list[ev.Event]) -> list[Action]:
-        """Take in what has come by the clock time `now`; return what is to be done, in this order."""
+        """Handle the events received by the clock time `now`; return the actions in their order."""
         state = self.state
         state.actions = []
         state.started_at = state.started_at or now
-        # While this process did not run, answers and list changes piled up unread. Reviewed before they are
-        # taken in, or by the time that passed, healthy engines would look unresponsive and be ejected.
+        # During a stall of this process, answers and endpoint updates accumulate unread. A review before they
+        # are handled, or one that counts the stall as idle time, would eject healthy engines as unresponsive.
         state.timer.stalled, state.now = state.timer.armed and now - state.now > STALL_NS, now
         refresh_fleet_snapshot(state)
-        for event in sorted(events, key=lambda event: _handler(event).stage):
-            _handler(event).handle(state, event)
+        for event in sorted(events, key=lambda event: _handler_for(event).stage):
+            _handler_for(event).handle(state, event)
         self._watch_endpoints()
         controller.adjust_lag_ratio(state)
         release.release_queued(state)
@@ -109,13 +110,13 @@
         return state.actions
 
     def _watch_endpoints(self) -> None:
-        """Watch the endpoint list where the site has it polled."""
+        """Start a watch of the endpoint list if none is active, where the site polls the list."""
         state = self.state
         if state.settings.polls_endpoint_list and state.watch.begin(state.now):
             state.actions.append(WatchEndpoints(True))
 
     def _arm_timer(self) -> None:
-        """Set the timer while a query is open or the watch must begin again."""
+        """Set the timer while a query is open or the watch has to be restarted."""
         state = self.state
         needs_watch = state.settings.polls_endpoint_list and not state.watch.active
         if (state.queries or needs_watch) and not state.timer.armed:
--- a/query_gateway/policy/start_times.py
+++ b/query_gateway/policy/start_times.py
@@ -1,12 +1,12 @@
 """Start times: how long a query would wait for its start at an engine, and over the fleet.
 
-    engine without a credit for it (slow start)     half an overload window
-    engine with capacity and nothing before it      no wait
-    otherwise                                       until enough attempts of this gateway should have ended
+    engine in slow start without a credit         half an overload window
+    engine with capacity, none queued before      no wait
+    otherwise                                     until enough attempts of this gateway should have ended
 
 Inputs: the attempts in flight with their expected ends, the queue before the query, the concurrency limits.
-Answer: nanoseconds. Forecasts of ends, and sums over long queues, are kept for a while that grows with what
-they cost to build, as there may be thousands of attempts and queries.
+Results are nanoseconds. With thousands of attempts and queries, forecasts of ends and sums over queues are
+costly, so they are cached for a time proportional to their length.
 """
 
 from typing import Final
@@ -18,10 +18,10 @@
 from query_gateway.policy import capacity
 from query_gateway.policy.slow_start import has_credit
 
-EXACT_LENGTH: Final = 32  # queues and forecasts up to this length are always read exactly
-QUEUED_LIFETIME_NS: Final = MS // 5  # for each query queued: how long a sum over the queue is kept
-FORECAST_LIFETIME_NS: Final = MS // 5  # for each attempt in flight: how long their order is kept
-# Little progress predicts little; a run that is over 0.7 of the expected time has half its age to go
+EXACT_LENGTH: Final = 32  # queues and forecasts up to this length are never cached
+QUEUED_LIFETIME_NS: Final = MS // 5  # per queued query: how long a sum over the queue is cached
+FORECAST_LIFETIME_NS: Final = MS // 5  # per attempt in flight: how long a forecast is cached
+# Progress of 2% or less is not used; from 0.7 of the expected run time on, half the age is assumed to remain
 REMAINING_TIME: Final = RemainingTimeEstimator(trusted_progress=0.02, mostly_done=0.7, overrun=0.5)
 
 
@@ -37,7 +37,7 @@
 
 
 def fleet_start_delay(state: SchedulerState, query: QueryState) -> float:
-    """The same over all engines, where this gateway's share of the fleet is used up; else 0."""
+    """Nanoseconds to the earliest start over all engines; 0 while the fleet share has room for the query."""
     if capacity.is_within_fleet_share(state, query) or query.is_key_ordered:
         return 0.0
     limit = capacity.fleet_limit(state, query.request_class)
@@ -47,7 +47,7 @@
 def _time_until_capacity(
     state: SchedulerState, workload: Workload, engines: list[EngineState], limit: float, query: QueryState
 ) -> float:
-    """Nanoseconds until enough of a workload has ended for a query and those queued before it."""
+    """Nanoseconds until enough attempts of a workload have ended for a query and those queued before it."""
     now, is_long = state.now, query.request_class.is_long
     forecast = workload.forecasts.of(is_long)
     if forecast is None or now >= forecast.valid_until or len(forecast.completes_at) <= EXACT_LENGTH:
--- a/query_gateway/policy/statistical_allowance.py
+++ b/query_gateway/policy/statistical_allowance.py
@@ -1,10 +1,10 @@
-"""Statistical allowance: what one gateway may have in use beyond its even share of the threads.
+"""Statistical allowance: threads that one gateway may use beyond its even share.
 
-Gateways do not get the same number of queries. If N gateways together have T threads in use, the threads of
-one are spread around T/N with a variance of about T/N, so a gateway held to the even share would queue
-queries while others leave theirs free.
+Arrivals are not spread evenly over the gateways. If N gateways together have T threads in use, the threads of
+one gateway vary around T/N with a variance of about T/N. A gateway limited to its even share would therefore
+queue queries while others leave their share unused.
 
-Input: the variance of this gateway's threads in use. Answer: an allowance in threads.
+Input: the variance of this gateway's threads in use. Result: the allowance in threads.
 """
 
 import math
@@ -14,5 +14,5 @@
 
 
 def allowance(variance: float) -> float:
-    """Threads beyond the expected ones that are put down to uneven arrivals."""
+    """Threads beyond the expected number that are attributed to uneven arrivals."""
     return ALLOWANCE_DEVIATIONS * math.sqrt(variance)
--- a/query_gateway/policy/tenants.py
+++ b/query_gateway/policy/tenants.py
@@ -1,11 +1,11 @@
-"""Quotas of tenants: this gateway's share of each, by what gateways gossip, and the weight beyond it.
+"""Tenant quotas: this gateway's share of each quota, by the gossip of its peers, and the weight beyond it.
 
     a request within its tenant's quota     the priority weight of its class
     a request beyond it                     that weight times `over_quota_weight`
 
 Inputs: the quotas in requests per second over all gateways, the requests counted here, and the counts that
-peers reported within `GOSSIP_LIFETIME_NS`. Gossip goes out with the period of the controller. The forwarder
-does not carry it (`Forwarder.apply` drops `SendGossip`): behind it no peer reports anything.
+peers reported within `GOSSIP_LIFETIME_NS`. Gossip is sent in the controller's steps. The forwarder does not
+transmit it (`Forwarder.apply` drops `SendGossip`), so no peer reports anything there.
 """
 
 import math
@@ -16,22 +16,22 @@
 from query_gateway.model.state import SchedulerState
 from query_gateway.model.units import MS, SEC
 
-BURST_SECONDS: Final = 4.0  # of a tenant's quota that it may draw at once, as when a peer's clients move here
-GOSSIP_FANOUT: Final = 2  # peers that get the counts each period: to all, messages grow with the square
+BURST_SECONDS: Final = 4.0  # of quota that may be used at once, as when a peer's clients move here
+GOSSIP_FANOUT: Final = 2  # peers that get the counts each period; sent to all, messages grow quadratically
 GOSSIP_PERIOD_NS: Final = 1 * SEC
-GOSSIP_LIFETIME_NS: Final = 3 * SEC  # how long a report counts: a lost one or two do no harm
-MIN_OBSERVED_NS: Final = 100 * MS  # taken as observed by a gateway that has just started
+GOSSIP_LIFETIME_NS: Final = 3 * SEC  # how long a report counts; one or two lost reports are tolerated
+MIN_OBSERVED_NS: Final = 100 * MS  # minimum observation time of a gateway that has just started
 
 
 def request_weight(state: SchedulerState, request_class: ClassState, tenant: int) -> float:
-    """The priority weight of a tenant's next request, which is counted against its quota."""
+    """Count a tenant's request against its quota and return its priority weight."""
     settings, weight = state.settings, request_class.settings.priority_weight
     buckets = state.tenants.buckets
     if tenant >= len(buckets) or settings.tenant_quotas[tenant] <= 0:
         return weight
     state.tenants.traffic.counts[tenant].add(1.0, state.now, GOSSIP_LIFETIME_NS)
     rate = settings.tenant_quotas[tenant] * quota_share(state, tenant)
-    burst = rate * BURST_SECONDS + 1 + math.sqrt(rate * BURST_SECONDS)  # a small share comes unevenly
+    burst = rate * BURST_SECONDS + 1 + math.sqrt(rate * BURST_SECONDS)  # small shares arrive unevenly
     within_quota = buckets[tenant].take(rate, burst, state.now)
     return weight * (1.0 if within_quota else settings.over_quota_weight)
 
@@ -39,20 +39,20 @@
 def quota_share(state: SchedulerState, tenant: int) -> float:
     """This gateway's share of a tenant's quota.
 
-    Where the site allows gossip, it is the part that this gateway has in the tenant's traffic, by what peers
-    reported of theirs: 1 while none has reported. Otherwise each gateway has an equal share.
+    Where the site allows gossip, this is its share of the tenant's traffic, by the counts that peers
+    reported: 1 if none has reported. Otherwise all gateways have equal shares.
     """
     if not state.settings.allows_gossip:
         return 1 / state.settings.instance_count
     peers, now, traffic = state.settings.instance_count - 1, state.now, state.tenants.traffic
-    reporting = GOSSIP_FANOUT * GOSSIP_LIFETIME_NS / GOSSIP_PERIOD_NS
-    peer_requests = traffic.peer_requests_of_all(tenant, now, GOSSIP_LIFETIME_NS, peers, reporting)
+    reporting_peers = GOSSIP_FANOUT * GOSSIP_LIFETIME_NS / GOSSIP_PERIOD_NS
+    peer_requests = traffic.peer_requests_of_all(tenant, now, GOSSIP_LIFETIME_NS, peers, reporting_peers)
     own_requests = max(1.0, traffic.local_requests(tenant, now, GOSSIP_LIFETIME_NS, _observed_time(state)))
     return own_requests / (own_requests + peer_requests)
 
 
 def send_gossip(state: SchedulerState) -> None:
-    """Send a few peers how much each tenant requested here, once a period where the site allows it."""
+    """Send the request counts per tenant to a few peers, once a period where the site allows gossip."""
     settings, tenants = state.settings, state.tenants
     is_due = state.now - tenants.gossip_sent_at >= GOSSIP_PERIOD_NS
     if not settings.allows_gossip or not tenants.traffic.counts or not is_due:
@@ -65,9 +65,10 @@
 
 
 def _observed_time(state: SchedulerState) -> int:
-    """How long this gateway has counted, in nanoseconds.
+    """How long this gateway has counted requests, in nanoseconds.
 
-    A gateway that has just started has counted few requests; taken for its usual traffic they would give it a
-    small share of each quota, and it would reject its clients. Counts are scaled up by this time instead.
+    A gateway that has just started has counted few requests. If these were taken for its usual traffic, its
+    share of each quota would be small and it would reject its clients. Counts are scaled up by this time
+    instead.
     """
     return state.now - state.started_at + MIN_OBSERVED_NS
--- a/query_gateway/policy/unresponsive.py
+++ b/query_gateway/policy/unresponsive.py
@@ -1,8 +1,8 @@
-"""Unresponsive engines: nothing has come from them for so long that some attempt should have answered.
+"""Unresponsive engines: those that have been silent for so long that some attempt should have been answered.
 
-Inputs: the attempts in flight at an engine, with their expected run times, and when something was last
-received from it (nanoseconds). If run times are spread exponentially, an idle time of n mean runs, summed
-over the attempts, happens to a healthy engine with the probability e^-n.
+Inputs: the attempts in flight at an engine with their expected run times, and when something was last
+received from it (nanoseconds). If run times are distributed exponentially, a healthy engine is idle for n
+mean runs, summed over the attempts, with the probability e^-n.
 """
 
 import math
@@ -12,13 +12,13 @@
 from query_gateway.model.records import EngineState
 from query_gateway.model.units import MS
 
-MAX_IDLE_RUNS: Final = 6.0  # mean runs, summed over the attempts in flight; e^-6 is one in four hundred
-MIN_IDLE_NS: Final = 700 * MS  # an idle time up to this is no fault: engines pause shortly
+MAX_IDLE_RUNS: Final = 6.0  # mean runs, summed over the attempts in flight; e^-6 is about 1 in 400
+MIN_IDLE_NS: Final = 700 * MS  # shorter idle times are no fault, as engines pause briefly
 
 
 @dataclass(slots=True)
 class IdleHazard:
-    """How long an engine has been idle, while attempts are in flight there."""
+    """Idle time of an engine with attempts in flight."""
 
     runs: float  # mean runs, summed over the attempts
     longest_ns: int
@@ -29,14 +29,14 @@
     runs, longest_ns = [], []
     for attempt in engine.in_flight.values():
         idle_ns = now - max(engine.last_received_at, attempt.sent_at)
-        # A run that had lasted longer than expected before is expected to go on for as long again
+        # A run that already exceeded its expected run time is expected to take as long again
         runs.append(idle_ns / max(attempt.query.run_time, now - attempt.sent_at - idle_ns))
         longest_ns.append(idle_ns)
     return IdleHazard(math.fsum(runs), max(longest_ns))
 
 
 def is_unresponsive(engine: EngineState, now: int) -> bool:
-    """Whether an engine has been idle for too long for what is in flight there."""
+    """Whether an engine has been idle for too long, given its attempts in flight."""
     if not engine.in_flight:
         return False
     hazard = idle_hazard(engine, now)
@@ -44,5 +44,5 @@
 
 
 def is_idle(engine: EngineState, now: int) -> bool:
-    """Whether nothing came from an engine for longer than a short pause."""
+    """Whether an engine has been silent for longer than a brief pause."""
     return now - engine.last_received_at > MIN_IDLE_NS
--- a/query_gateway/policy/work_estimate.py
+++ b/query_gateway/policy/work_estimate.py
@@ -1,12 +1,12 @@
 """Work estimate: how far a request's own estimate of its work is trusted.
 
     no estimate                                    the mean work of its class
-    fewer than `MIN_ESTIMATES` answers so far      the estimate as it is
-    otherwise                                      between the class mean and the corrected estimate
+    fewer than `MIN_ESTIMATES` answers so far      the estimate as given
+    otherwise                                      between the mean of the class and the corrected estimate
 
-The estimate is corrected by the mean error of the class and trusted as far as it explains the spread of the
-class: trust = spread of the work / (spread of the work + spread of the error), all as logarithms. Work is in
-nanoseconds over all threads of a query.
+The estimate is corrected by the mean error of the class, and trusted in proportion to the variance that it
+explains: trust = variance of the work / (variance of the work + variance of the error), all of logarithms.
+Work is in nanoseconds over all threads of a query.
 """
 
 import math
@@ -15,12 +15,12 @@
 from query_gateway.model.events import Request
 from query_gateway.model.request_classes import ClassState
 
-MIN_ESTIMATES: Final = 5  # answers from which the error of a class's estimates is known
-MIN_VARIANCE: Final = 1e-9  # keeps the trust defined where all answers were alike
+MIN_ESTIMATES: Final = 5  # answers after which the estimate error of a class counts as known
+MIN_VARIANCE: Final = 1e-9  # avoids a division by zero if all answers were alike
 
 
 def expected_work(request_class: ClassState, request: Request) -> float:
-    """The work that a request should take."""
+    """Expected work of a request."""
     if not request.estimated_work or request.estimated_work <= 0:
         return request_class.mean_work()
     error, log_work = request_class.estimate_error, request_class.log_work
