--- a/query_gateway/policy/admission.py
+++ b/query_gateway/policy/admission.py
@@ -28,7 +28,7 @@
 from query_gateway.policy.saturation import is_saturated
 from query_gateway.policy.work_estimate import expected_work
 
-MAX_CONNECTION_SHARE: Final = 0.75  # of the client connection limit; above it no query is queued
+MAX_CONNECTION_SHARE: Final = 0.75  # of the client connection limit from which on no query is queued
 CLIENT_JITTER_NS: Final = 1 * MS  # variation of a client's timeout between requests
 
 
@@ -81,7 +81,7 @@
 
 
 def admit(state: SchedulerState, query: QueryState) -> None:
-    """Queue a query for its best engine, or give it up if it would be late or endangers others."""
+    """Queue a query for its best engine, or give it up if a reason to reject it applies."""
     route = routing.best_route(state, query)
     engine, delay = (route.engine, route.start_delay) if route else (None, 0.0)
     if reason := _rejection_reason(state, query, engine, delay):
@@ -128,7 +128,7 @@
 
 
 def weight_made_late(queue: DeadlineQueue, query: QueryState, added_delay: float) -> float:
-    """Priority weight of queries behind `query` that a delay (nanoseconds) would make late."""
+    """Priority weight of queries behind `query` that a delay (nanoseconds) would newly make late."""
     return math.fsum(
         other.priority_weight
         for other in queue.queries_behind(query)
--- a/query_gateway/policy/saturation.py
+++ b/query_gateway/policy/saturation.py
@@ -43,10 +43,11 @@
 def refresh_congestion(state: SchedulerState) -> None:
     """Refresh the congestion of the fleet, after the slowdowns and loads.
 
-    Each gateway may always have one query at an engine, so many gateways can keep a fleet congested: queries
-    run slowly at every engine, and none recovers. Dividing the capacity of every gateway by the congestion
-    resolves this. Where engines report no load, the median slowdown is used instead. Where a gateway's share
-    is less than one core, a low slowdown lets the share grow, as the other gateways leave theirs unused.
+    Each gateway may always have one query at an engine, which alone lets many gateways keep a fleet
+    congested: queries run slowly at every engine, and none recovers. Dividing the capacity of every gateway
+    by the congestion resolves this. Where engines report no load, the median slowdown is used instead. Where
+    a gateway's share is less than one core, a low slowdown lets the share grow, as the other gateways leave
+    theirs unused.
     """
     settings, fleet = state.settings, state.fleet
     cores_per_gateway = max(settings.cores_by_kind, default=1) / settings.instance_count
--- a/query_gateway/policy/tenants.py
+++ b/query_gateway/policy/tenants.py
@@ -4,8 +4,8 @@
     a request beyond it                     that weight times `over_quota_weight`
 
 Inputs: the quotas in requests per second over all gateways, the requests counted here, and the counts that
-peers reported within `GOSSIP_LIFETIME_NS`. Gossip is sent in the controller's steps. The forwarder does not
-transmit it (`Forwarder.apply` drops `SendGossip`), so no peer reports anything there.
+peers reported within `GOSSIP_LIFETIME_NS`. Gossip is sent when the controller checks the costs. The forwarder
+does not transmit it (`Forwarder.apply` drops `SendGossip`), so no peer reports anything there.
 """
 
 import math
