--- a/query_gateway/composition.py
+++ b/query_gateway/composition.py
@@ -1,4 +1,4 @@
-"""Builds the parts of a gateway that depend on much of the configuration; `gateway.py` joins them."""
+"""Builds the parts of a gateway from its configuration; `gateway.py` connects them."""
 
 import os
 import socket
@@ -34,22 +34,22 @@
     from query_gateway.parsing.service import StatementService
 
 
-HTTP_WIRE, FLIGHT_WIRE = "web", "flight"  # as exchanges and endpoints name the wires to the engines
+HTTP_WIRE, FLIGHT_WIRE = "web", "flight"  # names of the engine protocols in exchanges and endpoints
 
 
 @dataclass(slots=True, frozen=True)
 class GatewayOptions:
-    """What follows from how the process was started, rather than from its configuration."""
+    """Options that depend on how the process was started, not on its configuration."""
 
-    number: int = 0  # of this forwarder, where there are several
-    upgrade_path: str | None = None  # of the hot upgrade's socket; None: no upgrade is possible
-    inherited: InheritedState | None = None  # from a predecessor that still serves
+    forwarder_index: int = 0  # of this process among several forwarders
+    upgrade_path: str | None = None  # of the hot upgrade socket; None: no upgrade is possible
+    inherited: InheritedState | None = None  # from a predecessor that is still running
     sources: ConfigurationSources = field(default_factory=ConfigurationSources)
 
 
 @dataclass(slots=True, frozen=True)
-class Core:
-    """What nearly every part uses."""
+class SharedParts:
+    """The objects that most parts use."""
 
     loop: Loop
     readiness: Readiness
@@ -60,62 +60,66 @@
 
 @dataclass(slots=True, frozen=True)
 class FrontOptions:
-    """What both fronts have in common."""
+    """The options that both fronts share."""
 
     max_connections: int
-    shares_port: bool  # with other processes, which listen at the same address
+    shares_port: bool  # with other processes that listen at the same address
     inherited_listeners: dict[str, socket.socket]  # by front
     statements: "StatementService | None"
 
     @staticmethod
-    def of(core: Core, takes_signals: bool, statements: "StatementService | None") -> "FrontOptions":
-        """Derive them from the configuration; `takes_signals`: whether the gateway is a complete process."""
-        active, options = core.active, core.options
-        # A successor that cannot inherit our listeners must be able to listen at the same address
-        is_alone = takes_signals and options.upgrade_path is None and not active.operator.planner_addresses
+    def of(
+        parts: SharedParts, handles_signals: bool, statements: "StatementService | None"
+    ) -> "FrontOptions":
+        """Derive the options; `handles_signals`: whether the gateway runs as a whole process."""
+        active, options = parts.active, parts.options
+        # A successor that cannot inherit the listeners must be able to bind the same addresses
+        successor_must_bind = (
+            handles_signals and options.upgrade_path is None and not active.operator.planner_addresses
+        )
         return FrontOptions(
             max_connections_per_front(active.config, active.operator),
-            active.operator.forwarder_count > 1 or is_alone,
+            active.operator.forwarder_count > 1 or successor_must_bind,
             options.inherited.listeners if options.inherited else {},
             statements,
         )
 
 
-def clock_alarm(loop: Loop) -> Callable[[int, Callable[[], None]], Timer]:
-    """A function that calls at a time of the steady clock, in nanoseconds."""
+def steady_clock_scheduler(loop: Loop) -> Callable[[int, Callable[[], None]], Timer]:
+    """Return a function that schedules a callback at a steady clock time in nanoseconds."""
 
     def call_at(clock_time: int, callback: Callable[[], None]) -> Timer:
-        """Call once, at `clock_time` of the steady clock; the timer can be cancelled."""
+        """Call `callback` once at the steady clock time `clock_time`; the timer can be cancelled."""
         return loop.call_at(loop_time_of(clock_time), callback)
 
     return call_at
 
 
 class ClockWatermark:
-    """The loop's watermark in the forwarder's clock."""
+    """The loop's watermark, converted to the forwarder's clock."""
 
     def __init__(self, loop: Loop) -> None:
-        """Nobody awaits it yet."""
+        """Use the watermark of `loop`."""
         self.loop = loop
 
     @property
     def read_through(self) -> int:
-        """Every request that came before this clock time is known."""
+        """The clock time before which every arrived request is known."""
         return clock_time_of(self.loop.watermark.read_through)
 
     def await_progress(self, is_awaited: bool) -> None:
-        """Have the loop turn on without a sleep while the watermark can move and somebody waits for it."""
+        """Keep the loop turning without sleeping while the watermark is awaited and can advance."""
         self.loop.watermark.is_awaited = is_awaited
         if is_awaited and not self.loop.watermark.is_blocked:
             self.loop.call_at(self.loop.now(), lambda: None)
 
 
-def _keep_arrival_order(loop: Loop, forwarder: Forwarder) -> None:
-    """Release what waits at the end of each turn, before a planner in this process decides."""
+def _add_arrival_order_hook(loop: Loop, forwarder: Forwarder) -> None:
+    """Release requests held for arrival order at the end of each turn, before a local planner decides."""
     order = forwarder.keep_arrival_order(ClockWatermark(loop))
 
     def release() -> bool:
-        """Run as a hook of the loop; nothing more is to be done in the same turn."""
+        """Turn hook; returns False, as there is no further work in the same turn."""
         order.release()
         return False
 
@@ -123,15 +127,15 @@
 
 
 def build_forwarder(loop: Loop, active: ActiveConfiguration) -> Forwarder:
-    """The table of exchanges, with a line of figures for each class."""
+    """Build the forwarder, with figures for every class."""
     config = active.config
-    # A planner process outlives its forwarders. If the ids began anew with each forwarder, it would take a
-    # new request for an old one of the same id; the steady clock only goes forward.
+    # A planner process outlives its forwarders. If every forwarder started with the same id, it would confuse
+    # a new request with an old one of the same id; the steady clock never goes back.
     first_request_id = steady_now_ns()
     forwarder = Forwarder(
-        config.settings, steady_now_ns, clock_alarm(loop), max_exchanges(config), first_request_id
+        config.settings, steady_now_ns, steady_clock_scheduler(loop), max_exchanges(config), first_request_id
     )
-    _keep_arrival_order(loop, forwarder)
+    _add_arrival_order_hook(loop, forwarder)
     forwarder.slow_start_budgets.process_count = active.operator.forwarder_count
     forwarder.invariants.on_violation = lambda invariant, details: log(
         "invariant", f"{invariant.value} is violated: {details}"
@@ -142,79 +146,79 @@
     return forwarder
 
 
-def build_engine_pool(core: Core) -> ConnectionPool:
-    """The connections to engines on the platform's wire."""
-    config = core.active.config
-    pool = ConnectionPool(core.loop, steady_now_ns, connection_limits(config))
-    core.forwarder.engine_clients[HTTP_WIRE] = pool
+def build_engine_pool(parts: SharedParts) -> ConnectionPool:
+    """Build the connection pool for engines over HTTP."""
+    config = parts.active.config
+    pool = ConnectionPool(parts.loop, steady_now_ns, connection_limits(config))
+    parts.forwarder.engine_clients[HTTP_WIRE] = pool
     return pool
 
 
-def build_planner_links(core: Core, slow_start_share: float) -> PlannerLinks:
-    """One planner in this process, or a connection to each planner process."""
-    config, operator = core.active.config, core.active.operator
-    links = PlannerLinks(core.loop, core.forwarder, core.readiness)
-    # Several forwarders share their planners: a planner reads its settings itself, and none of them sends any
+def build_planner_links(parts: SharedParts, slow_start_share: float) -> PlannerLinks:
+    """Build the link to one local planner, or to each planner process."""
+    config, operator = parts.active.config, parts.active.operator
+    links = PlannerLinks(parts.loop, parts.forwarder, parts.readiness)
+    # Planners that several forwarders share read their settings themselves, and no forwarder sends any
     is_only_forwarder = operator.forwarder_count == 1
     for planner_index, address in enumerate(operator.planner_addresses):
         settings = planner_settings(config, operator, planner_index)
         links.add_remote(address, settings if is_only_forwarder else None)
     if not operator.planner_addresses:
         settings = replace(planner_settings(config, operator), slow_start_share=slow_start_share)
-        links.add_local(Planner(settings, config.seed, steady_now_ns, clock_alarm(core.loop)))
+        links.add_local(Planner(settings, config.seed, steady_now_ns, steady_clock_scheduler(parts.loop)))
     return links
 
 
-def build_statements(core: Core) -> "StatementService | None":
-    """The statement service; not even imported where it is off."""
-    operator, inherited = core.active.operator, core.options.inherited
+def build_statements(parts: SharedParts) -> "StatementService | None":
+    """Build the statement service, which is imported only if it is enabled."""
+    operator, inherited = parts.active.operator, parts.options.inherited
     settings = operator.statements
     if settings is None:
         return None
     from query_gateway.parsing.service import StatementService
 
-    idempotent = idempotent_classes(core.active.config)
+    idempotent = idempotent_classes(parts.active.config)
     statements = StatementService(
-        core.loop, settings.rules, idempotent, settings.parser_count, settings.max_shapes
+        parts.loop, settings.rules, idempotent, settings.parser_count, settings.max_shapes
     )
     path = settings.snapshot_path
     if path and operator.forwarder_count > 1:
-        path = f"{path}.{core.options.number}"
+        path = f"{path}.{parts.options.forwarder_index}"
     statements.restore(path, inherited.statement_costs if inherited else None)
-    core.forwarder.context.observer = statements
+    parts.forwarder.context.observer = statements
     return statements
 
 
-def build_http_server(core: Core, options: FrontOptions) -> HttpServer:
-    """The HTTP front; it classifies statements only where the operator's file says so."""
-    config, settings = core.active.config, core.active.operator.statements
+def build_http_server(parts: SharedParts, options: FrontOptions) -> HttpServer:
+    """Build the HTTP front, which classifies statements only if the operator's file enables it."""
+    config, settings = parts.active.config, parts.active.operator.statements
     server_options = HttpServerOptions(
         address=config.listen_address,
         classes=config.classes,
         max_connections=options.max_connections,
-        readiness=core.readiness,
+        readiness=parts.readiness,
         shared=options.shares_port,
         inherited_socket=options.inherited_listeners.get(HTTP_FRONT),
         statements=options.statements if settings and settings.covers_http else None,
     )
-    return HttpServer(core.loop, core.forwarder, server_options)
+    return HttpServer(parts.loop, parts.forwarder, server_options)
 
 
-def build_flight_pool(core: Core) -> "FlightConnectionPool | None":
-    """The connections to engines on the Flight wire; not even imported where it is off."""
-    if not core.active.operator.flight_address:
+def build_flight_pool(parts: SharedParts) -> "FlightConnectionPool | None":
+    """Build the connection pool for engines over Flight, which is imported only if it is enabled."""
+    if not parts.active.operator.flight_address:
         return None
     from query_gateway.flight.engines import FlightConnectionPool
 
-    pool = FlightConnectionPool(core.loop, steady_now_ns, core.active.config.dial_timeout)
-    core.forwarder.engine_clients[FLIGHT_WIRE] = pool
-    pool.update_endpoints(list(core.forwarder.endpoints.values()), True)
+    pool = FlightConnectionPool(parts.loop, steady_now_ns, parts.active.config.dial_timeout)
+    parts.forwarder.engine_clients[FLIGHT_WIRE] = pool
+    pool.update_endpoints(list(parts.forwarder.endpoints.values()), True)
     return pool
 
 
-def build_flight_server(core: Core, options: FrontOptions) -> "FlightServer | None":
-    """The Flight SQL front; not even imported where it is off."""
-    config, operator = core.active.config, core.active.operator
+def build_flight_server(parts: SharedParts, options: FrontOptions) -> "FlightServer | None":
+    """Build the Flight SQL front, which is imported only if it is enabled."""
+    config, operator = parts.active.config, parts.active.operator
     if not operator.flight_address:
         return None
     from query_gateway.flight.requests import build_flight_classes
@@ -229,4 +233,4 @@
         shares_port=options.shares_port,
         inherited_socket=options.inherited_listeners.get(FLIGHT_FRONT),
     )
-    return FlightServer(core.loop, core.forwarder, core.readiness, settings, options.statements)
+    return FlightServer(parts.loop, parts.forwarder, parts.readiness, settings, options.statements)
--- a/query_gateway/gateway.py
+++ b/query_gateway/gateway.py
@@ -1,4 +1,4 @@
-"""The composition root: builds the parts of one gateway and joins them. Each part works in its own module."""
+"""The composition root: builds and connects the parts of one gateway, which other modules implement."""
 
 import signal
 from typing import TYPE_CHECKING
@@ -6,9 +6,9 @@
 from query_gateway.admin.gateway_figures import GatewayFigures
 from query_gateway.admin.server import AdminServer
 from query_gateway.composition import (
-    Core,
     FrontOptions,
     GatewayOptions,
+    SharedParts,
     build_engine_pool,
     build_flight_pool,
     build_flight_server,
@@ -44,14 +44,14 @@
 if TYPE_CHECKING:
     from query_gateway.flight.server import FlightServer
 
-FIRST_FORWARDER = 0  # the one that announces the addresses, where there are several
+ANNOUNCING_FORWARDER_INDEX = 0  # of several forwarders, the one that announces the addresses
 
 
 class Gateway:
-    """A forwarder with a planner beside it, or one of several whose planners are other processes.
+    """A forwarder with a planner in the same process, or one forwarder that uses planner processes.
 
-    Owns the loop and every part. They are built in the order in which they use each other: engines, planners
-    and the endpoint list; then the fronts; then the lifecycle, which begins to accept clients.
+    Owns the loop and every part. Parts are built in the order of their dependencies: engine clients, planners
+    and the endpoint list; then the fronts; then the lifecycle, which starts to accept clients.
     """
 
     def __init__(
@@ -61,9 +61,9 @@
         signals: bool = True,
         options: GatewayOptions | None = None,
     ) -> None:
-        """Listen; clients are accepted once `run` runs the loop. Raises OSError if an address is in use.
+        """Listen; `run` accepts clients. Raises OSError if an address is in use.
 
-        `signals`: whether SIGTERM, SIGINT and SIGHUP are handled, which only a main thread can.
+        `signals`: whether to handle SIGTERM, SIGINT and SIGHUP, which is possible only in the main thread.
         """
         self.options = options or GatewayOptions()
         self.active = ActiveConfiguration(config, operator, config.classes)
@@ -72,35 +72,35 @@
         self.hot_upgrade = HotUpgrade(self.loop, path) if path else None
         self.startup = Startup(self.loop, self.readiness, self.hot_upgrade)
         self.forwarder = build_forwarder(self.loop, self.active)
-        core = Core(self.loop, self.readiness, self.forwarder, self.active, self.options)
-        self._join_engines_and_planners(core)
-        self._join_fronts(core, signals)
-        self._join_announcer_and_admin_server()
-        self._join_lifecycle()
-        self._begin()
+        parts = SharedParts(self.loop, self.readiness, self.forwarder, self.active, self.options)
+        self._build_engine_pool_and_planners(parts)
+        self._build_fronts(parts, signals)
+        self._build_announcer_and_admin_server()
+        self._build_lifecycle()
+        self._start()
         if signals:
             self._handle_signals()
 
-    # ---- the parts, in the order in which they are built
+    # ---- building the parts, in this order
 
-    def _join_engines_and_planners(self, core: Core) -> None:
-        self.engine_pool = build_engine_pool(core)
+    def _build_engine_pool_and_planners(self, parts: SharedParts) -> None:
+        self.engine_pool = build_engine_pool(parts)
         share = OVERLAP_SHARE if self.options.inherited else FULL_SHARE
         self.settings_publisher = PlannerSettingsPublisher(self.forwarder, self.active, share)
-        self.planner_links = build_planner_links(core, share)
-        # The planners are notified of the endpoint list before the fronts accept requests: a request that
-        # came first would find no engine and wait in the scheduler's queue
+        self.planner_links = build_planner_links(parts, share)
+        # The planners are notified of the endpoint list before the fronts accept requests: an earlier request
+        # would find no engine and wait in the scheduler's queue
         config = self.active.config
         start_times = StartTimes(steady_now_ns, wall_clock_offset_ns)
         self.endpoint_feed = EndpointFeed(self.forwarder, config.zones_and_kinds, start_times)
         self.endpoint_feed.take_initial(config.initial_endpoints)
 
-    def _join_fronts(self, core: Core, takes_signals: bool) -> None:
+    def _build_fronts(self, parts: SharedParts, handles_signals: bool) -> None:
         config = self.active.config
-        self.statements = build_statements(core)
-        front_options = FrontOptions.of(core, takes_signals, self.statements)
+        self.statements = build_statements(parts)
+        front_options = FrontOptions.of(parts, handles_signals, self.statements)
         self.max_connections = front_options.max_connections
-        self.http_server = build_http_server(core, front_options)
+        self.http_server = build_http_server(parts, front_options)
         self.watch_client = EndpointWatchClient(
             self.loop,
             config.discovery_address,
@@ -110,19 +110,19 @@
             ),
             config.seed,
         )
-        self.flight_pool = build_flight_pool(core)
-        self.flight_server: FlightServer | None = build_flight_server(core, front_options)
+        self.flight_pool = build_flight_pool(parts)
+        self.flight_server: FlightServer | None = build_flight_server(parts, front_options)
         self.fronts = ClientFronts(self.forwarder, self.http_server, self.flight_server, self.statements)
         reclaim = DescriptorReclaim(self.engine_pool, self.http_server)
         for listener in self.fronts.listeners:
             listener.on_descriptors_exhausted = reclaim.reclaim
 
-    def _join_announcer_and_admin_server(self) -> None:
+    def _build_announcer_and_admin_server(self) -> None:
         config, operator = self.active.config, self.active.operator
-        bgp = operator.bgp if self.options.number == FIRST_FORWARDER else None
+        bgp = operator.bgp if self.options.forwarder_index == ANNOUNCING_FORWARDER_INDEX else None
         self.announcer = RouteAnnouncer(self.loop, bgp, self.readiness, self.hot_upgrade)
-        # Two BGP sessions under one identifier collide, and the router drops both: a successor's begins when
-        # its predecessor has ended
+        # Two BGP sessions with the same identifier collide and the router drops both, so a successor starts
+        # its session only after its predecessor has ended
         if not self.options.inherited:
             self.announcer.start()
         self.readiness.watchers.append(self.announcer.update)
@@ -139,7 +139,7 @@
         )
         self.planner_links.update_readiness()
 
-    def _join_lifecycle(self) -> None:
+    def _build_lifecycle(self) -> None:
         registry = RequestClassRegistry(
             self.loop, self.forwarder, self.fronts, self.settings_publisher, self.active
         )
@@ -162,15 +162,15 @@
         if self.hot_upgrade:
             self.hot_upgrade.start(self.overlap, self.options.inherited)
 
-    def _begin(self) -> None:
+    def _start(self) -> None:
         if inherited := self.options.inherited:
-            self.overlap.join_as_successor(inherited)
+            self.overlap.start_as_successor(inherited)
         else:
             self.startup.begin()
 
     def _handle_signals(self) -> None:
-        for number in (signal.SIGTERM, signal.SIGINT):
-            signal.signal(number, lambda *_: self._on_stop_signal())
+        for signal_number in (signal.SIGTERM, signal.SIGINT):
+            signal.signal(signal_number, lambda *_: self._on_stop_signal())
         signal.signal(signal.SIGHUP, lambda *_: self.loop.call_soon(self.reload))
 
     def _on_stop_signal(self) -> None:
@@ -181,31 +181,31 @@
 
     @property
     def config(self) -> Configuration:
-        """The configuration in force."""
+        """The active configuration."""
         return self.active.config
 
     @property
     def planner(self) -> Planner:
-        """The planner in this process; AttributeError where planners are processes of their own."""
+        """The planner in this process. Raises AttributeError if the planners are separate processes."""
         return self.planner_links.planner
 
     def reload(self) -> None:
-        """Read the configuration again, as at SIGHUP."""
+        """Reload the configuration, as at SIGHUP."""
         self.configuration_reload.reload()
 
     def begin_shutdown(self) -> None:
-        """Stop gracefully, as at SIGTERM; `run` returns when all is answered."""
+        """Shut down gracefully, as at SIGTERM; `run` returns when all requests are answered."""
         self.shutdown.begin(self.loop.now())
 
     def run(self) -> None:
-        """Serve until a shutdown is done, then release what would outlive the process."""
+        """Serve until a shutdown has finished, then release resources that would outlive the process."""
         host, port = self.http_server.listener.address
         log("start", f"{self.config.name} listens on {host}:{port}")
         self.loop.run()
         self._close()
         counters = self.forwarder.counters
         totals = ", ".join(f"{counters.total(verdict)} {verdict.value}" for verdict in Verdict)
-        log("shutdown", f"all answered: {totals}")
+        log("shutdown", f"all requests answered: {totals}")
 
     def _close(self) -> None:
         if self.hot_upgrade:
--- a/query_gateway/lifecycle/__init__.py
+++ b/query_gateway/lifecycle/__init__.py
@@ -1,29 +1,30 @@
 """The life cycle of one gateway process: start, configuration reload, graceful shutdown and hot upgrade.
 
-The package decides in which order the other parts are started, reconfigured, shared with another process of
-the same gateway, and stopped. It owns the configuration in force, the retired request classes, the state of
-the shutdown, and the socket at which a successor finds its predecessor. Requests, engines and policy are not
-its concern: those parts are handed to it.
+The package determines the order in which the other parts are started, reconfigured, shared with another
+process of the same gateway, and stopped. It owns the active configuration, the retired request classes, the
+shutdown state, and the socket at which a successor finds its predecessor. Requests, engines and policy are
+handled by other packages, whose objects are passed in.
 
-Where to look first:
+Main modules:
 
-    startup             when this process begins to accept clients
-    reload              SIGHUP: the new files are checked, then applied in one step
+    startup             when this process starts to accept clients
+    reload              SIGHUP: new files are validated, then applied in one step
     shutdown            SIGTERM: which requests are still accepted, and when open ones are aborted
-    hot_upgrade         two processes of one gateway: who accepts, who answers, what happens if either dies
-    overlap             what each message of a hot upgrade changes in this process
+    hot_upgrade         two processes of one gateway: which one accepts and answers, and what happens if
+                        either dies
+    overlap             the effect of each hot upgrade message on this process
 
-Which state is lost when a process dies, and what becomes of its open requests:
+State that is lost when a process dies, and the result for its open requests:
 
-    process          lost with it                                   its open requests
-    gateway in one   all of its state; a successor keeps what it    nobody answers: their clients see a reset
-    process          was offered                                    connection
+    process          state lost                                     open requests
+    gateway in one   all of its state; a successor keeps what it    not answered: the clients' connections
+    process          was offered                                    are reset
     forwarder        client connections, open requests, its         the same; its planners end them
                      position in the endpoint list
-    planner          queues, its view of the engines, what it       its forwarders answer at once, see
-                     learned                                        `planner_links`
-    supervisor       nothing of a request; its workers stop         the forwarders answer, as at SIGTERM
+    planner          queues, its view of the engines, its learned   answered at once by its forwarders, see
+                     state                                          `planner_links`
+    supervisor       no request state; its worker processes stop    answered by the forwarders, as at SIGTERM
 
-`gateway.py` and `composition.py` build these parts and join them; `process.py` is the process entry, which
-`__main__` and `cli` call. No other module imports from here.
+`gateway.py` and `composition.py` build and connect these parts. `process.py` is the process entry point,
+which `__main__` and `cli` call. No other module imports from this package.
 """
--- a/query_gateway/lifecycle/active_configuration.py
+++ b/query_gateway/lifecycle/active_configuration.py
@@ -1,6 +1,6 @@
-"""The configuration in force, and the limits that follow from it.
+"""The active configuration, and the limits that are derived from it.
 
-It is lost with the process: each process reads the files itself, also a successor.
+It is not passed on to another process: every process, including a successor, reads the files itself.
 """
 
 from dataclasses import dataclass
@@ -10,15 +10,15 @@
 from query_gateway.engine_protocol.pool import ConnectionLimits
 from query_gateway.forwarder.messages import RequestClasses
 
-MAX_OPEN_REQUESTS = 4_000  # whatever the settings allow: more would not fit into the memory
+MAX_OPEN_REQUESTS = 4_000  # upper bound on the configured limit: more would not fit into memory
 
 
 @dataclass(slots=True)
 class ActiveConfiguration:
-    """The configuration of the process. Only a reload changes it; every part reads it here when it needs it.
+    """The configuration of the process. Only a reload changes it; parts read it here on each use.
 
-    `classes` holds each class by name, with the number that it has in this process: after a reload that may
-    be another number than the position in the file.
+    `classes` maps each class name to the class with its number in this process. After a reload the number may
+    differ from the position in the file.
     """
 
     config: Configuration
@@ -27,17 +27,17 @@
 
     @property
     def longest_timeout(self) -> float:
-        """Seconds until the last deadline of a request accepted now; retired classes do not count."""
+        """The longest request timeout of the active classes, in seconds; retired classes do not count."""
         return max(settings.timeout for settings in self.config.settings.classes) / 1e9
 
 
 def max_exchanges(config: Configuration) -> int:
-    """How many requests may be open at once."""
+    """The maximum number of open requests."""
     return min(config.max_open_requests, MAX_OPEN_REQUESTS)
 
 
 def connection_limits(config: Configuration) -> ConnectionLimits:
-    """The limits of connections to engines."""
+    """The limits for connections to engines."""
     return ConnectionLimits(
         streams_per_connection=config.streams_per_connection,
         dial_timeout=config.dial_timeout,
--- a/query_gateway/lifecycle/client_fronts.py
+++ b/query_gateway/lifecycle/client_fronts.py
@@ -1,4 +1,4 @@
-"""The servers that clients reach, taken together: HTTP, and Flight SQL where it is on."""
+"""The client-facing servers (fronts) as a unit: HTTP, and Flight SQL if it is enabled."""
 
 from typing import TYPE_CHECKING
 
@@ -14,25 +14,25 @@
     from query_gateway.flight.server import FlightServer
     from query_gateway.parsing.service import StatementService
 
-# Descriptors for engines, the discovery service and the loop; with fewer than twice as many, half of them are
-MIN_OTHER_DESCRIPTORS = 64
+# Descriptors reserved for engines, the discovery service and the loop, but never more than half of the limit
+MIN_RESERVED_DESCRIPTORS = 64
 
 
 def max_connections_per_front(config: Configuration, operator: OperatorSettings) -> int:
-    """How many client connections each front may have at once.
+    """The maximum number of client connections of each front.
 
-    Some descriptors are reserved for engines, the discovery service, the loop and the admin server; two
-    fronts divide the rest.
+    Some descriptors are reserved for engines, the discovery service, the loop and the admin server; the
+    fronts divide the rest equally.
     """
     descriptors = config.max_descriptors // max(1, operator.forwarder_count)
-    reserved = min(descriptors // 2, max(MIN_OTHER_DESCRIPTORS, descriptors // 4))
+    reserved = min(descriptors // 2, max(MIN_RESERVED_DESCRIPTORS, descriptors // 4))
     reserved += RESERVED_DESCRIPTORS if config.admin_address else 0
     front_count = 2 if operator.flight_address else 1
     return max(1, (descriptors - reserved) // front_count)
 
 
 class ClientFronts:
-    """The fronts and the statement service behind them; owns their listeners until `close`."""
+    """The fronts and their statement service; owns their listeners until `close`."""
 
     def __init__(
         self,
@@ -41,31 +41,31 @@
         flight_server: "FlightServer | None",
         statements: "StatementService | None",
     ) -> None:
-        """`flight_server` and `statements` are None where they are off."""
+        """`flight_server` and `statements` are None if they are disabled."""
         self.forwarder, self.http_server = forwarder, http_server
         self.flight_server, self.statements = flight_server, statements
 
     @property
     def listeners(self) -> list[Listener]:
-        """Every listener that clients connect to."""
+        """The listeners of all fronts."""
         flight = [self.flight_server.listener] if self.flight_server else []
         return [self.http_server.listener, *flight]
 
     @property
     def is_idle(self) -> bool:
-        """Whether no client is connected, and none can be accepted any more."""
+        """Whether no client is connected and no listener accepts any more."""
         if not all(listener.closed for listener in self.listeners):
             return False
         return self.http_server.is_idle and (not self.flight_server or self.flight_server.is_idle)
 
     def set_max_connections(self, max_connections: int) -> None:
-        """Limit the clients of each front from now on; existing connections stay."""
+        """Set the connection limit of each front; existing connections are kept."""
         self.http_server.max_connections = max_connections
         if self.flight_server:
             self.flight_server.max_connections = max_connections
 
     def set_classes(self, classes: RequestClasses) -> None:
-        """Accept requests of these classes, and no others, under the settings that the forwarder has now."""
+        """Accept requests of exactly these classes, under the forwarder's current settings."""
         self.http_server.classes = classes
         settings = self.forwarder.settings
         if self.statements:
@@ -76,17 +76,17 @@
 
             self.flight_server.classes = build_flight_classes(classes, settings)
 
-    def give_up_classifying(self) -> None:
-        """Reject the requests whose statements wait to be parsed."""
+    def reject_unclassified(self) -> None:
+        """Reject the requests whose statements are waiting to be parsed."""
         if self.statements:
             self.statements.give_up_waiting()
 
     def close(self) -> None:
-        """Accept the clients in the accept queue and no more; connections end as they become idle."""
+        """Accept what is in the accept queue, then stop; connections are closed when they become idle."""
         self.http_server.close()
         self.close_flight()
 
     def close_flight(self) -> None:
-        """Close the Flight SQL front alone: its clients get a GOAWAY, open streams go on."""
+        """Close only the Flight SQL front: its clients receive a GOAWAY, and open streams continue."""
         if self.flight_server:
             self.flight_server.close()
--- a/query_gateway/lifecycle/hot_upgrade.py
+++ b/query_gateway/lifecycle/hot_upgrade.py
@@ -1,40 +1,44 @@
-"""The protocol of a hot upgrade: a running process, the predecessor, is followed by a new one, the successor.
+"""The hot upgrade protocol: a running process (the predecessor) is replaced by a new one (the successor).
 
-For a while both serve the same addresses; that time is the overlap. They talk over one Unix socket
-connection:
+While both run, they serve the same addresses; this period is the overlap. They communicate over one Unix
+socket connection:
 
     step                                      accepts clients        answers requests
     1  the successor starts and sends hello   predecessor            predecessor
     2  the predecessor sends its offer        predecessor            predecessor
-    3  the successor sends ready              both, from one queue   whichever process accepted the client
-    4  SIGTERM to the predecessor, which      successor              successor; the predecessor those that it
-       sends draining                                                has open
+    3  the successor sends ready              both, from one queue   the process that accepted the client
+    4  SIGTERM to the predecessor, which      successor              successor; the predecessor answers its
+       sends draining                                                open requests
     5  the predecessor transfers its idle     successor              the same
        connections, and exits when all its
        requests are answered
 
 The offer holds the listening sockets, so from step 2 on both processes have the same accept queue. If SIGTERM
-comes before step 3, nobody accepts until the successor is ready: clients wait in that queue.
+comes before step 3 and a successor connects by the end of the grace period, the predecessor keeps accepting
+clients, also beyond that period, until the successor is ready; only then does it release its listeners and
+send draining. If the successor is still not ready when the predecessor aborts its open requests, the
+predecessor accepts the clients in the queue, rejects their requests and closes its listeners. Clients that
+connect after that wait in the queue, which the successor's sockets keep open.
 
-A successor that starts after the predecessor has closed its listeners is offered none: it listens at the
-addresses itself. Steps 3 to 5 are the same, so that requests with a key wait for the predecessor.
+A successor that starts after the predecessor has closed its listeners is offered none and binds the addresses
+itself. Steps 3 to 5 are the same, so that requests with a key wait for the predecessor.
 
-If the predecessor dies, its open requests die with it: their clients see a reset connection. The successor
-sees the end of the connection and serves alone; one that is not ready yet begins to accept at once, so
-clients in the accept queue are served. If it dies before step 2, the successor starts as if there had been
-none, with nothing learned.
+If the predecessor dies, its open requests are lost and their clients see a reset connection. The successor
+detects the closed connection and serves alone. If it is not ready yet, it starts to accept at once, so that
+clients in the accept queue are served. If the predecessor dies before step 2, the successor starts as without
+a predecessor, with no learned state.
 
-If the successor dies, its open requests and the connections transferred to it die with it. The predecessor
-serves alone and waits for another successor; after SIGTERM it goes on with a plain shutdown.
+If the successor dies, its open requests and the connections transferred to it are lost. The predecessor
+serves alone and waits for another successor; after SIGTERM it continues with a normal shutdown.
 
-The states of the successor as its predecessor sees them:
+The states of the successor as seen by its predecessor:
 
     ABSENT --connects--> CONNECTED --hello, offer sent--> STARTING --ready--> READY
        ^                     |                               |                  |
        +---------------------+-------- connection ends ------+------------------+
 
-The predecessor as its successor sees it is a connection (`predecessor`) or None. The state here ends with the
-process; the predecessor's socket file outlives a process that is killed, and the next one replaces it.
+The successor keeps only the connection to its predecessor (`predecessor`), or None. This state is lost with
+the process. A process that is killed leaves its socket file behind, and the next one replaces it.
 """
 
 import socket
@@ -65,54 +69,54 @@
 
 
 class SuccessorState(Enum):
-    """How far a process has come that follows this one; see the drawing above."""
+    """The startup progress of the successor; see the state diagram in the module docstring."""
 
     ABSENT = "absent"  # no process is connected
-    CONNECTED = "connected"  # it has not requested its offer yet
-    STARTING = "starting"  # it has the listening sockets, and accepts nothing yet
+    CONNECTED = "connected"  # it has not requested the offer yet
+    STARTING = "starting"  # it has been sent the offer, and does not accept clients yet
     READY = "ready"  # it accepts clients
 
 
 @dataclass(slots=True, frozen=True)
 class OfferWithListeners:
-    """An offer, and the listening sockets that go with it in the order of its fronts."""
+    """An offer with its listening sockets, in the order of `message.fronts`."""
 
     message: Offer
     listeners: tuple[socket.socket, ...]
 
 
 class UpgradeHost(Protocol):
-    """What the protocol needs from the gateway."""
+    """The callbacks through which the protocol uses the gateway."""
 
     def offer(self) -> OfferWithListeners:
-        """What a successor inherits; the listening sockets stay the gateway's."""
+        """Return the state for a successor; the gateway keeps ownership of the listening sockets."""
 
     def begin_overlap(self) -> None:
-        """Another process of this gateway runs."""
+        """Handle the start of the overlap with another process of this gateway."""
 
     def end_overlap(self) -> None:
-        """The other process has ended."""
+        """Handle the end of the other process."""
 
     def receive_connection(self, sock: socket.socket, peer: str, has_sent_request: bool) -> None:
-        """A client's connection was transferred, and is the gateway's from now on."""
+        """Take ownership of a transferred client connection."""
 
     def on_successor_ready(self) -> None:
-        """The successor accepts clients."""
+        """Handle the ready message: the successor accepts clients."""
 
     def on_predecessor_draining(self) -> None:
-        """The predecessor accepts no more clients."""
+        """Handle the draining message: the predecessor accepts no more clients."""
 
 
 class HotUpgrade:
-    """This process's part: successor at its start, later perhaps the predecessor of another.
+    """This process's side of the protocol: first as a successor, later possibly as a predecessor.
 
-    Owns the connections to both, and the listening socket by which a successor finds this process.
+    Owns the connections to both, and the listening socket at which a successor finds this process.
     """
 
     host: UpgradeHost
 
     def __init__(self, loop: Loop, path: str) -> None:
-        """`path`: the socket where the two meet. Nothing is opened before `start` and `announce_ready`."""
+        """`path`: the predecessor's socket path. No socket is opened before `start` and `announce_ready`."""
         self.loop = loop
         self.listener = UpgradeListener(loop, path, self._on_successor_connects)
         self.predecessor: UpgradeConnection[FromPredecessor] | None = None
@@ -121,11 +125,11 @@
 
     @property
     def successor_ready(self) -> bool:
-        """Whether a successor accepts clients."""
+        """Whether a successor is connected and accepts clients."""
         return self.successor_state is SuccessorState.READY
 
     def start(self, host: UpgradeHost, inherited: InheritedState | None) -> None:
-        """Join the gateway; with an inherited state wait for messages of the predecessor."""
+        """Set the host; with an inherited state, start to receive messages from the predecessor."""
         self.host = host
         if inherited:
             handler = ConnectionHandler(
@@ -139,26 +143,26 @@
             self.predecessor.send(Ready())
         self.listener.claim_path()
 
-    def notify_leaving(self) -> None:
+    def notify_draining(self) -> None:
         """Notify the successor that this process accepts no more clients."""
         if self.successor:
             self.successor.send(Draining())
 
     def transfer(self, sock: socket.socket, peer: str, has_sent_request: bool) -> bool:
-        """Transfer an idle connection; False if that cannot be done now, and the connection stays here."""
+        """Transfer an idle connection; returns False if the successor cannot receive it at the moment."""
         connection = self.successor if self.successor_ready else None
         return connection is not None and connection.send(
             ClientTransfer(peer, has_sent_request), [sock.fileno()]
         )
 
     def close(self) -> None:
-        """Remove the socket's file at the end of this process, unless another process has replaced it."""
+        """Remove the socket file when this process ends, unless another process has replaced it."""
         self.listener.close()
 
     # ---- as the predecessor
 
     def _on_successor_connects(self, sock: socket.socket) -> None:
-        if self.successor:  # one at a time; the other cannot listen at the clients' address and exits
+        if self.successor:  # only one at a time; a second one cannot bind the clients' address and exits
             sock.close()
             return
         self._absent_to_connected(sock)
@@ -171,7 +175,7 @@
         self.successor_state = SuccessorState.CONNECTED
 
     def _on_successor_message(self, message: FromSuccessor, descriptors: list[int]) -> None:
-        close_descriptors(descriptors)  # a successor has none to send
+        close_descriptors(descriptors)  # no message of a successor carries descriptors
         if self.successor is None:
             return
         match message:
@@ -183,9 +187,9 @@
                 self.successor.close()
 
     def _connected_to_starting(self, successor: UpgradeConnection[FromSuccessor]) -> None:
-        """Send the offer; a successor that cannot receive it is disconnected.
+        """Send the offer; disconnect a successor that cannot receive it.
 
-        A repeated hello gets another offer and changes no state.
+        A repeated hello is answered with another offer and does not change the state.
         """
         offer = self.host.offer()
         if not successor.send(offer.message, [listener.fileno() for listener in offer.listeners]):
@@ -202,11 +206,11 @@
         self.host.on_successor_ready()
 
     def _on_successor_ended(self) -> None:
-        """Any state to ABSENT."""
+        """Transition from any state to ABSENT."""
         log("upgrade", "the successor has ended")
         self.successor, self.successor_state = None, SuccessorState.ABSENT
         self.host.end_overlap()
-        # A successor that was ready had put its own socket in the place of ours
+        # A successor that was ready has replaced this process's socket file with its own
         self.listener.claim_path()
 
     # ---- as the successor
--- a/query_gateway/lifecycle/inherited_state.py
+++ b/query_gateway/lifecycle/inherited_state.py
@@ -1,4 +1,4 @@
-"""What a successor inherits: requested from the predecessor before anything else of this process is built."""
+"""The state that a successor requests from its predecessor before it builds any other part."""
 
 import socket
 from dataclasses import dataclass, field
@@ -14,14 +14,14 @@
 )
 from query_gateway.net.log import log
 
-OFFER_TIMEOUT_SECONDS = 2.0  # in which a predecessor must answer
+OFFER_TIMEOUT_SECONDS = 2.0  # for each socket operation until the offer is received
 
 
 @dataclass(slots=True)
 class InheritedState:
-    """What a predecessor offers: its listeners by front, its learned state, and the connection to it.
+    """A predecessor's offer: its listeners by front, its learned state, and the connection to it.
 
-    The learned states are JSON values that have not been checked yet, or None where there are none.
+    The learned states are JSON values that have not been validated yet, or None if there are none.
     """
 
     connection: socket.socket
@@ -31,9 +31,10 @@
 
 
 def request_inherited_state(path: str) -> InheritedState | None:
-    """Request a predecessor's state; None if there is no predecessor, or if it ends meanwhile.
+    """Request a predecessor's state; returns None if there is no predecessor or it sends no valid offer.
 
-    Blocks for `OFFER_TIMEOUT_SECONDS` at most: nothing else runs in this process yet.
+    Each socket operation blocks for `OFFER_TIMEOUT_SECONDS` at most. Blocking is safe here because nothing
+    else runs in this process yet.
     """
     sock = socket.socket(socket.AF_UNIX, socket.SOCK_SEQPACKET)
     sock.settimeout(OFFER_TIMEOUT_SECONDS)
@@ -46,7 +47,7 @@
         by_front = dict(zip(offer.fronts, listeners, strict=True))
     except (OSError, ValueError, UpgradeMessageError) as error:
         if not isinstance(error, FileNotFoundError | ConnectionRefusedError):
-            log("upgrade", f"no predecessor to follow: {error!r}")
+            log("upgrade", f"cannot inherit state from a predecessor: {error!r}")
         sock.close()
         return None
     for listener in listeners:
--- a/query_gateway/lifecycle/overlap.py
+++ b/query_gateway/lifecycle/overlap.py
@@ -1,19 +1,20 @@
-"""The overlap of a hot upgrade: two processes are one gateway, and divide its budgets.
+"""The overlap of a hot upgrade: two processes form one gateway and divide its budgets.
 
-`hot_upgrade` says which process accepts and answers at each step. The budgets at the same steps:
+`hot_upgrade` documents which process accepts and answers at each step. The budgets at the same steps:
 
     step                       client connections   slow-start share (`slow_start_share`)
                                of each process      predecessor   successor
-    offer sent                 half                 1.0           0.5, of which it uses nothing yet
+    offer sent                 half                 1.0           0.5, not used yet
     successor ready            half                 0.5           0.5
     predecessor draining       half                 0.1           0.9, after the overload window
     one of the two has ended   all for the other    1.0 for the other, after the overload window
 
-Requests with a key are the predecessor's alone until it drains: the successor rejects them before that, then
-holds them until the predecessor has ended and what it gave up last cannot run any more.
+Until the predecessor drains, it alone serves requests with a key, and the successor rejects them. After that
+the successor holds them until the predecessor has ended and the attempts that it abandoned last can no longer
+run.
 
-The successor also inherits what the predecessor's scheduler and statement classifier have learned, as it was
-when the offer was sent. What the predecessor learns later is lost with it.
+The successor also inherits the learned state of the predecessor's scheduler and statement classifier, as of
+the time of the offer. State that the predecessor learns later is lost with it.
 """
 
 import socket
@@ -28,8 +29,8 @@
 from query_gateway.lifecycle.route_announcer import RouteAnnouncer
 from query_gateway.lifecycle.shutdown import Shutdown, ShutdownState
 from query_gateway.lifecycle.slow_start_share import (
+    DRAINING_SHARE,
     FULL_SHARE,
-    LEAVING_SHARE,
     OVERLAP_SHARE,
     SlowStartShare,
 )
@@ -40,13 +41,13 @@
 from query_gateway.net.steady_clock import wall_clock_offset_ns
 from query_gateway.planner.learned_state import export_state, restore_state
 
-OVERLAP_CONNECTION_SHARE = 0.5  # of the client connections, for each process during the overlap
+OVERLAP_CONNECTION_SHARE = 0.5  # of the maximum client connections, for each process during the overlap
 MAX_OFFERED_SHAPES = 256  # normalized statements whose costs a successor inherits
 
 
 @dataclass(slots=True, frozen=True)
 class OverlapParts:
-    """What both processes share, or what begins and ends with the overlap; nothing of it is owned here."""
+    """The parts of the gateway that the overlap changes; `Overlap` owns none of them."""
 
     forwarder: Forwarder
     fronts: ClientFronts
@@ -59,19 +60,19 @@
 
 
 class Overlap:
-    """The gateway's side of the hot upgrade: what each message of the protocol changes here."""
+    """The host of the hot upgrade protocol: applies each protocol event to the gateway."""
 
     def __init__(self, parts: OverlapParts, max_connections: int) -> None:
-        """`max_connections`: how many clients each front may serve while there is no overlap."""
+        """`max_connections`: the connection limit of each front outside an overlap."""
         self.parts, self.max_connections = parts, max_connections
 
     # ---- the start of a successor
 
-    def join_as_successor(self, inherited: InheritedState) -> None:
-        """Begin the overlap with the predecessor that still serves; this process accepts no clients yet."""
+    def start_as_successor(self, inherited: InheritedState) -> None:
+        """Begin the overlap with the serving predecessor; this process does not accept clients yet."""
         self.begin_overlap()
         self.parts.forwarder.predecessor_fence.on_serving()
-        # The planner must know the endpoint list before it is given what the predecessor learned of engines
+        # The planner needs the endpoint list before the learned state of the engines is restored
         self.parts.planners.run_local()
         self.restore_scheduler(inherited.scheduler_state)
         self.parts.startup.wait_as_successor(self.parts.fronts.listeners)
@@ -79,9 +80,9 @@
     # ---- what is transferred
 
     def offer(self) -> OfferWithListeners:
-        """What a successor inherits; the listening sockets stay this process's as well.
+        """Return the state for a successor; the listening sockets stay open in this process as well.
 
-        One that starts after a listener here was closed listens at that address by itself.
+        Closed listeners are left out: the successor binds their addresses itself.
         """
         fronts = self.parts.fronts
         listeners = {HTTP_FRONT: fronts.http_server.listener}
@@ -102,52 +103,52 @@
         return OfferWithListeners(message, tuple(sockets.values()))
 
     def restore_scheduler(self, scheduler_state: object) -> None:
-        """Restore what the predecessor's scheduler learned, all of it or nothing; None: there is none."""
+        """Restore the learned state of the predecessor's scheduler, all of it or nothing; None: no state."""
         if scheduler_state is not None and not restore_state(
             self.parts.planners.planner.scheduler,
             self._class_numbers(),
             scheduler_state,
             wall_clock_offset_ns(),
         ):
-            log("upgrade", "what the predecessor's scheduler learned cannot be used here")
+            log("upgrade", "the scheduler state of the predecessor is not usable here; ignored")
 
     def _class_numbers(self) -> dict[str, int]:
         return {name: request_class.index for name, request_class in self.parts.active.classes.items()}
 
     def receive_connection(self, sock: socket.socket, peer: str, has_sent_request: bool) -> None:
-        """Serve a client whose idle connection the predecessor has transferred."""
+        """Serve an idle client connection that the predecessor has transferred."""
         self.parts.fronts.http_server.add_connection(sock, peer, has_sent_request)
 
-    # ---- who uses which budget
+    # ---- division of the budgets
 
     def begin_overlap(self) -> None:
-        """Another process of this gateway runs: the two divide the client connections."""
+        """Divide the client connections with the other process of this gateway."""
         max_connections = max(1, int(self.max_connections * OVERLAP_CONNECTION_SHARE))
         self.parts.fronts.set_max_connections(max_connections)
 
     def on_successor_ready(self) -> None:
-        """The successor accepts clients as well; a shutdown that waited for that goes on at once."""
+        """Divide the slow-start budget; a shutdown that waits for the successor continues at once."""
         self.parts.slow_start_share.change(OVERLAP_SHARE)
         if self.parts.shutdown.state is not ShutdownState.SERVING:
             self.parts.shutdown.transfer_to_successor()
 
     def on_predecessor_draining(self) -> None:
-        """The predecessor accepts no more clients: all but its last share is ours."""
-        self.parts.slow_start_share.change_after_window(FULL_SHARE - LEAVING_SHARE)
+        """Use the slow-start budget except for the share of the draining predecessor."""
+        self.parts.slow_start_share.change_after_window(FULL_SHARE - DRAINING_SHARE)
         self.parts.forwarder.predecessor_fence.on_draining()
 
     def end_overlap(self) -> None:
-        """The other process has ended: this one has all budgets again, whichever of the two it was."""
+        """Use all budgets again after the other process, predecessor or successor, has ended."""
         self.parts.fronts.set_max_connections(self.max_connections)
         self.parts.slow_start_share.change_after_window(FULL_SHARE)
         self.parts.forwarder.predecessor_fence.on_ended()
-        # A predecessor may die before its successor is ready: then nobody accepts clients, and those in the
-        # accept queue time out. The successor begins at once; where this process serves already, `begin`
-        # changes nothing.
+        # If a predecessor dies before its successor is ready, no process accepts clients, and those in the
+        # accept queue would time out. So the successor begins at once; in a process that serves already,
+        # `begin` has no effect.
         self.parts.startup.begin()
         if self.parts.shutdown.state is not ShutdownState.SERVING:
             self.parts.shutdown.continue_without_successor()
         else:
-            # Two BGP sessions under one identifier collide and the router drops both, so a successor's begins
-            # only now
+            # Two BGP sessions with the same identifier collide and the router drops both, so a successor
+            # starts its session only after its predecessor has ended
             self.parts.announcer.start_and_update()
--- a/query_gateway/lifecycle/planner_links.py
+++ b/query_gateway/lifecycle/planner_links.py
@@ -1,15 +1,15 @@
-"""The planners of one gateway: one in this process, or several that are processes of their own.
+"""The links from the forwarder to its planners: one in this process, or several separate processes.
 
-The states of a planner as this process sees it; one in this process is replaced and CONNECTED again at once:
+The states of a planner as seen by this process; a local planner is replaced and CONNECTED again at once:
 
-    LOST --connection up--> CONNECTED --connection ended, or the module raised an error--> LOST
+    LOST --connection established--> CONNECTED --connection closed, or decision module raised--> LOST
 
-When a planner is lost, its queues, its view of the engines and what it learned are lost with it. The
-forwarder ends all of its open requests at once (`Forwarder.on_planner_lost`): each is rejected where its
-client may safely send it again, else it fails. Requests with a key then wait for a while (`KeyQuarantine`),
-since an engine may still run an earlier one of the same key. New requests for that planner are rejected until
-it is connected again; without any planner the gateway is not ready. A planner that connects gets its settings
-and the endpoint list.
+When a planner is lost, its queues, its view of the engines and its learned state are lost with it. The
+forwarder ends all of the planner's open requests at once (`Forwarder.on_planner_lost`): a request is rejected
+if its client can safely retry it, otherwise it fails. Requests with a key are then held back for a while
+(`KeyQuarantine`), because an engine may still run an earlier request with the same key. New requests for that
+planner are rejected until it is connected again; without any planner the gateway is not ready. A planner that
+connects is sent its settings and the endpoint list.
 """
 
 from collections.abc import Callable
@@ -28,26 +28,26 @@
 
 
 class PlannerLinks:
-    """Joins planners to the forwarder and carries out their actions; owns the connections to them."""
+    """Connects planners to the forwarder and applies their actions; owns the connections."""
 
-    planner: Planner  # only where it shares this process
+    planner: Planner  # set only if the planner runs in this process
 
     def __init__(self, loop: Loop, forwarder: Forwarder, readiness: Readiness) -> None:
-        """There is no planner before `add_local` or `add_remote`."""
+        """Start without planners; `add_local` and `add_remote` add them."""
         self.loop, self.forwarder, self.readiness = loop, forwarder, readiness
         self.clients: list[PlannerClient] = []
-        self._ejected_by_planner: dict[int, tuple[str, ...]] = {}  # of planner processes, by planner index
+        self._ejected_by_planner: dict[int, tuple[str, ...]] = {}  # for planner processes, by planner index
 
     # ---- a planner in this process
 
     def add_local(self, planner: Planner) -> None:
-        """Let this planner decide at the end of every turn of the loop."""
+        """Add a planner that decides at the end of every loop turn."""
         self.planner = planner
         self.forwarder.add_planner(planner.notify, True)
         self.loop.turn_hooks.append(self.run_local)
 
     def run_local(self) -> bool:
-        """Let the planner decide on all pending events; True if there are more already."""
+        """Let the planner decide on all pending events; returns True if this produced new ones."""
         try:
             actions = self.planner.decide()
         except Exception as error:
@@ -59,18 +59,17 @@
         return bool(self.planner.pending_events)
 
     def _restart_local(self) -> None:
-        """Replace the instance of the decision module that raised an error, and end its open requests."""
+        """Replace the decision module instance that raised an error, and end its open requests."""
         self.planner.restart()
-        # Events that came before the error are about requests that the new instance has never seen; they are
-        # dropped
+        # Pending events concern requests that the new instance has never seen, so they are dropped
         self.forwarder.on_planner_lost(LOCAL_PLANNER_INDEX)
         self.planner.pending_events.clear()
         self.forwarder.on_planner_connected(LOCAL_PLANNER_INDEX)
 
-    # ---- planners in processes of their own
+    # ---- planners in separate processes
 
     def add_remote(self, address: tuple[str, int], settings: Settings | None) -> None:
-        """Keep connected to a planner process; `settings`, if any, are sent to it at each connect."""
+        """Keep a connection to a planner process; `settings`, if any, are sent after every connect."""
         planner_index = len(self.clients)
         client = PlannerClient(
             self.loop,
@@ -84,7 +83,7 @@
 
     def _action_handler(self, planner_index: int) -> Callable[[Any], None]:
         def on_action(action: Any) -> None:
-            """Carry out an action of this planner."""
+            """Apply an action of this planner."""
             if isinstance(action, EjectedEndpoints):
                 self._ejected_by_planner[planner_index] = action.names
             elif isinstance(action, ArrivalQuery):
@@ -104,14 +103,14 @@
         self.forwarder.on_planner_lost(planner_index)
         self.update_readiness()
 
-    # ---- all of them
+    # ---- all planners
 
     def update_readiness(self) -> None:
-        """Without any planner the gateway is not ready."""
+        """Update the readiness: without any connected planner the gateway is not ready."""
         self.readiness.set_planner_available(self.forwarder.router.any_connected)
 
     def ejected_endpoints(self) -> set[str]:
-        """The engines that at least one planner has ejected."""
+        """The names of the engines that at least one planner has ejected."""
         ejected = {name for names in self._ejected_by_planner.values() for name in names}
         if not self.clients:
             ejected |= set(self.planner.ejected_endpoints())
--- a/query_gateway/lifecycle/planner_settings.py
+++ b/query_gateway/lifecycle/planner_settings.py
@@ -1,4 +1,4 @@
-"""The settings that planners work under, derived from the configuration in force."""
+"""The planners' settings, derived from the active configuration."""
 
 from dataclasses import replace
 
@@ -8,18 +8,18 @@
 from query_gateway.lifecycle.active_configuration import ActiveConfiguration
 from query_gateway.model.settings import Settings
 
-FLIGHT_EXTRA_RUN_TIME_NS = 500_000_000  # that an attempt on the Flight wire may take beyond its run time
-DESCRIPTORS_PER_CLIENT = 3  # at most a third of the descriptors are client connections
+FLIGHT_EXTRA_RUN_TIME_NS = 500_000_000  # allowance of a Flight attempt beyond its run time
+DESCRIPTORS_PER_CLIENT = 3  # planners assume client connections on a third of the descriptors at most
 
 
 def planner_settings(config: Configuration, operator: OperatorSettings, planner_index: int = 0) -> Settings:
-    """The settings of one planner; of several planners each counts as a gateway instance of its own."""
+    """The settings of one planner; each of several planners counts as a separate gateway instance."""
     settings, planner_count = config.settings, max(1, len(operator.planner_addresses))
-    # Engines send no progress notes on the Flight wire. With an interval set, the scheduler would take their
-    # absence for a fault and eject healthy engines; 0 means that none are expected.
+    # Engines send no progress notes over Flight. With an interval set, the scheduler would treat the absence
+    # of notes as a fault and eject healthy engines; 0 means that no notes are expected.
     progress_interval = 0 if operator.flight_address else settings.progress_interval
-    # A call on that wire may take some 50 ms for a connect alone. Without extra run time the scheduler would
-    # take that for a slow run.
+    # A Flight call may need about 50 ms for the connect alone. Without extra run time the scheduler would
+    # treat it as a slow run.
     extra_run_time = FLIGHT_EXTRA_RUN_TIME_NS if operator.flight_address else settings.extra_run_time
     return replace(
         settings,
@@ -32,15 +32,15 @@
 
 
 class PlannerSettingsPublisher:
-    """Puts new settings in force at forwarder and planners, with this process's slow-start share."""
+    """Publishes settings to the forwarder and the planners, with this process's slow-start share."""
 
     def __init__(self, forwarder: Forwarder, active: ActiveConfiguration, slow_start_share: float) -> None:
-        """`slow_start_share`: the part, 0 to 1, of every slow-start budget that this process may use."""
+        """`slow_start_share`: the fraction, 0 to 1, of every slow-start budget that this process may use."""
         self.forwarder, self.active = forwarder, active
         self.slow_start_share = forwarder.slow_start_budgets.share = slow_start_share
 
     def publish(self, settings: Settings, new_classes: tuple[int, ...] = ()) -> None:
-        """Put `settings` in force; `new_classes`: numbers that stand for another class from now on."""
+        """Publish `settings`; `new_classes`: numbers that are assigned to a different class from now on."""
         config = replace(self.active.config, settings=settings)
         by_planner = [
             replace(
@@ -52,6 +52,6 @@
         self.forwarder.update_settings(settings, by_planner, new_classes)
 
     def publish_share(self, slow_start_share: float) -> None:
-        """Put another share in force; the settings stay."""
+        """Publish a new share with unchanged settings."""
         self.slow_start_share = self.forwarder.slow_start_budgets.share = slow_start_share
         self.publish(self.forwarder.settings)
--- a/query_gateway/lifecycle/process.py
+++ b/query_gateway/lifecycle/process.py
@@ -1,10 +1,11 @@
-"""The entry of a process: reads the configuration, starts this process's part, and runs it to its end.
+"""The process entry point: reads the configuration, and builds and runs this process's part.
 
-    no worker, no [processes] in the operator's file   the whole gateway, which may follow a predecessor
-    no worker, [processes]                             the supervisor of worker processes
-    a worker named by the supervisor                   one planner, or one forwarder
+    process                                           part
+    not a worker, no [processes] in operator's file   the whole gateway, possibly the successor of another
+    not a worker, [processes]                         the supervisor of worker processes
+    a worker process started by the supervisor        one planner or one forwarder
 
-A start that fails prints one line and exits with code 2.
+A failed start prints one line and exits with code 2.
 """
 
 import contextlib
@@ -35,28 +36,28 @@
 
 
 def serve() -> None:
-    """Start and end the process; whatever keeps it from starting is one plain line and code 2."""
+    """Run the process and exit with its code; a failed start prints one line and exits with code 2."""
     try:
         sys.exit(start(os.environ.get(PROCESS_PART_VARIABLE, "")))
     except ConfigurationError as error:
-        _exit_with(f"query-gateway: configuration: {error}")
+        _exit_with_error(f"query-gateway: configuration: {error}")
     except OSError as error:
-        _exit_with(f"query-gateway: cannot listen: {error.strerror}")
+        _exit_with_error(f"query-gateway: cannot listen: {error.strerror}")
 
 
-def _exit_with(line: str) -> NoReturn:
-    """End the start with one line, even where that line cannot be written."""
+def _exit_with_error(line: str) -> NoReturn:
+    """Print an error line and exit; exits also if the line cannot be written."""
     with contextlib.suppress(OSError):
         print(line, file=sys.stderr, flush=True)
     sys.exit(EXIT_CANNOT_START)
 
 
 def start(part_name: str) -> int:
-    """Run this process's part and return its exit code; `part_name` is empty if no supervisor started it."""
-    early_hangups: list[int] = []
-    # A SIGHUP while the configuration is read means that the files read may be old already: they are read
-    # again once the gateway runs. So the handler is set before.
-    signal.signal(signal.SIGHUP, lambda *_: early_hangups.append(1))
+    """Run this process's part and return the exit code; `part_name` is empty without a supervisor."""
+    early_sighups: list[int] = []
+    # If a SIGHUP arrives while the configuration is read, the files read may be outdated, and they are read
+    # again once the gateway runs. So the handler is installed before.
+    signal.signal(signal.SIGHUP, lambda *_: early_sighups.append(1))
     config = read_configuration(os.environ)
     operator = read_operator_settings(os.environ, config)
     part = parse_process_part(part_name)
@@ -64,7 +65,7 @@
         return _run_supervisor(config, operator)
     if part and part.kind is ProcessKind.PLANNER:
         return _run_planner(config, operator, part.index)
-    return _run_gateway(config, operator, part, early_hangups)
+    return _run_gateway(config, operator, part, early_sighups)
 
 
 def _run_supervisor(config: Configuration, operator: OperatorSettings) -> int:
@@ -73,7 +74,7 @@
     path = upgrade_socket_path(os.environ, config.listen_address)
     if path and is_served(path):
         raise ContradictionError(
-            "a gateway serves here, and several processes cannot follow it; stop it first"
+            "a gateway already serves this address and cannot be upgraded to several processes; stop it first"
         )
     reserved = _reserve_path(path) if path else None
     code = Supervisor(len(operator.planner_addresses), operator.forwarder_count).run()
@@ -83,11 +84,11 @@
 
 
 def _reserve_path(path: str) -> socket.socket | None:
-    """Reserve the socket path of hot upgrades; a gateway that cannot do so starts all the same."""
+    """Reserve the hot upgrade socket path; if that fails, the gateway starts without it."""
     try:
         return reserve_path(path)
     except OSError as error:
-        log("upgrade", f"cannot keep other gateways from this address: {error.strerror}")
+        log("upgrade", f"cannot reserve this address against other gateways: {error.strerror}")
         return None
 
 
@@ -106,20 +107,22 @@
 
 
 def _run_gateway(
-    config: Configuration, operator: OperatorSettings, part: ProcessPart | None, early_hangups: list[int]
+    config: Configuration, operator: OperatorSettings, part: ProcessPart | None, early_sighups: list[int]
 ) -> int:
-    # One of several processes cannot be upgraded
+    # Worker processes cannot be upgraded
     path = None if part else upgrade_socket_path(os.environ, config.listen_address)
-    # A predecessor's listening sockets are inherited: its addresses could not be bound a second time
+    # A predecessor's listening sockets are inherited, because its addresses cannot be bound a second time
     inherited = request_inherited_state(path) if path else None
-    options = GatewayOptions(number=part.index if part else 0, upgrade_path=path, inherited=inherited)
+    options = GatewayOptions(
+        forwarder_index=part.index if part else 0, upgrade_path=path, inherited=inherited
+    )
     gateway = Gateway(config, operator, options=options)
     if part:
         from query_gateway.planner.supervisor import stop_with_supervisor
 
         stop_with_supervisor(gateway.loop, gateway.begin_shutdown)
-    if early_hangups:
+    if early_sighups:
         gateway.loop.call_soon(gateway.reload)
-    gc.freeze()  # objects of the start stay to the end, so later collections skip them
+    gc.freeze()  # startup objects live until the process ends, so later collections can skip them
     gateway.run()
     return 0
--- a/query_gateway/lifecycle/reload.py
+++ b/query_gateway/lifecycle/reload.py
@@ -1,11 +1,12 @@
 """The configuration reload at SIGHUP.
 
-    SIGHUP --> read --> check --> apply, in one step
-                 |        |
-                 +--------+--> rejected: one log line, and the old configuration stays in force
+    SIGHUP --> read --> validate --> apply, in one step
+                 |         |
+                 +---------+--> rejected: one log line, and the old configuration stays active
 
-Nothing is changed before both files have been read and checked as a whole. Open requests keep the settings
-that they were accepted under. What needs a restart keeps its old value, and the log line says so.
+No change is made before both files have been read and validated as a whole. Open requests keep the settings
+under which they were accepted. Settings that need a restart keep their old value, which the log line
+reports.
 """
 
 import os
@@ -37,15 +38,15 @@
     from query_gateway.flight.engines import FlightConnectionPool
     from query_gateway.statements.messages import Rules
 
-MAX_COUNTED_CLASSES = 256  # classes since the start of the process: each has lines in the figures
+MAX_REPORTED_CLASSES = 256  # since the start of the process; each class adds lines to the figures
 
 
-NEEDS_RESTART = "; what it says of name, addresses, sockets and zones needs a restart"
+RESTART_NOTICE = "; changes of name, addresses, sockets, zones and kinds need a restart"
 
 
 @dataclass(slots=True)
 class ConfigurationSources:
-    """Where a reload reads from; both raise ConfigurationError."""
+    """The functions that read the files for a reload; both raise ConfigurationError."""
 
     read_configuration: Callable[[], Configuration] = lambda: read_configuration(os.environ)
     read_operator: Callable[[Configuration], OperatorSettings] = lambda config: read_operator_settings(
@@ -55,26 +56,26 @@
 
 @dataclass(slots=True, frozen=True)
 class ReloadParts:
-    """What a new configuration changes; nothing of it is owned here."""
+    """The parts that a new configuration changes; `ConfigurationReload` owns none of them."""
 
     forwarder: Forwarder
     fronts: ClientFronts
     request_classes: RequestClassRegistry
     watch_client: EndpointWatchClient
     engine_pool: ConnectionPool
-    flight_pool: "FlightConnectionPool | None"  # None where the Flight wire is off
+    flight_pool: "FlightConnectionPool | None"  # None if Flight is disabled
     active: ActiveConfiguration
 
 
 class ConfigurationReload:
-    """Replaces the configuration in force; a file with a fault leaves the old one in force."""
+    """Replaces the active configuration; if a file is invalid, the old configuration stays active."""
 
     def __init__(self, parts: ReloadParts, sources: ConfigurationSources) -> None:
-        """Nothing is read before `reload`."""
+        """Store the parts and sources; files are read only by `reload`."""
         self.parts, self.sources = parts, sources
 
     def reload(self) -> None:
-        """Read the new files, check them against the configuration in force, and apply them."""
+        """Read the files, validate them against the active configuration, and apply them."""
         counters = self.parts.forwarder.counters
         try:
             config = self.sources.read_configuration()
@@ -89,30 +90,30 @@
         self._apply(config, rules)
 
     def _read_rules(self, config: Configuration) -> "Rules | None":
-        """The rules for statements from now on; the rest of the operator's file needs a restart."""
+        """Read the statement rules; changes to the rest of the operator's file need a restart."""
         statements = self.parts.fronts.statements
         if statements is None:
             return None
         settings = self.sources.read_operator(config).statements
         return settings.rules if settings else statements.classifier.rules
 
-    # ---- the check
+    # ---- validation
 
     def _check_usable(self, config: Configuration, rules: "Rules | None") -> None:
-        """Raise ContradictionError if this process cannot work under the configuration."""
+        """Raise ContradictionError if this process cannot run with the configuration."""
         active = self.parts.active
         if active.operator.forwarder_count > 1 and config.settings != active.config.settings:
             raise ContradictionError(
-                "new settings need one forwarder: several would number the classes apart"
+                "new settings need a single forwarder: several would assign different class numbers"
             )
         for name in self._classes_named_by_operator(rules):
             if name not in config.classes:
-                raise ContradictionError(f"the operator's file names class {name!r}, which the settings lack")
+                raise ContradictionError(f"class {name!r} of the operator's file is not in the settings")
         if rules:
             _check_idempotency(config, rules)
-        if len({*self.parts.forwarder.counters.answers, *config.classes}) > MAX_COUNTED_CLASSES:
+        if len({*self.parts.forwarder.counters.answers, *config.classes}) > MAX_REPORTED_CLASSES:
             raise ContradictionError(
-                f"the figures have lines for {MAX_COUNTED_CLASSES} classes; more need a restart"
+                f"the figures cover at most {MAX_REPORTED_CLASSES} classes; more need a restart"
             )
 
     def _classes_named_by_operator(self, rules: "Rules | None") -> list[str]:
@@ -122,12 +123,12 @@
             names += [name for name in (rules.lookup, rules.report, rules.load) if name]
         return names
 
-    # ---- the change
+    # ---- applying
 
     def _apply(self, config: Configuration, rules: "Rules | None") -> None:
         active, old = self.parts.active, self.parts.active.config
-        restart = NEEDS_RESTART if _needs_restart(old, config) else ""
-        log("reload", f"journal {config.discovery_address}, classes {' '.join(config.classes)}{restart}")
+        notice = RESTART_NOTICE if _needs_restart(old, config) else ""
+        log("reload", f"journal {config.discovery_address}, classes {' '.join(config.classes)}{notice}")
         active.config = replace(
             config,
             name=old.name,
@@ -141,11 +142,11 @@
             self.parts.request_classes.update(rules)
         elif statements and rules:
             statements.update_rules(rules, idempotent_classes(config))
-        # The address changes last, so that answers from a new one are decoded under the new settings
+        # The address is set last, so that answers from a new address are decoded under the new settings
         self.parts.watch_client.set_address(config.discovery_address)
 
     def _update_limits(self) -> None:
-        """Apply the limits that forwarder and engine clients enforce; the scheduler's are in its settings."""
+        """Apply the forwarder's and engine clients' limits; the scheduler's are part of its settings."""
         config = self.parts.active.config
         self.parts.forwarder.max_exchanges = max_exchanges(config)
         self.parts.engine_pool.update_limits(connection_limits(config))
@@ -154,19 +155,17 @@
 
 
 def _check_idempotency(config: Configuration, rules: "Rules") -> None:
-    """Raise ContradictionError if a statement's class does not fit what the statement does."""
+    """Raise ContradictionError if the class of reads is not idempotent, or the class of writes is."""
     idempotent = idempotent_classes(config)
     for name in (rules.lookup, rules.report):
         if name not in idempotent:
-            raise ContradictionError(
-                f"statements are read as {name!r}, whose requests could not run twice then"
-            )
+            raise ContradictionError(f"the class of reads, {name!r}, is not idempotent in the new settings")
     if rules.load in idempotent:
-        raise ContradictionError(f"writes run as {rules.load!r}, whose requests could run twice then")
+        raise ContradictionError(f"the class of writes, {rules.load!r}, is idempotent in the new settings")
 
 
 def _needs_restart(old: Configuration, new: Configuration) -> bool:
-    """Whether the new configuration differs in something that a reload cannot change."""
+    """Whether the new configuration changes a value that needs a restart."""
     return (
         new.name != old.name
         or new.listen_address != old.listen_address
--- a/query_gateway/lifecycle/request_classes.py
+++ b/query_gateway/lifecycle/request_classes.py
@@ -1,13 +1,13 @@
-"""The request classes in force: their numbers, and the grace period of those that a reload has dropped.
+"""The accepted request classes: their numbers, and the grace period of classes dropped by a reload.
 
     ACTIVE --dropped by a reload--> RETIRED --end of its grace period--> EXPIRED
        ^                               |
-       +-- named again by a reload ----+
+       +-- added again by a reload ----+
 
-A class is identified by its name. Its number, by which forwarder and scheduler know it, stays the same while
-the class is active or retired or has an open request; only then may it stand for another class. Requests of a
-retired class are accepted under the settings that the class had. Retired classes are lost with the process: a
-successor accepts only the classes of its own configuration.
+A class is identified by its name. Forwarder and scheduler identify it by its number, which does not change
+while the class is active or retired or has an open request; after that it may be assigned to another class.
+Requests of a retired class are accepted under the last settings of the class. Retired classes are lost with
+the process: a successor accepts only the classes of its own configuration.
 """
 
 from dataclasses import dataclass, replace
@@ -24,19 +24,19 @@
 if TYPE_CHECKING:
     from query_gateway.statements.messages import Rules
 
-GRACE_PERIOD_SECONDS = 1.5  # of a retired class: clients go on naming it until they learn of the reload
+GRACE_PERIOD_SECONDS = 1.5  # of a retired class: clients use it until they learn of the reload
 
 
 @dataclass(slots=True, frozen=True)
 class RetiredClass:
-    """A class that a reload has dropped, and which is still accepted."""
+    """A class that a reload has dropped and that is still accepted."""
 
     request_class: RequestClass
     expires_at: float  # loop time
 
 
 class RequestClassRegistry:
-    """Puts the classes of a new configuration in force; owns the retired ones."""
+    """Applies the classes of a new configuration; owns the retired classes."""
 
     def __init__(
         self,
@@ -46,16 +46,16 @@
         publisher: PlannerSettingsPublisher,
         active: ActiveConfiguration,
     ) -> None:
-        """At the start no class is retired."""
+        """Start without retired classes."""
         self.loop, self.forwarder, self.fronts = loop, forwarder, fronts
         self.publisher, self.active = publisher, active
         self._retired: dict[str, RetiredClass] = {}  # by name
 
     def update(self, rules: "Rules | None") -> None:
-        """Put the settings of the active configuration in force, in one step.
+        """Apply the settings of the active configuration in one step.
 
-        `rules`: how statements are classified from now on, where they are. Open requests keep the settings
-        that they were accepted under.
+        `rules`: the new statement rules, or None if statements are not classified. Open requests keep the
+        settings under which they were accepted.
         """
         config, old_classes = self.active.config, self.active.classes
         old_numbers = {name: request_class.index for name, request_class in old_classes.items()}
@@ -71,7 +71,7 @@
         classes = class_settings_by_number(self.forwarder.settings.classes, by_number)
         for name in config.classes:
             self.forwarder.counters.add_class(name)
-        # Forwarder and planners must know a number before a front accepts requests under it
+        # Forwarder and planners must know a class number before a front accepts requests with it
         new_numbers = tuple(number for name, number in numbers.items() if name not in old_classes)
         self.publisher.publish(replace(config.settings, classes=classes), new_numbers)
         statements = self.fronts.statements
@@ -80,16 +80,16 @@
         self._retire(old_classes)
 
     def _numbers_in_use(self) -> set[int]:
-        """The numbers that an open request or a retired class uses: none of them may stand for another."""
+        """The numbers of open requests and accepted classes, which must not be assigned to other classes."""
         open_requests = {exchange.request.class_index for exchange in self.forwarder.exchanges.values()}
         accepted = {request_class.index for request_class in self.fronts.http_server.classes.values()}
         return open_requests | accepted
 
     def _retire(self, old_classes: dict[str, RequestClass]) -> None:
-        """Begin the grace period of the classes that were dropped.
+        """Begin the grace period of the dropped classes.
 
-        A request that its client sent before it learned of the reload would be answered with 404, as of an
-        unknown class. During the grace period it is accepted.
+        Without it, a request sent before the client learned of the reload would be answered with 404, as for
+        an unknown class. During the grace period it is accepted.
         """
         expires_at = self.loop.now() + GRACE_PERIOD_SECONDS
         self._retired |= {
@@ -99,7 +99,7 @@
         self.loop.call_at(expires_at, self._drop_expired)
 
     def _drop_expired(self) -> None:
-        """Each retired class has its own time: another reload neither ends nor lengthens it."""
+        """Drop expired classes; a further reload neither ends nor extends the grace period of a class."""
         now = self.loop.now()
         self._retired = {
             name: retired
--- a/query_gateway/lifecycle/request_trace.py
+++ b/query_gateway/lifecycle/request_trace.py
@@ -1,7 +1,8 @@
-"""The request trace: a file with every step of every request, named by an environment variable.
+"""The request trace: a file with every step of every request, whose path is set by an environment variable.
 
-A line is `CLOCK PID REQUEST CLIENT-ID STEP DETAILS`, the clock in seconds of the machine's monotonic clock.
-Off without the variable. Unlike the log it leaves nothing out, up to a limit of bytes.
+The line format is `CLOCK PID REQUEST CLIENT-ID STEP DETAILS`, with the clock in seconds of the machine's
+monotonic clock. Tracing is disabled without the variable. Unlike the log, the trace is complete, up to
+`MAX_TRACE_BYTES`.
 """
 
 import os
@@ -18,11 +19,11 @@
 class RequestTraceFile:
     """Appends to a file that the processes of one gateway may share; owns its descriptor.
 
-    A disk that fails ends the trace, and nothing else.
+    A write error ends the trace and has no other effect.
     """
 
     def __init__(self, path: str) -> None:
-        """Open the file; raises OSError."""
+        """Open the file. Raises OSError."""
         self._descriptor = os.open(path, os.O_WRONLY | os.O_APPEND | os.O_CREAT | os.O_CLOEXEC, 0o600)
         self._bytes_left = MAX_TRACE_BYTES
 
@@ -38,11 +39,11 @@
             self._bytes_left -= os.write(self._descriptor, line.encode())
         except OSError as error:
             self._bytes_left = 0
-            log("trace", f"ends: {error.strerror}")
+            log("trace", f"cannot be written and ends: {error.strerror}")
 
 
 def open_request_trace(environ: Mapping[str, str]) -> RequestTraceFile | None:
-    """The trace that the environment names, if any."""
+    """Open the trace at the path in the environment; None without a path or if it cannot be opened."""
     path = environ.get(TRACE_VARIABLE)
     if not path:
         return None
--- a/query_gateway/lifecycle/route_announcer.py
+++ b/query_gateway/lifecycle/route_announcer.py
@@ -1,9 +1,9 @@
-"""When the gateway's addresses are announced over BGP.
+"""Announcement of the gateway's addresses over BGP.
 
     WITHDRAWN --ready--> ANNOUNCED --draining, stopping or no planner--> WITHDRAWN
 
-A process that stops while a ready successor serves at the same addresses stays ANNOUNCED to its end: the
-successor begins its own session only then. The session and its routes are lost with the process.
+A process that stops while a ready successor serves the same addresses stays ANNOUNCED until it ends, because
+the successor starts its own session only then. The session and its routes are lost with the process.
 """
 
 from typing import TYPE_CHECKING
@@ -18,7 +18,7 @@
 
 
 class RouteAnnouncer:
-    """Owns the BGP session, if BGP is on, and announces while the gateway accepts requests."""
+    """Owns the BGP session, if BGP is enabled, and announces while the gateway is ready."""
 
     def __init__(
         self,
@@ -27,15 +27,15 @@
         readiness: Readiness,
         hot_upgrade: HotUpgrade | None,
     ) -> None:
-        """No session begins before `start`. `settings` is None where BGP is off."""
+        """Create no session before `start`. `settings` is None if BGP is disabled."""
         self.loop, self.settings = loop, settings
         self.readiness, self.hot_upgrade = readiness, hot_upgrade
         self.session: BgpSession | None = None
 
     def start(self) -> None:
-        """Begin the session, unless there is one.
+        """Start the session unless one exists.
 
-        A successor may call this only when its predecessor has ended: two sessions under one identifier
+        A successor must not call this before its predecessor has ended: two sessions with the same identifier
         collide, and the router drops both.
         """
         if self.session is None and self.settings is not None:
@@ -44,13 +44,13 @@
             self.session = BgpSession(self.loop, self.settings)
 
     def start_and_update(self) -> None:
-        """Begin the session and announce; a session that runs already stays as it is."""
+        """Start the session and announce if ready; has no effect on an existing session."""
         if self.session is None:
             self.start()
             self.update()
 
     def update(self) -> None:
-        """Announce or withdraw, by the readiness as it is now."""
+        """Announce or withdraw the addresses according to the current readiness."""
         if self.session:
             successor_serves = (
                 self.readiness.stopping and self.hot_upgrade is not None and self.hot_upgrade.successor_ready
@@ -64,5 +64,5 @@
 
     @property
     def is_finished(self) -> bool:
-        """Whether the router has been sent everything."""
+        """Whether everything has been sent to the router."""
         return self.session is None or self.session.is_finished
--- a/query_gateway/lifecycle/upgrade_connection.py
+++ b/query_gateway/lifecycle/upgrade_connection.py
@@ -1,4 +1,4 @@
-"""The connection between the two processes of a hot upgrade: one packet a message, with file descriptors."""
+"""The connection between the two processes of a hot upgrade: one packet per message, with descriptors."""
 
 import os
 import socket
@@ -22,7 +22,7 @@
 
 @dataclass(slots=True, frozen=True)
 class ConnectionHandler(Generic[Received]):
-    """What one end does with what it receives: `on_message` owns the descriptors that it is given."""
+    """The callbacks of one end. `on_message` takes ownership of the descriptors passed to it."""
 
     decode: Callable[[Packet], Received]
     on_message: Callable[[Received, list[int]], None]
@@ -30,16 +30,16 @@
 
 
 class UpgradeConnection(Generic[Received]):
-    """One end of the connection between the two processes; it owns its socket."""
+    """One end of the connection between the two processes; owns its socket."""
 
     def __init__(self, loop: Loop, sock: socket.socket, handler: ConnectionHandler[Received]) -> None:
-        """`sock` does not block."""
+        """`sock` must be non-blocking."""
         self.loop, self.sock, self.handler = loop, sock, handler
         self.closed = False
         loop.watch(sock, IN, self._on_readable)
 
     def send(self, message: UpgradeMessage, descriptors: Sequence[int] = ()) -> bool:
-        """Send a message; False if the other end takes nothing now."""
+        """Send a message; returns False if its socket buffer is full or the connection is closed."""
         if self.closed:
             return False
         try:
@@ -72,7 +72,7 @@
         self.handler.on_message(self.handler.decode(packet), descriptors)
 
     def close(self) -> None:
-        """End the connection and notify the handler; a second call changes nothing."""
+        """Close the connection and notify the handler; further calls have no effect."""
         if not self.closed:
             self.closed = True
             self.loop.dispose(self.sock)
@@ -80,6 +80,6 @@
 
 
 def close_descriptors(descriptors: Sequence[int]) -> None:
-    """Close descriptors that came with a packet and that nobody uses."""
+    """Close unused descriptors that were received with a packet."""
     for descriptor in descriptors:
         os.close(descriptor)
--- a/query_gateway/lifecycle/upgrade_messages.py
+++ b/query_gateway/lifecycle/upgrade_messages.py
@@ -1,6 +1,6 @@
-"""The messages that predecessor and successor exchange, and their packets.
+"""The messages between predecessor and successor, and their encoding as packets.
 
-A packet is one JSON object, some with file descriptors beside it:
+A packet is one JSON object, for some messages with file descriptors:
 
     from         message         packet                                                   descriptors
     successor    Hello           {"hello": VERSION}
@@ -9,8 +9,8 @@
     predecessor  Draining        {"leaving": true}
     predecessor  ClientTransfer  {"client": PEER, "asked": BOOL}                          the connection
 
-The other process may run an earlier or a later version of this program, so the keys and the names of the
-fronts never change. They stand in this module alone.
+The other process may run an earlier or a later version of this program, so the keys and the front names must
+never change. They are defined only in this module.
 """
 
 import json
@@ -19,7 +19,7 @@
 
 PROTOCOL_VERSION = 1
 MAX_PACKET_BYTES = 200_000
-MAX_DESCRIPTORS = 8  # with one packet
+MAX_DESCRIPTORS = 8  # per packet
 
 HELLO_KEY = "hello"
 READY_KEY = "ready"
@@ -30,18 +30,18 @@
 CLIENT_KEY = "client"
 HAS_SENT_REQUEST_KEY = "asked"
 
-HTTP_FRONT, FLIGHT_FRONT = "web", "flight"  # the names that `fronts` holds
+HTTP_FRONT, FLIGHT_FRONT = "web", "flight"  # the front names in `fronts`
 
-Packet = dict[str, Any]  # a packet's JSON object
+Packet = dict[str, Any]  # the JSON object of a packet
 
 
 class UpgradeMessageError(Exception):
-    """A packet that cannot be decoded, or that is not the expected one; says what it holds."""
+    """Raised for a packet that cannot be decoded or is not the expected one; its text shows the content."""
 
 
 @dataclass(slots=True, frozen=True)
 class Hello:
-    """The successor has started and requests the state that it inherits."""
+    """The successor has started and requests an offer."""
 
 
 @dataclass(slots=True, frozen=True)
@@ -51,9 +51,9 @@
 
 @dataclass(slots=True, frozen=True)
 class Offer:
-    """What the successor inherits; the listening sockets come as descriptors, in the order of `fronts`.
+    """The state for a successor; the listening sockets are sent as descriptors, in the order of `fronts`.
 
-    The states are plain JSON values, or None where there is none or it does not fit into a packet.
+    The states are plain JSON values, or None if there is no state or it does not fit into a packet.
     """
 
     fronts: tuple[str, ...]
@@ -68,15 +68,15 @@
 
 @dataclass(slots=True, frozen=True)
 class ClientTransfer:
-    """A client's idle connection, which comes as the one descriptor."""
+    """An idle client connection, sent as the only descriptor."""
 
     peer: str
-    has_sent_request: bool  # whether a request has been answered on it
+    has_sent_request: bool  # whether a request has been answered on this connection
 
 
 @dataclass(slots=True, frozen=True)
 class UnknownMessage:
-    """An object with none of the expected keys: perhaps of a later version."""
+    """An object without any expected key, possibly from a later version."""
 
 
 FromSuccessor = Hello | Ready | UnknownMessage
@@ -85,7 +85,7 @@
 
 
 def encode(message: UpgradeMessage) -> bytes:
-    """The packet of a message."""
+    """Encode a message as a packet."""
     return json.dumps(_packet_of(message)).encode()
 
 
@@ -104,7 +104,7 @@
 
 
 def _offer_packet(offer: Offer) -> Packet:
-    """An offer that fits into a packet: one that is too long lacks the costs, then the scheduler's state."""
+    """An offer that fits into a packet; if too long, drops the statement costs, then the scheduler state."""
     packet: Packet = {FRONTS_KEY: list(offer.fronts)}
     if offer.scheduler_state is not None:
         packet[SCHEDULER_STATE_KEY] = offer.scheduler_state
@@ -117,27 +117,27 @@
 
 
 def decode_packet(data: bytes) -> Packet:
-    """The object that a packet holds. Raises UpgradeMessageError."""
+    """Decode the JSON object of a packet. Raises UpgradeMessageError."""
     try:
         packet = json.loads(data)
     except (ValueError, RecursionError) as error:
-        raise UpgradeMessageError(f"a packet is no JSON: {error!r}") from None
+        raise UpgradeMessageError(f"packet is not valid JSON: {error!r}") from None
     if not isinstance(packet, dict):
-        raise UpgradeMessageError(f"a packet holds {packet!r:.40} in place of an object")
+        raise UpgradeMessageError(f"packet holds {packet!r:.40}; expected a JSON object")
     return packet
 
 
 def decode_offer(data: bytes) -> Offer:
-    """What a predecessor answers to "hello". Raises UpgradeMessageError."""
+    """Decode a predecessor's answer to a hello. Raises UpgradeMessageError."""
     packet = decode_packet(data)
     fronts = packet.get(FRONTS_KEY)
     if not isinstance(fronts, list) or not all(isinstance(front, str) for front in fronts):
-        raise UpgradeMessageError(f"an offer names {fronts!r:.40} in place of its fronts")
+        raise UpgradeMessageError(f"offer has fronts {fronts!r:.40}; expected a list of names")
     return Offer(tuple(fronts), packet.get(SCHEDULER_STATE_KEY), packet.get(STATEMENT_COSTS_KEY))
 
 
 def decode_from_successor(packet: Packet) -> FromSuccessor:
-    """The message that a successor sent; a hello of another protocol version is unknown here."""
+    """Decode a successor's message; a hello with another protocol version is an unknown message."""
     if packet.get(HELLO_KEY) == PROTOCOL_VERSION:
         return Hello()
     if packet.get(READY_KEY) is True:
@@ -146,7 +146,7 @@
 
 
 def decode_from_predecessor(packet: Packet) -> FromPredecessor:
-    """The message that a predecessor sent after its offer."""
+    """Decode a message that a predecessor sends after its offer."""
     peer, has_sent_request = packet.get(CLIENT_KEY), packet.get(HAS_SENT_REQUEST_KEY)
     if isinstance(peer, str) and isinstance(has_sent_request, bool):
         return ClientTransfer(peer, has_sent_request)
--- a/query_gateway/lifecycle/upgrade_socket.py
+++ b/query_gateway/lifecycle/upgrade_socket.py
@@ -1,8 +1,8 @@
 """The Unix socket in $TMPDIR at which a successor finds its predecessor.
 
-The name `mothknot-HOST-PORT`, after the address that clients reach, is a stored form: an earlier version of
-this program looks for it and listens at it. A process that is killed leaves the file behind; a successor that
-cannot connect to it starts without a predecessor and replaces it.
+The file is named `mothknot-HOST-PORT` after the clients' address. The name must not change, because earlier
+versions of this program use it to find and to be found. A process that is killed leaves the file behind; a
+successor that cannot connect to it starts without a predecessor and replaces it.
 """
 
 import contextlib
@@ -15,43 +15,43 @@
 from query_gateway.net.loop import IN, Loop
 
 SOCKET_NAME = "mothknot-{host}-{port}"
-MAX_WAITING_SUCCESSORS = 4  # connections that may wait to be accepted
+ACCEPT_BACKLOG = 4  # connections in the accept queue
 
 
 def upgrade_socket_path(environ: Mapping[str, str], listen_address: tuple[str, int]) -> str | None:
-    """Where predecessor and successor meet, or None where no socket can be made there."""
-    folder = environ.get("TMPDIR")
-    if not folder:
+    """The path of the upgrade socket, or None if no socket can be created in $TMPDIR."""
+    directory = environ.get("TMPDIR")
+    if not directory:
         return None
     host, port = listen_address
-    path = os.path.join(folder, SOCKET_NAME.format(host=host, port=port))
+    path = os.path.join(directory, SOCKET_NAME.format(host=host, port=port))
     try:
-        listen_beside(path).close()
-        os.unlink(private_path(path))
+        listen_at_temporary_path(path).close()
+        os.unlink(temporary_path(path))
     except OSError as error:
-        log("upgrade", f"not possible in $TMPDIR: {error.strerror or error}")
+        log("upgrade", f"disabled, as $TMPDIR cannot hold the socket: {error.strerror or error}")
         return None
     return path
 
 
-def private_path(path: str) -> str:
-    """The name under which this process makes its socket, before it is renamed to `path`."""
+def temporary_path(path: str) -> str:
+    """The path at which this process creates its socket before it renames it to `path`."""
     return f"{path}.{os.getpid()}"
 
 
-def listen_beside(path: str) -> socket.socket:
-    """A listening socket under this process's private name.
+def listen_at_temporary_path(path: str) -> socket.socket:
+    """Return a listening socket at this process's temporary path.
 
-    Renamed to `path` it replaces another process's socket in one step, so that at no moment a successor finds
-    no gateway there.
+    The rename to `path` then replaces another process's socket atomically, so that a successor always finds a
+    gateway there.
     """
     sock = socket.socket(socket.AF_UNIX, socket.SOCK_SEQPACKET)
     try:
         with contextlib.suppress(FileNotFoundError):
-            os.unlink(private_path(path))
-        sock.bind(private_path(path))
-        os.chmod(private_path(path), 0o600)
-        sock.listen(MAX_WAITING_SUCCESSORS)
+            os.unlink(temporary_path(path))
+        sock.bind(temporary_path(path))
+        os.chmod(temporary_path(path), 0o600)
+        sock.listen(ACCEPT_BACKLOG)
         sock.setblocking(False)
     except OSError:
         sock.close()
@@ -60,46 +60,46 @@
 
 
 def is_served(path: str) -> bool:
-    """Whether a gateway listens at this path."""
+    """Whether a gateway listens at `path`."""
     with socket.socket(socket.AF_UNIX, socket.SOCK_SEQPACKET) as sock:
         return sock.connect_ex(path) == 0
 
 
 def reserve_path(path: str) -> socket.socket:
-    """Listen at the path for a gateway that cannot be upgraded, so that no other starts at its address.
+    """Listen at `path` for a gateway that cannot be upgraded, so that no other starts at its address.
 
-    The caller closes the socket at its end.
+    The caller owns the socket and closes it when the gateway ends.
     """
-    sock = listen_beside(path)
-    os.rename(private_path(path), path)
+    sock = listen_at_temporary_path(path)
+    os.rename(temporary_path(path), path)
     return sock
 
 
 @dataclass(slots=True, frozen=True)
 class FileIdentity:
-    """Which file a path names: another process may have put its own in the place of ours."""
+    """Identifies the file at a path, to detect that another process has replaced it."""
 
     device: int
     inode: int
 
 
 def _identity_of(path: str) -> FileIdentity:
-    """Raises OSError if there is no such file."""
-    found = os.stat(path)
-    return FileIdentity(found.st_dev, found.st_ino)
+    """Return the identity of a file. Raises OSError if there is none."""
+    status = os.stat(path)
+    return FileIdentity(status.st_dev, status.st_ino)
 
 
 class UpgradeListener:
-    """Listens for a successor; owns the socket and, while it is this process's, the file at the path."""
+    """Listens for a successor; owns the socket and, unless another process replaces it, its file."""
 
     def __init__(self, loop: Loop, path: str, on_connected: Callable[[socket.socket], None]) -> None:
-        """Nothing is opened before `claim_path`. `on_connected` owns the socket that it is given."""
+        """Open no socket before `claim_path`. `on_connected` takes ownership of the socket passed to it."""
         self.loop, self.path, self.on_connected = loop, path, on_connected
         self.socket: socket.socket | None = None
         self.identity: FileIdentity | None = None  # of the socket's file
 
     def claim_path(self) -> None:
-        """Listen at the path, also where a successor that has died had replaced our socket."""
+        """Listen at the path; listens again if a successor that has died had replaced this socket's file."""
         try:
             if self.socket is None:
                 self._listen()
@@ -108,13 +108,13 @@
                 self.socket = None
                 self._listen()
         except OSError as error:
-            log("upgrade", f"cannot be found by a successor: {error.strerror}")
+            log("upgrade", f"cannot listen for a successor: {error.strerror}")
 
     def _listen(self) -> None:
-        self.socket = listen_beside(self.path)
+        self.socket = listen_at_temporary_path(self.path)
         self.loop.watch(self.socket, IN, self._on_readable)
-        self.identity = _identity_of(private_path(self.path))
-        os.rename(private_path(self.path), self.path)
+        self.identity = _identity_of(temporary_path(self.path))
+        os.rename(temporary_path(self.path), self.path)
 
     def _identity_at_path(self) -> FileIdentity | None:
         with contextlib.suppress(OSError):
@@ -129,7 +129,7 @@
             self.on_connected(sock)
 
     def close(self) -> None:
-        """Remove the file, unless it is another process's by now; the socket closes with the process."""
+        """Remove the file unless another process has replaced it; the socket closes with the process."""
         if self.identity and self._identity_at_path() == self.identity:
             with contextlib.suppress(OSError):
                 os.unlink(self.path)
