--- a/query_gateway/lifecycle/hot_upgrade.py
+++ b/query_gateway/lifecycle/hot_upgrade.py
@@ -17,8 +17,8 @@
 comes before step 3 and a successor connects by the end of the grace period, the predecessor keeps accepting
 clients, also beyond that period, until the successor is ready; only then does it release its listeners and
 send draining. If the successor is still not ready when the predecessor aborts its open requests, the
-predecessor accepts the clients in the queue, rejects their requests and closes its listeners. Clients that
-connect after that wait in the queue, which the successor's sockets keep open.
+predecessor accepts the clients in the queue, rejects their requests and closes its listeners. After that a
+successor that has the offer keeps the queue open with its sockets, and new clients wait there.
 
 A successor that starts after the predecessor has closed its listeners is offered none and binds the addresses
 itself. Steps 3 to 5 are the same, so that requests with a key wait for the predecessor.
--- a/query_gateway/lifecycle/process.py
+++ b/query_gateway/lifecycle/process.py
@@ -74,7 +74,7 @@
     path = upgrade_socket_path(os.environ, config.listen_address)
     if path and is_served(path):
         raise ContradictionError(
-            "a gateway already serves this address and cannot be upgraded to several processes; stop it first"
+            "a gateway already serves this address, and several processes cannot follow it; stop it first"
         )
     reserved = _reserve_path(path) if path else None
     code = Supervisor(len(operator.planner_addresses), operator.forwarder_count).run()
--- a/query_gateway/lifecycle/upgrade_socket.py
+++ b/query_gateway/lifecycle/upgrade_socket.py
@@ -1,8 +1,8 @@
 """The Unix socket in $TMPDIR at which a successor finds its predecessor.
 
 The file is named `mothknot-HOST-PORT` after the clients' address. The name must not change, because earlier
-versions of this program use it to find and to be found. A process that is killed leaves the file behind; a
-successor that cannot connect to it starts without a predecessor and replaces it.
+versions of this program use it, both as predecessor and as successor. A process that is killed leaves the
+file behind; a successor that cannot connect to it starts without a predecessor and replaces it.
 """
 
 import contextlib
