--- a/query_gateway/model/averages.py
+++ b/query_gateway/model/averages.py
@@ -20,7 +20,7 @@
         self.value += share * difference
         self.variance += share * (difference * difference * (1 - share) - self.variance)
 
-    def spread(self, prior: float, prior_samples: int) -> float:
+    def standard_deviation(self, prior: float, prior_samples: int) -> float:
         """The standard deviation, drawn to a prior one that counts as so many samples."""
         trust = self.count / (self.count + prior_samples)
         return prior + trust * (math.sqrt(self.variance) - prior)
--- a/query_gateway/model/estimates.py
+++ b/query_gateway/model/estimates.py
@@ -13,15 +13,15 @@
     """Estimates the remaining time of an attempt from its last progress note or from its age."""
 
     trusted_progress: float  # share of the work from which progress predicts the end
-    mostly_done: float  # share of the expected run time up to which the difference remains
-    overrun: float  # beyond that, this share of its age remains
+    extrapolation_start: float  # share of the expected run time up to which the difference remains
+    extrapolation_ratio: float  # beyond that, this share of its age remains
 
     def remaining_time(self, attempt: AttemptState, now: int) -> float:
         """Nanoseconds until an attempt should end."""
         age, run_time = now - attempt.sent_at, attempt.query.run_time
         if attempt.progress > self.trusted_progress:
             return max(0.0, (attempt.progress_at - attempt.sent_at) / attempt.progress - age)
-        return run_time - age if age < run_time * self.mostly_done else self.overrun * age
+        return run_time - age if age < run_time * self.extrapolation_start else self.extrapolation_ratio * age
 
     def forecast(
         self, engines: Iterable[EngineState], is_long: bool, now: int, lifetime: int
--- a/query_gateway/model/fleet.py
+++ b/query_gateway/model/fleet.py
@@ -31,7 +31,7 @@
     """All engines: those that are listed, and others while something of theirs is in flight or queued."""
 
     engines: dict[str, EngineState] = field(default_factory=dict)  # by name
-    usual_threads: float = 0.0  # of this gateway in use, decayed mean
+    mean_threads_in_use: float = 0.0  # of this gateway in use, decayed mean
     slowdown_samples: DecayedAverage = field(default_factory=DecayedAverage)  # of `FleetSnapshot.slowdown`
     load_reports: DecayedAverage = field(default_factory=DecayedAverage)  # busy share of the cores
     snapshot: FleetSnapshot = field(default_factory=FleetSnapshot)
--- a/query_gateway/model/gossip.py
+++ b/query_gateway/model/gossip.py
@@ -33,7 +33,7 @@
         fresh = (report for report in self.reports.values() if now - report.received_at < lifetime)
         return sum(report.counts[tenant] for report in fresh)
 
-    def peer_requests_of_all(
+    def extrapolated_peer_requests(
         self, tenant: int, now: int, lifetime: int, peers: int, reporting: float
     ) -> float:
         """The same of all peers, where no more than so many of them report within `lifetime`."""
--- a/query_gateway/model/learning.py
+++ b/query_gateway/model/learning.py
@@ -25,8 +25,8 @@
     min_log_slowdown: float  # bounds of one sample
     max_log_slowdown: float
     max_class_slowdown: float  # bound of one sample in the mean of its class
-    full_threads: float  # reported threads for each core that fill an engine
-    full_load: float  # busy share of the cores up to which run times are uncontended
+    full_threads_per_core: float  # reported threads for each core that fill an engine
+    max_uncontended_load: float  # busy share of the cores up to which run times are uncontended
 
     def record_load_report(
         self, state: SchedulerState, engine: EngineState, report: tuple[float, ...]
@@ -41,7 +41,7 @@
     def reported_load(self, state: SchedulerState, engine: EngineState, report: dict[str, float]) -> float:
         """What is in use of an engine, 1 when that is all of it, from whatever it reports."""
         queries = report.get("active", 0.0)
-        threads = queries * state.classes.threads_per_query / engine.cores / self.full_threads
+        threads = queries * state.classes.threads_per_query / engine.cores / self.full_threads_per_core
         return max(threads, *(report.get(name, 0.0) for name in ("cpu", "x0", "x1")))
 
     def learn_from_answer(
@@ -59,7 +59,7 @@
         request_class = query.request_class
         # Where no answer has the true work, run times on engines that are not full stand in for it: otherwise
         # estimates that are too low for all of a class would show as slowdown, and its engines as saturated
-        infers_work = engine.snapshot.load <= self.full_load
+        infers_work = engine.snapshot.load <= self.max_uncontended_load
         uncontended = not is_saturated or request_class.work.count < self.learned_samples
         slowdown = self._learn_class(query, outcome, infers_work, uncontended)
         self.record_slowdown(state, engine, request_class, slowdown)
@@ -140,9 +140,9 @@
         fleet, snapshot, now = state.fleet, state.fleet.snapshot, state.now
         in_use, samples = state.workload.threads_in_use.total(), fleet.slowdown_samples
         past = math.exp(-elapsed / self.load_decay_ns)
-        fleet.usual_threads = in_use + past * (fleet.usual_threads - in_use)
+        fleet.mean_threads_in_use = in_use + past * (fleet.mean_threads_in_use - in_use)
         # Without load reports, the other gateways are taken to have as many threads in use as this one
-        prior = state.settings.instance_count * fleet.usual_threads / snapshot.cores
+        prior = state.settings.instance_count * fleet.mean_threads_in_use / snapshot.cores
         snapshot.load = fleet.load_reports.mean(now, self.load_decay_ns, prior, self.prior_samples)
         answers = max(1.0, samples.weight_at(now, self.slowdown_decay_ns))
         snapshot.answer_interval = len(snapshot.up) * self.slowdown_decay_ns / answers
--- a/query_gateway/planner/learned_state.py
+++ b/query_gateway/planner/learned_state.py
@@ -91,7 +91,7 @@
     """All that was learned of classes and engines that this process has, checked."""
 
     lag_ratio: float
-    usual_threads: float
+    mean_threads_in_use: float
     slowdown_samples: DecayedAverage
     costs: CostTotals
     classes: list[LearnedClass]
@@ -100,7 +100,7 @@
     def restore(self, state: SchedulerState) -> None:
         """Put all of it into a scheduler's state."""
         state.controller.lag_ratio, state.controller.costs = self.lag_ratio, self.costs
-        state.fleet.usual_threads = self.usual_threads
+        state.fleet.mean_threads_in_use = self.mean_threads_in_use
         state.fleet.slowdown_samples = self.slowdown_samples
         for request_class in self.classes:
             request_class.restore()
@@ -145,7 +145,7 @@
             "lag": controller.lag_ratio,
             "paces": self._average(fleet.slowdown_samples),
             "costs": [self._average(cost) for cost in costs],
-            "usual": fleet.usual_threads,
+            "usual": fleet.mean_threads_in_use,
             "classes": {name: self._class(state.classes[index]) for name, index in class_indexes.items()},
             "engines": {engine.info.name: self._engine(engine) for engine in fleet.snapshot.up[:MAX_ENGINES]},
         }
@@ -190,7 +190,7 @@
             raise LearnedStateError(f"{len(costs)} costs or lag ratio {lag_ratio} out of range")
         return LearnedState(
             lag_ratio=lag_ratio,
-            usual_threads=_number(raw["usual"]),
+            mean_threads_in_use=_number(raw["usual"]),
             slowdown_samples=self._average(raw["paces"]),
             costs=CostTotals(*costs),
             classes=[
--- a/query_gateway/planner/planner.py
+++ b/query_gateway/planner/planner.py
@@ -27,7 +27,7 @@
         self.scheduler = Scheduler(settings, seed)
         self.pending_events: list[Event] = []
         self.now = 0  # clock time of the last decision
-        self.incarnation = 0  # counts the restarts
+        self.restart_count = 0  # counts the restarts
 
     def notify(self, event: Event) -> None:
         """Queue an event for the next decision."""
@@ -56,11 +56,11 @@
         return self.scheduler.ejected_endpoints(self.clock())
 
     def _set_timer(self, timer: SetTimer) -> None:
-        incarnation = self.incarnation
+        restart_count = self.restart_count
 
         def on_due() -> None:
             """Notify the instance that set the timer, unless it has been replaced."""
-            if incarnation == self.incarnation:
+            if restart_count == self.restart_count:
                 self.notify(TimerFired(timer.context))
 
         self.call_at(self.now + timer.delay, on_due)
@@ -70,7 +70,7 @@
 
         The new one has learned nothing; the caller notifies it of the endpoints.
         """
-        self.incarnation += 1
+        self.restart_count += 1
         self.seed += 1
         self.scheduler = Scheduler(self.settings, self.seed)
         self.pending_events = []
--- a/query_gateway/planner/process.py
+++ b/query_gateway/planner/process.py
@@ -85,7 +85,7 @@
             return
         if isinstance(event, Request):
             self.open_requests[event.request_id] = OpenRequest()
-            self.process.owners[event.request_id] = self
+            self.process.sessions_by_request[event.request_id] = self
             if event.key:
                 self.process.arrival_merge.add(self, event, self.process.sessions - {self})
                 return
@@ -116,7 +116,7 @@
     def forget(self, request_id: int) -> None:
         """Drop a request that has ended."""
         self.open_requests.pop(request_id, None)
-        self.process.owners.pop(request_id, None)
+        self.process.sessions_by_request.pop(request_id, None)
 
     def query_arrivals(self, request: Request) -> None:
         """Have the forwarder reply once it has passed on all that came before another one's request."""
@@ -140,7 +140,7 @@
         """Listen at `address`; raises OSError if that is not possible. `run` or the caller runs the loop."""
         self.loop = Loop()
         self.planner = Planner(settings, seed, steady_now_ns, self._call_at)
-        self.owners: dict[int, PlannerSession] = {}  # by request id
+        self.sessions_by_request: dict[int, PlannerSession] = {}  # by request id
         self.sessions: set[PlannerSession] = set()
         self.arrival_merge = ArrivalMerge[PlannerSession](
             lambda session, request: session.query_arrivals(request), self.planner.notify
@@ -217,7 +217,7 @@
 
     def _send_action(self, action: Action) -> None:
         """Send an action to the forwarder of its request; if that has disconnected, drop it."""
-        if isinstance(action, RequestAction) and (session := self.owners.get(action.request_id)):
+        if isinstance(action, RequestAction) and (session := self.sessions_by_request.get(action.request_id)):
             session.send_action(action)
 
     def run(self) -> None:
--- a/query_gateway/policy/fleet_estimator.py
+++ b/query_gateway/policy/fleet_estimator.py
@@ -20,6 +20,6 @@
     min_log_slowdown=-1.2,  # so that one run that is far off counts little
     max_log_slowdown=1.6,
     max_class_slowdown=20.0,
-    full_threads=1.6,  # some of them wait for reads
-    full_load=SATURATED_LOAD,
+    full_threads_per_core=1.6,  # some of them wait for reads
+    max_uncontended_load=SATURATED_LOAD,
 )
--- a/query_gateway/policy/progress_review.py
+++ b/query_gateway/policy/progress_review.py
@@ -102,7 +102,7 @@
     error = query.request_class.run_time_error
     if attempt.progress or (state.settings.progress_interval and error.count < enough):
         return False
-    log_spread = error.spread(PRIOR_LOG_SPREAD, enough)
+    log_spread = error.standard_deviation(PRIOR_LOG_SPREAD, enough)
     slower = max(0.0, attempt.engine.snapshot.slowdown - state.fleet.snapshot.slowdown)
     longest = query.run_time * math.exp(OVERDUE_DEVIATIONS * log_spread + slower)
     return state.now - attempt.sent_at > longest + state.settings.extra_run_time
--- a/query_gateway/policy/saturation.py
+++ b/query_gateway/policy/saturation.py
@@ -34,7 +34,7 @@
     loaded = fleet.load_reports.weight > 0 and snapshot.load > SATURATED_LOAD
     snapshot.saturated = snapshot.slowdown > math.log(SATURATED_SLOWDOWN) or loaded
     peers = state.settings.instance_count - 1
-    threads_of_peers = peers * fleet.usual_threads * engine.cores / fleet.snapshot.cores
+    threads_of_peers = peers * fleet.mean_threads_in_use * engine.cores / fleet.snapshot.cores
     snapshot.saturation_threads = (
         SATURATED_THREADS * engine.cores + allowance(peers * engine.cores) - threads_of_peers
     )
--- a/query_gateway/policy/start_times.py
+++ b/query_gateway/policy/start_times.py
@@ -22,7 +22,9 @@
 QUEUED_LIFETIME_NS: Final = MS // 5  # for each query queued: how long a sum over the queue is kept
 FORECAST_LIFETIME_NS: Final = MS // 5  # for each attempt in flight: how long their order is kept
 # Little progress predicts little; a run that is over 0.7 of the expected time has half its age to go
-REMAINING_TIME: Final = RemainingTimeEstimator(trusted_progress=0.02, mostly_done=0.7, overrun=0.5)
+REMAINING_TIME: Final = RemainingTimeEstimator(
+    trusted_progress=0.02, extrapolation_start=0.7, extrapolation_ratio=0.5
+)
 
 
 def start_delay(state: SchedulerState, engine: EngineState, query: QueryState) -> float:
--- a/query_gateway/policy/tenants.py
+++ b/query_gateway/policy/tenants.py
@@ -46,7 +46,7 @@
         return 1 / state.settings.instance_count
     peers, now, traffic = state.settings.instance_count - 1, state.now, state.tenants.traffic
     reporting = GOSSIP_FANOUT * GOSSIP_LIFETIME_NS / GOSSIP_PERIOD_NS
-    peer_requests = traffic.peer_requests_of_all(tenant, now, GOSSIP_LIFETIME_NS, peers, reporting)
+    peer_requests = traffic.extrapolated_peer_requests(tenant, now, GOSSIP_LIFETIME_NS, peers, reporting)
     own_requests = max(1.0, traffic.local_requests(tenant, now, GOSSIP_LIFETIME_NS, _observed_time(state)))
     return own_requests / (own_requests + peer_requests)
 
--- a/tests/test_bad_input.py
+++ b/tests/test_bad_input.py
@@ -74,7 +74,7 @@
         gateway.loop.call_at(gateway.loop.now(), lambda: None)
         gateway.loop.turn()
     gateway.loop.close()
-    return gateway.planner.incarnation == 0 and gateway.loop.faults == 0
+    return gateway.planner.restart_count == 0 and gateway.loop.faults == 0
 
 
 def test_a_malformed_configuration_is_rejected_or_works() -> None:
--- a/tests/test_local.py
+++ b/tests/test_local.py
@@ -128,7 +128,7 @@
         thread.start()
         until(lambda: connected_planners(gateway) == [True])
         assert post(gateway, "load", LOAD)[1] == {"rows": ROWS}
-        until(lambda: not first.owners)  # what is answered is forgotten there
+        until(lambda: not first.sessions_by_request)  # what is answered is forgotten there
         answers: list[int] = []
         waiting = threading.Thread(target=lambda: answers.append(post(gateway, "lookup", SQL)[0]))
         waiting.start()
@@ -163,13 +163,13 @@
         with socket.create_connection(gateway.http_server.listener.address) as sock:
             head = f"POST /svc/lookup HTTP/1.1\r\nHost: x\r\nX-Txn: {'a' * 16}\r\nX-Ttl-Ms: 5000\r\n"
             sock.sendall(f"{head}Content-Length: {len(SQL)}\r\n\r\n{SQL}".encode())
-            assert engine.wait("REQ") and process.owners
+            assert engine.wait("REQ") and process.sessions_by_request
             gateway.loop.stop()
             thread.join(10)
             gateway.loop.close()
         until(lambda: not process.sessions)
         module = process.planner.scheduler.state
-        until(lambda: not process.owners and not module.queries)
+        until(lambda: not process.sessions_by_request and not module.queries)
         assert not any(e.in_flight for e in module.fleet.engines.values())
     engine.close()
 
--- a/tests/test_model.py
+++ b/tests/test_model.py
@@ -42,11 +42,11 @@
 
 def test_a_running_mean_is_plain_at_first_and_its_spread_is_drawn_to_the_prior() -> None:
     mean = RunningMean()
-    assert mean.spread(0.7, 20) == pytest.approx(0.7)
+    assert mean.standard_deviation(0.7, 20) == pytest.approx(0.7)
     for sample in (1.0, 3.0):
         mean.add(sample, 0.01)
     assert (mean.value, mean.variance, mean.count) == (2.0, 1.0, 2)
-    assert mean.spread(0.0, 2) == pytest.approx(0.5)
+    assert mean.standard_deviation(0.0, 2) == pytest.approx(0.5)
 
 
 def test_a_decayed_average_loses_weight_with_time_and_returns_to_the_prior() -> None:
@@ -149,7 +149,7 @@
     assert not traffic.reports
     traffic.record_report(1, "5", NOW)
     assert traffic.peer_requests(0, NOW, SEC) == 5 and traffic.peer_requests(0, NOW + SEC, SEC) == 0
-    assert traffic.peer_requests_of_all(0, NOW, SEC, 10, 2.0) == 25
+    assert traffic.extrapolated_peer_requests(0, NOW, SEC, 10, 2.0) == 25
     traffic.counts[0].add(1.0, NOW, SEC)
     assert traffic.local_requests(0, NOW, SEC, SEC) == pytest.approx(1 / (1 - math.exp(-1)))
     assert traffic.message(NOW, SEC, SEC) == "2"
@@ -163,7 +163,9 @@
 
 
 def test_remaining_time_follows_progress_or_else_age() -> None:
-    estimator = RemainingTimeEstimator(trusted_progress=0.1, mostly_done=0.5, overrun=0.25)
+    estimator = RemainingTimeEstimator(
+        trusted_progress=0.1, extrapolation_start=0.5, extrapolation_ratio=0.25
+    )
     attempt = AttemptState(query(1), 0, EngineState(engine("a"), 8, 0.0), NOW, NOW, False)
     assert estimator.remaining_time(attempt, NOW + 400 * MS) == 600 * MS
     assert estimator.remaining_time(attempt, NOW + 2 * SEC) == 500 * MS
--- a/tests/test_race_abandoned_requests.py
+++ b/tests/test_race_abandoned_requests.py
@@ -89,7 +89,7 @@
             until(lambda: gateway.forwarder.open_request_count)
             abandon_request(gateway, client)
         assert post(gateway, "lookup", SQL, ttl=600_000)[1] == {"rows": ROWS}
-        until(lambda: not planner_process.owners)
+        until(lambda: not planner_process.sessions_by_request)
     assert engine.statements == [SQL]
     engine.close()
 
--- a/tests/test_race_engine_connections.py
+++ b/tests/test_race_engine_connections.py
@@ -94,7 +94,7 @@
         gateway.loop.call_soon(lambda: gateway.loop.turn_hooks.insert(0, announce_drain))
         assert post(gateway, "lookup", SQL, ttl=600_000)[1] == {"rows": ROWS}
         planner_state = planner_process.planner.scheduler.state
-        until(lambda: not planner_process.owners and not planner_state.queries)
+        until(lambda: not planner_process.sessions_by_request and not planner_state.queries)
         assert announced and not any(
             engine_state.in_flight for engine_state in planner_state.fleet.engines.values()
         )
--- a/tests/test_upgrade_compatibility.py
+++ b/tests/test_upgrade_compatibility.py
@@ -160,7 +160,7 @@
             request_class = scheduler.state.classes[gateway.config.classes[name].index]
             value, _, count = before["learned"]["classes"][name]["work"]
             assert request_class.work.value == value and request_class.work.count == count == counts
-        assert scheduler.state.fleet.usual_threads == before["learned"]["usual"]
+        assert scheduler.state.fleet.mean_threads_in_use == before["learned"]["usual"]
         assert scheduler.state.controller.lag_ratio == before["learned"]["lag"]
         assert scheduler.state.fleet.engines["e0"].warm_table_groups == [7.0]
         assert gateway.statements
--- a/tests/test_web.py
+++ b/tests/test_web.py
@@ -211,7 +211,7 @@
 
         gate.loop.call_soon(break_it)
         waiting.join(10)
-        assert answers == [429] and gate.planner.incarnation == 1
+        assert answers == [429] and gate.planner.restart_count == 1
         assert post(gate, "lookup", "SELECT b FROM lending_8.loans")[0] == 200
 
 
