--- a/query_gateway/model/__init__.py
+++ b/query_gateway/model/__init__.py
@@ -1,5 +1,5 @@
-"""Types of the decision module: events, actions, settings, and the records and estimators that it works on.
+"""Data types of the decision module: events, actions, settings, state records and estimators.
 
-Nothing is decided here: weights, limits and decay times come in as arguments. This package imports the
-standard library alone. `policy`, the forwarder and the planner use its messages.
+Makes no decisions: weights, limits and decay times are passed in as arguments. Depends only on the standard
+library. `policy`, the forwarder and the planner exchange its events and actions.
 """
--- a/query_gateway/model/actions.py
+++ b/query_gateway/model/actions.py
@@ -1,22 +1,22 @@
-"""Actions: what the scheduler has others do. Durations are in nanoseconds."""
+"""Actions that the scheduler requests from its host. Durations are in nanoseconds."""
 
 from dataclasses import dataclass, field
 from enum import Enum
 
 
 class EndReason(Enum):
-    """Why a planner ends a request; the values stand in the trace, and nothing else depends on them."""
+    """Why a planner ends a request. The values are written to the trace only."""
 
     UNKNOWN = "unknown"
-    LATE = "late"  # it could only be answered after its objective
-    CLIENT_TIMEOUT = "client-timeout"  # its client is about to give up
-    TOO_MANY_QUEUED = "too-many-queued"  # the queue would keep new clients out
-    OVER_QUOTA = "over-quota"  # it is beyond its tenant's quota, and the engine is saturated
-    ENDANGERS_OTHERS = "endangers-others"  # it would make more priority weight behind it late than its own
+    LATE = "late"  # it cannot be answered before it is due
+    CLIENT_TIMEOUT = "client-timeout"  # its client is about to time out
+    TOO_MANY_QUEUED = "too-many-queued"  # the queue would take the connections that new clients need
+    OVER_QUOTA = "over-quota"  # its tenant is over quota and the engine is saturated
+    ENDANGERS_OTHERS = "endangers-others"  # it would make queries of more priority weight than its own late
     NO_FURTHER_ATTEMPT = (
-        "no-further-attempt"  # the last one failed, and another is not allowed or not in time
+        "no-further-attempt"  # the last attempt failed, and a retry is not allowed or would be late
     )
-    ATTEMPT_LOST = "attempt-lost"  # the attempt is lost, overdue or hopeless
+    ATTEMPT_LOST = "attempt-lost"  # the attempt is lost, overdue or cannot succeed
 
 
 @dataclass(slots=True, frozen=True)
@@ -25,21 +25,21 @@
 
     request_id: int
     endpoint: str
-    timeout: int  # nanoseconds; 0: until the client gives up
+    timeout: int  # nanoseconds; 0: until the client times out
 
 
 @dataclass(slots=True, frozen=True)
 class Reject:
-    """Answer a request at once: it did not run, or its client may repeat it."""
+    """Reject a request immediately: it did not run, or the client may safely repeat it."""
 
     request_id: int
-    retry_after: int  # nanoseconds for which the client keeps away; 0: it may come back at once
+    retry_after: int  # nanoseconds before the client may retry; 0: it may retry immediately
     reason: EndReason = field(default=EndReason.UNKNOWN, compare=False)
 
 
 @dataclass(slots=True, frozen=True)
 class Fail:
-    """Answer a request at once: it may have run."""
+    """Fail a request immediately: it may have run."""
 
     request_id: int
     reason: EndReason = field(default=EndReason.UNKNOWN, compare=False)
@@ -47,7 +47,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Cancel:
-    """Stop an attempt in flight."""
+    """Cancel an attempt in flight."""
 
     request_id: int
     attempt_number: int
@@ -55,31 +55,31 @@
 
 @dataclass(slots=True, frozen=True)
 class SetTerms:
-    """Set what an attempt runs on; it precedes its `Forward`, or changes the priority of one in flight."""
+    """Set the memory grant and priority of the next `Forward`, or the priority of an attempt in flight."""
 
     request_id: int
-    memory_mb: float  # 0: no grant, or as it was
+    memory_mb: float  # 0: no grant, or unchanged
     priority: int  # 0 is the lowest
 
 
 @dataclass(slots=True, frozen=True)
 class SetTimer:
-    """Send a `TimerFired` after a delay."""
+    """Deliver a `TimerFired` after a delay."""
 
     delay: int  # nanoseconds
-    context: int  # comes back with `TimerFired`
+    context: int  # passed back in `TimerFired`
 
 
 @dataclass(slots=True, frozen=True)
 class HealthCheck:
-    """Check an endpoint."""
+    """Run a health check on an endpoint."""
 
     endpoint: str
 
 
 @dataclass(slots=True, frozen=True)
 class WatchEndpoints:
-    """Watch the endpoint list, or stop that."""
+    """Start or stop watching the endpoint list."""
 
     enabled: bool
 
@@ -91,7 +91,7 @@
 
 @dataclass(slots=True, frozen=True)
 class SendGossip:
-    """A short message to one peer, by its number, or to every one."""
+    """Send a gossip message to one peer, by its index, or to all peers."""
 
     data: str
     peer: int | None = None
@@ -99,7 +99,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Log:
-    """A line for the log."""
+    """Write a line to the log."""
 
     text: str
 
--- a/query_gateway/model/averages.py
+++ b/query_gateway/model/averages.py
@@ -1,4 +1,4 @@
-"""Estimators: a running mean and an average whose samples decay with time."""
+"""Estimators: a running mean, and an average whose samples decay exponentially with time."""
 
 import math
 from dataclasses import dataclass
@@ -6,29 +6,29 @@
 
 @dataclass(slots=True)
 class RunningMean:
-    """A running mean and variance: plain at first, decaying with each sample later."""
+    """A running mean and variance: unweighted at first, exponentially weighted per sample later."""
 
     value: float = 0.0
     variance: float = 0.0
     count: int = 0
 
     def add(self, sample: float, weight: float) -> None:
-        """Add a sample; its weight is at least `weight`, and that of a plain mean while this is more."""
+        """Add a sample with the larger of `weight` and `1 / count`, its weight in an unweighted mean."""
         self.count += 1
-        share = max(weight, 1 / self.count)
+        sample_weight = max(weight, 1 / self.count)
         difference = sample - self.value
-        self.value += share * difference
-        self.variance += share * (difference * difference * (1 - share) - self.variance)
+        self.value += sample_weight * difference
+        self.variance += sample_weight * (difference * difference * (1 - sample_weight) - self.variance)
 
     def standard_deviation(self, prior: float, prior_samples: int) -> float:
-        """The standard deviation, drawn to a prior one that counts as so many samples."""
-        trust = self.count / (self.count + prior_samples)
-        return prior + trust * (math.sqrt(self.variance) - prior)
+        """The standard deviation, shrunk towards a prior that counts as `prior_samples` samples."""
+        sample_weight = self.count / (self.count + prior_samples)
+        return prior + sample_weight * (math.sqrt(self.variance) - prior)
 
 
 @dataclass(slots=True)
 class DecayedAverage:
-    """An average whose samples lose weight with time, by `exp(-age / decay)`. Times are nanoseconds."""
+    """An average that weights each sample by `exp(-age / decay)`. Times are in nanoseconds."""
 
     total: float = 0.0
     weight: float = 0.0
@@ -40,10 +40,10 @@
         self.total, self.weight, self.updated_at = self.total * factor + sample, self.weight * factor + 1, now
 
     def weight_at(self, now: int, decay: float) -> float:
-        """Weight of all samples at a clock time: about how many fall within `decay`."""
+        """Total weight of the samples at a clock time: about the number of samples within `decay`."""
         return self.weight * math.exp(-(now - self.updated_at) / decay)
 
     def mean(self, now: int, decay: float, prior: float, prior_weight: float) -> float:
-        """The average at a clock time, drawn to a prior one of so much weight."""
+        """The average at a clock time, shrunk towards a prior of weight `prior_weight`."""
         factor = math.exp(-(now - self.updated_at) / decay)
         return (self.total * factor + prior * prior_weight) / (self.weight * factor + prior_weight)
--- a/query_gateway/model/budgets.py
+++ b/query_gateway/model/budgets.py
@@ -1,4 +1,4 @@
-"""Budgets of tenants and of retries; the rates and limits come in as arguments."""
+"""Token buckets for tenant quotas and the retry budget. Rates and limits are passed in as arguments."""
 
 from collections import deque
 from dataclasses import dataclass, field
@@ -8,13 +8,13 @@
 
 @dataclass(slots=True)
 class TokenBucket:
-    """Tokens that refill with time; a bucket that was never used is full."""
+    """A token bucket. It starts full: the first use sets the level to the capacity."""
 
     level: float = 0.0
     updated_at: int = 0  # clock time, nanoseconds; 0: never used
 
     def take(self, rate: float, capacity: float, now: int) -> bool:
-        """Take one token, at `rate` tokens a second up to `capacity`; False if less than one is left."""
+        """Take one token; False if less than one is left. Refills `rate` tokens a second up to `capacity`."""
         elapsed = now - self.updated_at
         self.level = min(capacity, self.level + rate * elapsed / SEC) if self.updated_at else capacity
         self.updated_at = now
@@ -26,13 +26,13 @@
 
 @dataclass(slots=True)
 class RetryBudget:
-    """Requests and retries within a sliding window, as clock times in nanoseconds."""
+    """Clock times (nanoseconds) of the requests and retries within a sliding window."""
 
     requests: deque[int] = field(default_factory=deque)
     retries: deque[int] = field(default_factory=deque)
 
     def forget_before(self, window_start: int) -> None:
-        """Forget what came at the start of the window or earlier."""
+        """Remove the entries at or before `window_start`."""
         for times in (self.requests, self.retries):
             while times and times[0] <= window_start:
                 times.popleft()
--- a/query_gateway/model/costs.py
+++ b/query_gateway/model/costs.py
@@ -1,4 +1,4 @@
-"""The costs that the controller of the lag ratio compares: the weight of rejections and of late answers."""
+"""Costs that the lag ratio controller compares: priority weight lost to rejections and to late answers."""
 
 from dataclasses import dataclass, field
 
@@ -7,7 +7,7 @@
 
 @dataclass(slots=True, frozen=True)
 class CostShares:
-    """Shares of the priority weight requested."""
+    """Rejected and late weight, as shares of the priority weight requested."""
 
     rejected: float
     late: float
@@ -15,20 +15,20 @@
 
 @dataclass(slots=True)
 class CostTotals:
-    """Decayed sums of priority weight, all of the same age."""
+    """Decayed sums of priority weight, all updated at the same time."""
 
     requested: DecayedAverage = field(default_factory=DecayedAverage)
     rejected: DecayedAverage = field(default_factory=DecayedAverage)
     late: DecayedAverage = field(default_factory=DecayedAverage)
 
     def add(self, requested: float, rejected: float, late: float, now: int, decay: int) -> None:
-        """Add weights at a clock time; `decay` and the time are nanoseconds."""
+        """Add weights at clock time `now`; `now` and `decay` are in nanoseconds."""
         self.requested.add(requested, now, decay)
         self.rejected.add(rejected, now, decay)
         self.late.add(late, now, decay)
 
     def shares(self) -> CostShares:
-        """The shares of the weight requested that were rejected and that came late."""
+        """The shares of the requested weight that were rejected and answered late."""
         if self.requested.total <= 0:
             return CostShares(0.0, 0.0)
         requested = self.requested.total
--- a/query_gateway/model/endpoints.py
+++ b/query_gateway/model/endpoints.py
@@ -1,11 +1,11 @@
-"""Entries and updates of the endpoint list. Times are clock times in nanoseconds."""
+"""Entries and update kinds of the endpoint list. Times are clock times in nanoseconds."""
 
 from dataclasses import dataclass
 from enum import Enum
 
 
 class EndpointState(Enum):
-    """Whether an endpoint takes queries. The values stand in the messages to planner processes."""
+    """Whether an endpoint accepts queries. The values are written on the IPC."""
 
     UP = "up"
     DRAINING = "draining"
@@ -13,7 +13,7 @@
 
 
 class EndpointUpdateKind(Enum):
-    """What an update of the list holds. The values stand in the messages to planner processes."""
+    """What an update of the endpoint list contains. The values are written on the IPC."""
 
     DELTA = "changes"
     SNAPSHOT = "full"
@@ -23,12 +23,12 @@
 
 @dataclass(slots=True, frozen=True)
 class EndpointInfo:
-    """One endpoint of the list."""
+    """One entry of the endpoint list."""
 
     name: str
     state: EndpointState
     zone: int
-    kind: int  # index into the sizes of `Settings`
-    group: int  # deduplication cell
-    started_at: int  # clock time, nanoseconds; 0: not known
+    kind: int  # index into the lists by kind of `Settings`
+    group: int  # the cell in which idempotency keys are deduplicated
+    started_at: int  # clock time, nanoseconds; 0: unknown
     size: float  # relative to others of its kind
--- a/query_gateway/model/estimates.py
+++ b/query_gateway/model/estimates.py
@@ -1,4 +1,4 @@
-"""Estimates of when attempts in flight end."""
+"""Estimates the completion times of attempts in flight."""
 
 import math
 from collections.abc import Iterable
@@ -10,14 +10,14 @@
 
 @dataclass(slots=True, frozen=True)
 class RemainingTimeEstimator:
-    """Estimates the remaining time of an attempt from its last progress note or from its age."""
+    """Estimates the remaining time of an attempt from its progress, if far enough, or else from its age."""
 
-    trusted_progress: float  # share of the work from which progress predicts the end
-    extrapolation_start: float  # share of the expected run time up to which the difference remains
-    extrapolation_ratio: float  # beyond that, this share of its age remains
+    trusted_progress: float  # share of the work done beyond which progress predicts the end
+    extrapolation_start: float  # age, as a share of the expected run time, from which age predicts the rest
+    extrapolation_ratio: float  # remaining time as a share of the age, from there on
 
     def remaining_time(self, attempt: AttemptState, now: int) -> float:
-        """Nanoseconds until an attempt should end."""
+        """Expected nanoseconds until an attempt ends."""
         age, run_time = now - attempt.sent_at, attempt.query.run_time
         if attempt.progress > self.trusted_progress:
             return max(0.0, (attempt.progress_at - attempt.sent_at) / attempt.progress - age)
@@ -26,7 +26,7 @@
     def forecast(
         self, engines: Iterable[EngineState], is_long: bool, now: int, lifetime: int
     ) -> CompletionForecast:
-        """Forecast the ends of attempts of long or of short classes; valid for `lifetime` ns for each."""
+        """Forecast when attempts of long or short classes end; valid for `lifetime` ns per attempt."""
         ends = [
             ExpectedEnd(self.remaining_time(attempt, now), attempt.query.request_class.settings.threads)
             for engine in engines
@@ -36,7 +36,7 @@
         return forecast_completions(ends, now, now + 1 + lifetime * len(ends))
 
     def lock_wait(self, engine: EngineState, query: QueryState, now: int) -> float:
-        """Nanoseconds until other loads of a query's tables that this gateway sent there should end."""
+        """Expected nanoseconds until this gateway's other loads of the query's table group end there."""
         if query.request.table_group is None:
             return 0.0
         return math.fsum(
--- a/query_gateway/model/events.py
+++ b/query_gateway/model/events.py
@@ -1,4 +1,4 @@
-"""The events that a scheduler takes in. Times and durations are in nanoseconds."""
+"""Events that a scheduler handles. Times and durations are in nanoseconds."""
 
 from dataclasses import dataclass
 from enum import Enum
@@ -6,7 +6,7 @@
 from query_gateway.model.endpoints import EndpointInfo, EndpointUpdateKind
 from query_gateway.model.settings import Settings
 
-LAST_ATTEMPT = -1  # an attempt number: the last attempt sent, where the exchange that counted them has ended
+LAST_ATTEMPT = -1  # attempt number of the last attempt sent, if the exchange that counted them has ended
 
 
 class OutcomeCode(Enum):
@@ -19,7 +19,7 @@
     CONNECT_FAILED = "connect_failed"
     RESET = "reset"
     CANCELLED = "cancelled"
-    NOT_SENT = "moot"  # the word for it in the trace; also of one that its engine declined as over already
+    NOT_SENT = "moot"  # "moot" in the trace; also if the engine declined it as already over
 
 
 class ProgressKind(Enum):
@@ -32,7 +32,7 @@
 
 @dataclass(slots=True, frozen=True)
 class EndpointUpdate:
-    """The endpoint list, or what has changed in it."""
+    """A snapshot or a delta of the endpoint list."""
 
     kind: EndpointUpdateKind
     endpoints: tuple[EndpointInfo, ...]
@@ -40,31 +40,31 @@
 
 @dataclass(slots=True, frozen=True)
 class Request:
-    """A client has sent a query."""
+    """A client has sent a request."""
 
     request_id: int
     class_index: int
-    deadline: int  # clock time: when the answer must have left, the way back to the client taken off
+    deadline: int  # clock time by which the answer must be sent; excludes the transfer to the client
     tenant: int
     table_group: float | None
     key: str | None
-    estimated_work: int | None  # processor time in nanoseconds over all threads
+    estimated_work: int | None  # processor time over all threads, nanoseconds
     estimated_memory_mb: float
-    is_retry: bool  # marked by the client
-    received_at: int = 0  # clock time when it had come, of one with a key; 0: not known
+    is_retry: bool  # as marked by the client
+    received_at: int = 0  # clock time of arrival, of a request with a key; 0: unknown
 
 
 @dataclass(slots=True, frozen=True)
 class SettingsUpdate:
-    """New settings from here on; what is open keeps the rules that it came under."""
+    """New settings take effect; open requests keep the settings under which they arrived."""
 
     settings: Settings
-    new_classes: tuple[int, ...]  # numbers that stand for a class not known before
+    new_classes: tuple[int, ...]  # indexes that now denote a class without learned state
 
 
 @dataclass(slots=True, frozen=True)
 class AttemptStarted:
-    """A streamed answer has begun: no other attempt can serve the request from here on."""
+    """A streamed answer has started: no other attempt can serve the request any more."""
 
     request_id: int
     attempt_number: int
@@ -76,37 +76,37 @@
     """An attempt has ended."""
 
     request_id: int
-    final: bool  # the client has its answer
+    final: bool  # the client has been answered
     code: OutcomeCode
     duration: int  # nanoseconds
     attempt_number: int
     endpoint: str
-    work: int | None  # true work in nanoseconds over all threads, where reported
-    memory_mb: float | None  # true memory, where reported
+    work: int | None  # measured work in nanoseconds over all threads, if reported
+    memory_mb: float | None  # measured memory, if reported
     load_report: tuple[float, ...]  # in the order of `Settings.load_report_fields`
 
 
 @dataclass(slots=True, frozen=True)
 class ProgressNote:
-    """An engine reports the progress of an attempt in flight."""
+    """An engine has reported the progress of an attempt in flight."""
 
     request_id: int
     attempt_number: int
     endpoint: str
     kind: ProgressKind
-    level: float  # share of the work done, or MB that spilled
+    level: float  # share of the work done, or MB spilled
 
 
 @dataclass(slots=True, frozen=True)
 class RequestAbandoned:
-    """The client of a request has left."""
+    """The client of a request no longer waits for its answer."""
 
     request_id: int
 
 
 @dataclass(slots=True, frozen=True)
 class TimerFired:
-    """The delay of a `SetTimer` is over."""
+    """The delay of a `SetTimer` has elapsed."""
 
     context: int
 
@@ -123,7 +123,7 @@
 
 @dataclass(slots=True, frozen=True)
 class GossipMessage:
-    """A message of another gateway."""
+    """A gossip message from another gateway."""
 
     sender: int
     data: str
--- a/query_gateway/model/forecasts.py
+++ b/query_gateway/model/forecasts.py
@@ -1,4 +1,4 @@
-"""Forecasts over attempts in flight and over queued queries, each built once and good for a short time."""
+"""Forecasts over attempts in flight and queued queries. Each is built once and reused for a short time."""
 
 from bisect import bisect_left
 from dataclasses import dataclass
@@ -7,21 +7,21 @@
 
 
 class QueuePlace(NamedTuple):
-    """The place of a query in a queue: by earliest deadline, then by the number of its request."""
+    """The sort key of a query in a queue: earliest deadline first, then request id."""
 
     due_at: int  # clock time, nanoseconds
     request_id: int
 
 
 class ExpectedEnd(NamedTuple):
-    """When an attempt in flight should end, and the threads that it frees."""
+    """The expected end of an attempt in flight and the number of threads that it frees."""
 
     remaining_time: float  # nanoseconds
     threads: int
 
 
 class QueuedThreads(NamedTuple):
-    """The threads of one queued query."""
+    """The thread count of one queued query and its place in the queue."""
 
     place: QueuePlace
     threads: int
@@ -30,19 +30,20 @@
 
 @dataclass(slots=True)
 class CompletionForecast:
-    """When the attempts in flight should end, in that order, with the threads that are free by then."""
+    """Expected end times of the attempts in flight, ascending, and the threads freed by each."""
 
     valid_until: int  # clock time, nanoseconds
     completes_at: list[int]  # clock times, nanoseconds, ascending
-    freed_threads: list[int]  # threads free by each of these times, as a running sum
+    freed_threads: list[int]  # running sum of the threads freed by each of these times
 
     def time_until_free(
         self, needed: float, threads_in_use: int, limit: float, run_time: float, now: int
     ) -> float:
-        """Nanoseconds until `needed` threads more than the limit allows now have ended.
+        """Nanoseconds until enough attempts have ended to free `needed` threads.
 
-        `threads_in_use` is the number now: what began or ended since the forecast moves the index by it.
-        Beyond the last known end, `run_time` (nanoseconds) is taken for each `limit` threads.
+        `threads_in_use` is the current number; it offsets the index by the threads that started or ended
+        since the forecast was built. Beyond the last known end, each further `limit` threads are assumed to
+        take `run_time` nanoseconds.
         """
         if not self.completes_at:
             return max(0.0, needed) / max(1.0, limit) * run_time
@@ -54,7 +55,7 @@
 
 
 def forecast_completions(ends: list[ExpectedEnd], now: int, valid_until: int) -> CompletionForecast:
-    """Build a forecast from the expected end of each attempt."""
+    """Build a forecast from the expected ends of the attempts."""
     ordered = sorted(ends)
     freed = list(accumulate(threads for _, threads in ordered))
     return CompletionForecast(valid_until, [now + int(time) for time, _ in ordered], freed)
@@ -62,21 +63,21 @@
 
 @dataclass(slots=True)
 class QueuedThreadIndex:
-    """Threads queued before each place of a long queue, of short and of long classes."""
+    """Prefix sums of the threads of short and of long classes in a long queue."""
 
     valid_until: int  # clock time, nanoseconds
     places: list[QueuePlace]  # ascending
-    short_threads: list[int]  # running sums, from 0: one more than there are places
+    short_threads: list[int]  # prefix sums starting with 0; one entry more than `places`
     long_threads: list[int]
 
     def threads_before(self, place: QueuePlace, is_long: bool) -> int:
-        """Threads queued before a place by classes of the same length."""
+        """Threads queued before a place, of long classes or of short ones."""
         sums = self.long_threads if is_long else self.short_threads
         return sums[bisect_left(self.places, place)]
 
 
 def index_queued_threads(queued: list[QueuedThreads], valid_until: int) -> QueuedThreadIndex:
-    """Build the index from what is queued, in order."""
+    """Build the index from the queued queries, in queue order."""
     short_sum, long_sum = [0], [0]
     for _, threads, is_long in queued:
         short_sum.append(short_sum[-1] + (0 if is_long else threads))
--- a/query_gateway/model/gossip.py
+++ b/query_gateway/model/gossip.py
@@ -1,16 +1,16 @@
-"""Request counts of each tenant: those of this gateway, and those that other gateways report."""
+"""Request counts by tenant: counted by this gateway and reported by its peers."""
 
 import math
 from dataclasses import dataclass, field
 
 from query_gateway.model.averages import DecayedAverage
 
-MAX_DIGITS = 9  # of one count in a message: bounds what a peer can claim
+MAX_DIGITS = 9  # of one count in a message; bounds the value that a peer can report
 
 
 @dataclass(slots=True, frozen=True)
 class PeerReport:
-    """What one gateway reported last."""
+    """The last report of one peer."""
 
     received_at: int  # clock time, nanoseconds
     counts: list[int]  # requests by tenant
@@ -18,35 +18,35 @@
 
 @dataclass(slots=True)
 class TenantTraffic:
-    """Recent requests of each tenant here, and the last report of each peer by its number."""
+    """Recent requests of each tenant at this gateway, and the last report of each peer by its index."""
 
     counts: list[DecayedAverage] = field(default_factory=list)
     reports: dict[int, PeerReport] = field(default_factory=dict)
 
     def local_requests(self, tenant: int, now: int, lifetime: int, observed: int) -> float:
-        """Requests of a tenant here within `lifetime`, scaled up while less than that was observed."""
+        """Requests of a tenant at this gateway within `lifetime`, extrapolated if `observed` is shorter."""
         covered = 1 - math.exp(-observed / lifetime)
         return self.counts[tenant].weight_at(now, lifetime) / covered
 
     def peer_requests(self, tenant: int, now: int, lifetime: int) -> int:
-        """Requests of a tenant that peers reported within `lifetime` nanoseconds."""
+        """Requests of a tenant in the peer reports received within `lifetime` nanoseconds."""
         fresh = (report for report in self.reports.values() if now - report.received_at < lifetime)
         return sum(report.counts[tenant] for report in fresh)
 
     def extrapolated_peer_requests(
         self, tenant: int, now: int, lifetime: int, peers: int, reporting: float
     ) -> float:
-        """The same of all peers, where no more than so many of them report within `lifetime`."""
+        """Peer requests extrapolated to all peers, of which at most `reporting` report within `lifetime`."""
         return self.peer_requests(tenant, now, lifetime) * peers / max(1, min(peers, reporting))
 
     def message(self, now: int, lifetime: int, observed: int) -> str:
-        """This gateway's report: counts by tenant, separated by commas."""
+        """Encode this gateway's report: comma-separated counts by tenant."""
         tenants = range(len(self.counts))
         requests = (self.local_requests(tenant, now, lifetime, observed) for tenant in tenants)
         return ",".join(str(round(count)) for count in requests)
 
     def record_report(self, sender: int, data: str, now: int) -> None:
-        """Keep a peer's report, comma-separated counts by tenant; what is malformed is ignored."""
+        """Store a peer's report, comma-separated counts by tenant; malformed reports are ignored."""
         counts = data.split(",")
         valid = all(count.isdigit() and len(count) <= MAX_DIGITS for count in counts)
         if len(counts) == len(self.counts) and valid:
--- a/query_gateway/model/key_queues.py
+++ b/query_gateway/model/key_queues.py
@@ -1,4 +1,4 @@
-"""Per-key ordering: the queries of a key in the order of their arrival, and the keys in quarantine."""
+"""Per-key ordering: the queries of each key in arrival order, and the keys in quarantine."""
 
 from dataclasses import dataclass, field
 
@@ -7,20 +7,20 @@
 
 @dataclass(slots=True)
 class KeyQueues:
-    """A first-in, first-out queue for each key of a class whose queries run one at a time.
+    """A FIFO queue for each key of a class whose queries run one at a time per key.
 
-    `quarantined_until` keeps its entries after their end; a later quarantine of the key replaces the entry.
+    Entries of `quarantined_until` stay after they expire; the next quarantine of the key overwrites them.
     """
 
     queues: dict[str, list[QueryState]] = field(default_factory=dict)
     quarantined_until: dict[str, int] = field(default_factory=dict)  # by key: clock time, nanoseconds
 
     def add(self, key: str, query: QueryState) -> None:
-        """Put a query at the end of its key's queue."""
+        """Append a query to the queue of its key."""
         self.queues.setdefault(key, []).append(query)
 
     def remove(self, query: QueryState) -> None:
-        """Take a query out of its key's queue, if it stands in one; an empty queue goes."""
+        """Remove a query from the queue of its key, if any; an empty queue is deleted."""
         key = query.request.key
         if key in self.queues:
             self.queues[key] = [other for other in self.queues[key] if other is not query]
--- a/query_gateway/model/settings.py
+++ b/query_gateway/model/settings.py
@@ -1,13 +1,14 @@
-"""The settings of a site, as the scheduler gets them.
+"""The settings of a site, as passed to the scheduler.
 
-Times and durations are in nanoseconds unless a name says otherwise."""
+Times and durations are in nanoseconds unless a name says otherwise.
+"""
 
 from dataclasses import dataclass
 from enum import Enum
 
 
 class Idempotency(Enum):
-    """Whether a query may run more than once. The values stand in the messages to planner processes."""
+    """Whether a query may safely run more than once. The values are written on the IPC."""
 
     IDEMPOTENT = "safe"
     KEYED = "keyed"
@@ -15,7 +16,7 @@
 
 
 class DeduplicationScope(Enum):
-    """Where engines recognise an idempotency key that was seen before."""
+    """The engines among which an idempotency key is deduplicated."""
 
     ALL = "all"
     ZONE = "zone"
@@ -23,26 +24,26 @@
 
 
 class MemoryShortage(Enum):
-    """What an engine does when the memory granted passes what it has."""
+    """What an engine does when the memory granted exceeds its memory."""
 
     WAIT = "wait"  # queries wait at the engine until memory is free
-    SHRINK = "shrink"  # they run with less memory, and spill
-    PAGE = "page"  # it swaps; only memory in use counts
+    SHRINK = "shrink"  # queries run with less memory, and spill
+    PAGE = "page"  # the engine swaps; only memory in use counts
 
 
 @dataclass(slots=True, frozen=True)
 class ClassSettings:
-    """The rules of one class of queries."""
+    """The settings of one class of queries."""
 
     latency_objective: int  # nanoseconds
-    objective_per_run_time: float  # added to the objective, in run times
-    timeout: int  # nanoseconds until clients give up
-    priority_weight: float  # what an answer in time counts for, beside those of other classes
-    late_weight: float  # share of it that a late answer counts for
+    objective_per_run_time: float  # added to the latency objective, in run times
+    timeout: int  # nanoseconds until clients time out
+    priority_weight: float  # value of an answer in time, relative to other classes
+    late_weight: float  # value of a late answer, as a share of the priority weight
     idempotency: Idempotency
     deduplication_scope: DeduplicationScope
     deduplication_window: int  # nanoseconds
-    threads: int  # of one query
+    threads: int  # per query
     locks_tables: bool
     waits_for_locks: bool
     ordered_by_key: bool
@@ -52,53 +53,53 @@
 
 @dataclass(slots=True, frozen=True)
 class Settings:
-    """The rules and limits of a site; `None` stands for one that it does not have.
+    """The rules and limits of a site; `None` means that the site has no such rule or limit.
 
-    No decision uses those marked as validated: they are read so that a malformed value is rejected.
+    Fields marked "validated only" are not used by any decision; they are read to reject malformed values.
     """
 
     instance_index: int
     instance_count: int
     zone: int
     classes: tuple[ClassSettings, ...]
-    tenant_quotas: tuple[float, ...]  # requests per second of each tenant, over all instances; 0: none stated
+    tenant_quotas: tuple[float, ...]  # requests per second by tenant, over all instances; 0: no quota
     over_quota_weight: float
-    cores_by_kind: tuple[int, ...]  # by kind
-    memory_mb_by_kind: tuple[float, ...]  # by kind
+    cores_by_kind: tuple[int, ...]
+    memory_mb_by_kind: tuple[float, ...]
     max_grant_share: float
     memory_shortage: MemoryShortage
     takes_memory_grants: bool
     heeds_priorities: bool
-    progress_interval: int  # nanoseconds between progress notes; 0: none
+    progress_interval: int  # nanoseconds between progress notes; 0: engines send none
     reports_cost: bool
     load_report_fields: tuple[str, ...]
     polls_endpoint_list: bool
-    allows_health_checks: bool  # validated, but health comes from answers alone
+    allows_health_checks: bool  # validated only: health is derived from answers
     allows_gossip: bool
     allows_cancellation: bool
     allows_hedging: bool
     allows_retry_after: bool
     max_retry_after: int  # nanoseconds
     max_attempts: int
-    marks_retry: bool  # validated; each request has its own mark, `Request.is_retry`
+    marks_retry: bool  # validated only: each request has `Request.is_retry`
     cross_zone_cost: float
-    slow_start_initial_capacity: float  # share of its capacity that an engine starts with
+    slow_start_initial_capacity: float  # share of its capacity with which an engine starts
     slow_start_window: int  # nanoseconds
-    slow_start_overload_factor: float  # over the capacity, within the window; 0: no slow start
+    slow_start_overload_factor: float  # of the capacity, within the overload window; 0: no slow start
     slow_start_overload_window: int  # nanoseconds
     key_quarantine: int  # nanoseconds
-    max_poll_interval: int  # nanoseconds; validated; the watch of the endpoint list is left open
+    max_poll_interval: int  # nanoseconds; validated only: the endpoint list is watched
     retry_allowance: float | None
     retries_per_request: float
     retry_window: int  # nanoseconds
-    slow_start_share: float = 1.0  # this process's part of what one instance may send in slow start
-    max_client_connections: int = 0  # connections that clients may hold; 0: no such limit is known
-    # Nanoseconds added to the run time from which an attempt is overdue: the wire's own connects and pauses
+    slow_start_share: float = 1.0  # share of one instance's slow-start sends that this process may make
+    max_client_connections: int = 0  # limit of open client connections; 0: unknown
+    # Nanoseconds added to the run time after which an attempt is overdue, for connects and network pauses
     extra_run_time: int = 0
 
     def check(self) -> None:
-        """Raise ValueError, naming the setting, where they contradict themselves or one another."""
-        faults = {
+        """Raise ValueError, naming the setting, if a value is out of range or conflicts with another."""
+        checks = {
             "instances": self.instance_count < 1,
             "me": not 0 <= self.instance_index < self.instance_count,
             "services": not self.classes,
@@ -107,9 +108,9 @@
             "rules.counted-over": self.retry_allowance is not None and self.retry_window <= 0,
             "family-info.cpu-of-kind": any(cores <= 0 for cores in self.cores_by_kind),
             "family-info.memory-by-kind-mb": len(self.cores_by_kind) != len(self.memory_mb_by_kind),
-            "family-info.parallelism": any(rules.threads < 1 for rules in self.classes),
-            "services[].give-up": any(rules.timeout <= 0 for rules in self.classes),
+            "family-info.parallelism": any(settings.threads < 1 for settings in self.classes),
+            "services[].give-up": any(settings.timeout <= 0 for settings in self.classes),
         }
-        for name, bad in faults.items():
-            if bad:
-                raise ValueError(f"setting {name} contradicts itself or the others")
+        for name, invalid in checks.items():
+            if invalid:
+                raise ValueError(f"setting {name} is out of range or conflicts with another setting")
--- a/query_gateway/model/state.py
+++ b/query_gateway/model/state.py
@@ -1,9 +1,9 @@
-"""The state that the modules of `policy` share: one record for each scheduler, handed to each function.
+"""The state shared by the modules of `policy`: one `SchedulerState` per scheduler, passed to each function.
 
-It consists of parts, each with the modules of `policy` that change it beside the methods here:
+Its parts, with the modules of `policy` that modify them in addition to the methods here:
 
-    classes         learning, class_lengths           what is known of each class of requests
-    queries         admission, answers                requests that are open or have an attempt in flight
+    classes         learning, class_lengths           settings and learned state of each class
+    queries         admission, answers                requests that are open or have attempts in flight
     workload        admission, release                threads in use, queue and forecasts over all engines
     key_queues      key_ordering                      per-key ordering
     fleet           fleet_snapshot, outliers          the engines
@@ -11,7 +11,7 @@
     tenants         tenants                           quotas and gossip
     retry_budget    retry_budget                      requests and retries within a window
     fleet_share     capacity                          rounding of this gateway's share of the fleet
-    watch, timer    scheduler                         the endpoint list's watch, the review timer
+    watch, timer    scheduler                         watch of the endpoint list, review timer
 
 Times and durations are in nanoseconds.
 """
@@ -35,32 +35,32 @@
 
 @dataclass(slots=True)
 class EndpointWatch:
-    """Whether the endpoint list is being watched, and from when on it may be again."""
+    """Whether the endpoint list is being watched, and when a failed watch may be retried."""
 
     active: bool = False
     retry_at: int = 0  # clock time
 
     def begin(self, now: int) -> bool:
-        """Begin to watch; False if that is so already, or too early after a failure."""
+        """Start the watch; False if it is active already or the back-off after a failure is not over."""
         if self.active or now < self.retry_at:
             return False
         self.active = True
         return True
 
     def fail(self, retry_at: int) -> None:
-        """The watch failed; it may begin again at a clock time."""
+        """Record that the watch failed; it may start again at clock time `retry_at`."""
         self.active, self.retry_at = False, retry_at
 
 
 @dataclass(slots=True)
 class PeriodicFraction:
-    """A random fraction of one, drawn once in each period."""
+    """A random fraction from 0 to 1, drawn once per period."""
 
     period: int = -1
     fraction: float = 0.0
 
     def draw(self, period: int, random: Random) -> float:
-        """The fraction of a period, by its number."""
+        """The fraction for the period with this number."""
         if period != self.period:
             self.period, self.fraction = period, random.random()
         return self.fraction
@@ -68,18 +68,18 @@
 
 @dataclass(slots=True)
 class FleetShareState:
-    """What rounds this gateway's share of the fleet."""
+    """State for rounding this gateway's share of the fleet."""
 
-    phase: float  # share of a period by which this gateway's periods are apart from those of others
+    phase: float  # random offset of this gateway's periods from those of other gateways, in periods
     rounding: PeriodicFraction = field(default_factory=PeriodicFraction)
 
 
 @dataclass(slots=True)
 class ControllerState:
-    """The controller of the lag ratio."""
+    """State of the lag ratio controller."""
 
     lag_ratio: float = 1.0
-    metric: float = 1.0  # weight served in time over weight requested, when last checked
+    metric: float = 1.0  # weight served in time / weight requested, at the last check
     checked_at: int = 0
     costs: CostTotals = field(default_factory=CostTotals)
 
@@ -93,36 +93,36 @@
     gossip_sent_at: int = 0
 
     def restart(self, tenant_count: int) -> None:
-        """Start counting and limiting again, as the quotas have changed."""
+        """Reset the counts and token buckets after a change of the quotas."""
         self.traffic.counts = [DecayedAverage() for _ in range(tenant_count)]
         self.buckets = [TokenBucket() for _ in range(tenant_count)]
 
 
 @dataclass(slots=True)
 class ReviewTimer:
-    """The timer by which attempts in flight are reviewed."""
+    """State of the timer that triggers reviews of the attempts in flight."""
 
     armed: bool = False
-    stalled: bool = False  # the events at hand came late because this process did not run
+    stalled: bool = False  # the current events were delayed because this process did not run
 
 
 class SchedulerState:
-    """Everything that a scheduler knows. Only `policy` and the restoring of learned state change it."""
+    """The complete state of a scheduler. Only `policy` and the restoring of learned state modify it."""
 
     def __init__(self, settings: Settings, random: Random, prior_work: float) -> None:
-        """Start with no engine and no query.
+        """Start without engines and queries.
 
-        `prior_work` is the share of a client timeout, for each thread, taken as work before any sample.
+        `prior_work` is the work per thread assumed before the first sample, as a share of the client timeout.
         """
         self.settings = settings
         self.random = random
         self.now = 0
         self.started_at = 0  # clock time of the first events
-        self.actions: list[Action] = []  # answer to the events at hand
+        self.actions: list[Action] = []  # response to the current events
         self.classes = RequestClasses(prior_work)
         self.queries: dict[int, QueryState] = {}  # by request id
         self.workload = Workload()
-        self.last_full_release_at = 0  # when the queue was last looked over in full
+        self.last_full_release_at = 0  # when the whole queue was last scanned for release
         self.key_queues = KeyQueues()
         self.retry_budget = RetryBudget()
         self.fleet = Fleet()
@@ -134,7 +134,7 @@
         self.update_settings(SettingsUpdate(settings, ()))
 
     def update_settings(self, update: SettingsUpdate) -> None:
-        """Go on under new settings; a class that is not new keeps what was learned of it."""
+        """Apply new settings; classes that are not new keep their learned state."""
         settings, is_first = update.settings, not len(self.classes)
         self.classes.update_settings(settings.classes, update.new_classes)
         if is_first or settings.tenant_quotas != self.settings.tenant_quotas:
@@ -142,11 +142,11 @@
         self.settings = settings
 
     def record_gossip(self, message: GossipMessage) -> None:
-        """Keep what a peer reports of its traffic."""
+        """Store a peer's traffic report."""
         self.tenants.traffic.record_report(message.sender, message.data, self.now)
 
     def update_endpoints(self, update: EndpointUpdate) -> None:
-        """Take over a snapshot or a delta; what a snapshot leaves out is no longer listed."""
+        """Apply a snapshot or a delta; engines missing from a snapshot are no longer listed."""
         if update.kind is not EndpointUpdateKind.DELTA:
             names = {info.name for info in update.endpoints}
             for engine in self.fleet.engines.values():
@@ -169,12 +169,12 @@
         return engine
 
     def forget(self, query: QueryState) -> None:
-        """Forget a query without an attempt in flight; the next of its key may run."""
+        """Remove a query that has no attempt in flight; the next query of its key may run."""
         self.queries.pop(query.request.request_id, None)
         self.key_queues.remove(query)
 
     def add_attempt(self, query: QueryState, engine: EngineState) -> None:
-        """Record that an attempt of a query leaves for an engine now."""
+        """Record that an attempt of a query is sent to an engine now."""
         number, table_group = query.attempt_count, query.request.table_group
         attempt = AttemptState(query, number, engine, self.now, self.now, query.request_class.is_long)
         if number > 0:
@@ -186,7 +186,7 @@
         self._count_threads(attempt, query.settings.threads)
 
     def remove_attempt(self, attempt: AttemptState, engine: EngineState) -> None:
-        """Record that an attempt has ended, at the engine that the outcome names."""
+        """Record that an attempt has ended. `engine` is the one named in the outcome."""
         query = attempt.query
         query.in_flight.remove(attempt)
         if engine.in_flight.pop(attempt.key, None):
@@ -200,12 +200,15 @@
                 del engine.table_locks[table_group]
 
     def mark_lost(self, attempt: AttemptState) -> None:
-        """Take an attempt for lost: it counts no threads from now on."""
+        """Presume an attempt lost: its threads no longer count as in use."""
         self._count_threads(attempt, -attempt.query.settings.threads)
         attempt.lost = True
 
     def _count_threads(self, attempt: AttemptState, threads: int) -> None:
-        """Add to the threads in use, unless the attempt is lost; slow start counts at its engine alone."""
+        """Add to the threads in use, unless the attempt is lost.
+
+        Threads at an engine in slow start count for that engine only, not for the fleet.
+        """
         if attempt.lost:
             return
         attempt.engine.workload.threads_in_use.add(threads, attempt.is_long)
--- a/query_gateway/model/units.py
+++ b/query_gateway/model/units.py
@@ -1,4 +1,4 @@
-"""Units of time in nanoseconds, the unit of every time and duration that carries no other in its name."""
+"""Units of time in nanoseconds, the default unit of times and durations without a unit in their name."""
 
 from typing import Final
 
--- a/query_gateway/model/workload.py
+++ b/query_gateway/model/workload.py
@@ -1,4 +1,4 @@
-"""Threads in use and completion forecasts, of short and of long classes; parts of a `Workload`."""
+"""Threads in use and completion forecasts by class length (short or long); parts of a `Workload`."""
 
 from dataclasses import dataclass
 
@@ -7,13 +7,13 @@
 
 @dataclass(slots=True)
 class ThreadsInUse:
-    """Threads of attempts in flight, of short and of long classes."""
+    """Threads of the attempts in flight, by class length."""
 
     short: int = 0
     long: int = 0
 
     def of(self, is_long: bool) -> int:
-        """Threads of long classes, or of short ones."""
+        """Threads of long classes or of short ones."""
         return self.long if is_long else self.short
 
     def total(self) -> int:
@@ -21,7 +21,7 @@
         return self.short + self.long
 
     def add(self, threads: int, is_long: bool) -> None:
-        """Count threads of an attempt that was sent; a negative number for one that has ended."""
+        """Add the threads of an attempt that was sent; negative for one that has ended."""
         if is_long:
             self.long += threads
         else:
@@ -30,17 +30,17 @@
 
 @dataclass(slots=True)
 class CompletionForecasts:
-    """The last forecast of short and of long classes; None before the first."""
+    """The latest forecasts by class length; None before the first."""
 
     short: CompletionForecast | None = None
     long: CompletionForecast | None = None
 
     def of(self, is_long: bool) -> CompletionForecast | None:
-        """The forecast of long classes, or of short ones."""
+        """The forecast of long classes or of short ones."""
         return self.long if is_long else self.short
 
     def replace(self, is_long: bool, forecast: CompletionForecast) -> None:
-        """Keep a new forecast of long classes, or of short ones."""
+        """Store a new forecast of long classes or of short ones."""
         if is_long:
             self.long = forecast
         else:
--- a/query_gateway/planner/__init__.py
+++ b/query_gateway/planner/__init__.py
@@ -1,12 +1,13 @@
-"""A planner: one instance of the decision module, beside its forwarder or in a process of its own.
+"""The planner: runs an instance of the decision module, in the forwarder's process or in a separate one.
 
-Decides nothing itself: it passes events to `query_gateway.policy` and returns its actions. Owns the IPC
-between forwarders and planner processes with its codec, the planner process, and the supervisor of all
-processes.
+Makes no decisions itself: it passes events to `query_gateway.policy` and returns the resulting actions. This
+package contains the planner process, the IPC between forwarders and planner processes with its codec, and the
+supervisor of all worker processes.
 
-What happens to the requests of a planner that dies: `lifecycle/planner_links.py`. What happens to the
-requests of a forwarder that dies: `process.py`, `PlannerProcess.on_session_ended`.
+`lifecycle/planner_links.py` handles the open requests of a planner that dies, and
+`PlannerProcess.on_session_ended` in `process.py` those of a forwarder that dies.
 
-`planner`, `learned_state`, `ipc_codec` and `process_part` know no socket and no clock; `ipc`, `process` and
-`supervisor` use `query_gateway.net`. The composition root and `lifecycle` import it; it imports no forwarder.
+`planner`, `learned_state`, `ipc_codec` and `process_part` use no sockets or clocks; `ipc`, `process` and
+`supervisor` use `query_gateway.net`. The package is imported by the composition root and by `lifecycle`, and
+imports no forwarder modules.
 """
--- a/query_gateway/planner/arrival_merge.py
+++ b/query_gateway/planner/arrival_merge.py
@@ -1,11 +1,11 @@
-"""Arrival merge: the requests of a key that come by several forwarders, in the order of their arrival.
+"""Merges the requests of a key that arrive through several forwarders into arrival order.
 
-Each forwarder passes its own requests on in that order, but an earlier one may still be unread at another. So
-a request waits until all other forwarders have replied that they have passed on whatever came before it. A
-forwarder that disconnects is not waited for.
+Each forwarder passes its own requests on in arrival order, but an earlier request may still be unread at
+another forwarder. A request therefore waits until all other forwarders have replied that they have passed on
+every request that arrived before it. A forwarder that disconnects is not waited for.
 
 Inputs  requests with a key, and the replies of forwarders
-Answer  the requests that the planner may be notified of, those of a key by their arrival
+Output  requests of which the planner may be notified, those of a key in arrival order
 """
 
 from collections.abc import Callable, Collection, Iterator
@@ -18,55 +18,55 @@
 
 
 @dataclass(slots=True)
-class _Entry(Generic[Forwarder]):
+class _WaitingRequest(Generic[Forwarder]):
     forwarder: Forwarder
     request: Request
-    waits_for: set[Forwarder]  # those whose reply is missing
+    waits_for: set[Forwarder]  # forwarders that have not replied yet
 
 
 class ArrivalMerge(Generic[Forwarder]):
-    """The requests that wait for replies; knows no connection."""
+    """Holds the requests that wait for replies. Independent of connections."""
 
     def __init__(
-        self, query: Callable[[Forwarder, Request], None], on_released: Callable[[Request], None]
+        self, send_query: Callable[[Forwarder, Request], None], on_released: Callable[[Request], None]
     ) -> None:
-        """`query` asks a forwarder to reply once it has passed on all that came before a request."""
-        self.query = query
+        """`send_query` asks a forwarder to reply once it has passed on all requests before the given one."""
+        self.send_query = send_query
         self.on_released = on_released
-        self._entries: dict[int, _Entry[Forwarder]] = {}  # by request id
+        self._entries: dict[int, _WaitingRequest[Forwarder]] = {}  # by request id
 
     def add(self, forwarder: Forwarder, request: Request, others: Collection[Forwarder]) -> None:
-        """Take a request that a forwarder has passed on; `others` are those that are connected beside it."""
-        self._entries[request.request_id] = _Entry(forwarder, request, set(others))
+        """Add a request that `forwarder` has passed on; `others` are the other connected forwarders."""
+        self._entries[request.request_id] = _WaitingRequest(forwarder, request, set(others))
         for other in others:
-            self.query(other, request)
+            self.send_query(other, request)
         self._release()
 
     def on_reply(self, forwarder: Forwarder, request_id: int) -> None:
-        """A forwarder has passed on all that came before a request."""
+        """Record that a forwarder has passed on all requests before the given one."""
         if entry := self._entries.get(request_id):
             entry.waits_for.discard(forwarder)
             self._release()
 
     def remove(self, request_id: int) -> None:
-        """Forget a request that has ended; harmless if it does not wait."""
+        """Remove a request that has ended; does nothing if it is not waiting."""
         if self._entries.pop(request_id, None):
             self._release()
 
     def on_disconnected(self, forwarder: Forwarder) -> None:
-        """Forget a forwarder's requests, and wait for its replies no longer."""
+        """Remove the requests of a forwarder, and stop waiting for its replies."""
         self._entries = {key: entry for key, entry in self._entries.items() if entry.forwarder != forwarder}
         for entry in self._entries.values():
             entry.waits_for.discard(forwarder)
         self._release()
 
     def _release(self) -> None:
-        for entry in list(self._due()):
+        for entry in list(self._releasable()):
             del self._entries[entry.request.request_id]
             self.on_released(entry.request)
 
-    def _due(self) -> Iterator[_Entry[Forwarder]]:
-        """Those with all replies, behind no earlier one of their key that lacks one."""
+    def _releasable(self) -> Iterator[_WaitingRequest[Forwarder]]:
+        """The entries that have all replies and follow no earlier entry of their key that lacks a reply."""
         blocked_keys = set[str | None]()
         for entry in sorted(self._entries.values(), key=lambda entry: entry.request.received_at):
             key = entry.request.key
--- a/query_gateway/planner/ipc.py
+++ b/query_gateway/planner/ipc.py
@@ -1,14 +1,14 @@
-"""The IPC between a forwarder and a planner in processes of their own: events one way, actions the other.
+"""The IPC between forwarder and planner processes: events in one direction, actions in the other.
 
-The states of a forwarder's end (`PlannerClient`), each a part of its coroutine:
+States of the forwarder's end (`PlannerClient`), each a part of its coroutine:
 
     DIALING --connected--> CONNECTED --connection ended--> BACKOFF --RECONNECT_DELAY_S--> DIALING
        |                                                      ^
        +--refused, or DIAL_TIMEOUT_S is over------------------+
 
-An event that is sent while there is no connection is dropped: the forwarder has ended the planner's requests
-by then, and on the next connect it sends settings and the endpoint list again. `lifecycle/planner_links.py`
-says what becomes of those requests.
+An event sent without a connection is dropped: by then the forwarder has ended the planner's requests, and on
+the next connect it sends the settings and the endpoint list again. `lifecycle/planner_links.py` describes how
+those requests are ended.
 """
 
 from collections.abc import Callable, Generator
@@ -29,36 +29,36 @@
 
 RECONNECT_DELAY_S = 0.1
 DIAL_TIMEOUT_S = 1.0
-MAX_UNREAD_BYTES = 16_777_216  # by the other end, before the connection ends
+MAX_UNREAD_BYTES = 16_777_216  # unread by the other end; beyond this the connection is closed
 
 Steps = Generator[float | None, None, None]  # a coroutine on the loop
-ReasonSteps = Generator[float | None, None, Reason]  # a coroutine that returns why a connection ended
+ReasonSteps = Generator[float | None, None, Reason]  # a coroutine that returns why the connection ended
 
 
 class IpcConnection:
-    """One connection, the same on either end.
+    """An IPC connection, used by both ends.
 
-    Its owner runs `receive` as a coroutine and closes the stream with the reason that this returns.
+    Its owner runs `receive` as a coroutine and closes the stream with the reason that it returns.
     """
 
     def __init__(
         self, stream: Stream, message_types: dict[str, Any], on_message: Callable[[Any], None]
     ) -> None:
-        """`message_types`: those that this end accepts, by name; `on_message` receives each message."""
+        """`message_types`: the types that this end accepts, by name. `on_message` is called per message."""
         self.stream = stream
         self.on_message = on_message
         self.decoder = Decoder(message_types)
         self.closing = False  # set by the owner, which then wakes the coroutine
 
     def send(self, message: IpcMessage) -> None:
-        """Queue a message; `receive` ends the connection if the other end leaves too many unread."""
+        """Queue a message; `receive` ends the connection if the other end leaves too many bytes unread."""
         self.stream.write(encode(message))
 
     def receive(self) -> ReasonSteps:
-        """Deliver messages until the connection ends, and return why it does."""
+        """Deliver messages until the connection ends, and return the reason."""
         while True:
-            if self.stream.inbox and (fault := self._handle_inbox()):
-                return fault
+            if self.stream.inbox and (reason := self._handle_inbox()):
+                return reason
             if self.closing:
                 return Reason.STOPPING
             if self.stream.eof:
@@ -68,29 +68,29 @@
             yield None
 
     def _handle_inbox(self) -> Reason | None:
-        """Deliver the messages that have arrived; a reason if the connection cannot go on.
+        """Deliver the messages received; return a reason if the connection must end.
 
-        If a message cannot be handled, the two ends no longer agree on which requests are open, and the other
-        end would wait for answers to its message until each deadline. So the connection ends: the other end
-        then takes this one for lost and ends what it has open here.
+        After a message that cannot be handled, the two ends no longer agree on which requests are open, and
+        the other end would wait for its answers until each deadline. Ending the connection makes the other
+        end treat this one as lost and end the requests that it has open here.
         """
         try:
             for message in self.decoder.feed(self.stream.take_inbox()):
                 self.on_message(message)
         except IpcMessageError as error:
-            log("ipc", f"unusable message: {error}")
+            log("ipc", f"invalid message, closing the connection: {error}")
             return Reason.MALFORMED_RESPONSE
         except Exception as error:
-            log("fault", f"a message could not be handled: {error!r}")
+            log("fault", f"error while handling an IPC message, closing the connection: {error!r}")
             return Reason.FAULT
         return None
 
 
 class PlannerClient:
-    """A forwarder's end: connects to its planner, and again whenever the connection has ended, until `stop`.
+    """The forwarder's end: connects to its planner, and reconnects after each disconnect, until `stop`.
 
-    Owns the connection. `on_connected` and `on_disconnected` are called alternately, and `on_action` only
-    between the first and the second.
+    Owns the connection. `on_connected` and `on_disconnected` are called alternately; `on_action` is called
+    only while connected.
     """
 
     def __init__(
@@ -101,7 +101,7 @@
         on_connected: Callable[[], None],
         on_disconnected: Callable[[], None],
     ) -> None:
-        """Connect to the planner at `address`, from the loop's next turn on."""
+        """Connect to the planner at `address`, starting with the next loop turn."""
         self.loop = loop
         self.address = address
         self.on_action = on_action
@@ -112,12 +112,12 @@
         self.task: Task = loop.spawn(self._run())
 
     def notify(self, event: Event | ArrivalReply) -> None:
-        """Send an event; without a connection it is dropped."""
+        """Send an event; it is dropped if there is no connection."""
         if self.connection:
             self.connection.send(event)
 
     def stop(self) -> None:
-        """End the connection and connect no more."""
+        """Close the connection and do not reconnect."""
         self.stopped = True
         if self.connection:
             self.connection.closing = True
@@ -128,8 +128,8 @@
         while not self.stopped:
             try:
                 stream = Stream.dial(self.loop, self.address, description, lambda: self.task.wake())
-            except OSError as error:  # out of descriptors
-                log("ipc", f"cannot dial: {error.strerror}")
+            except OSError as error:  # out of file descriptors
+                log("ipc", f"cannot connect to {description}: {error.strerror}")
             else:
                 stream.close((yield from self._run_connection(stream)))
             reconnect_at = self.loop.now() + RECONNECT_DELAY_S
@@ -137,7 +137,7 @@
                 yield reconnect_at
 
     def _run_connection(self, stream: Stream) -> ReasonSteps:
-        """Wait until the stream is connected and use it to its end; returns why that came."""
+        """Wait until the stream is connected, then receive until it ends; return the reason."""
         timeout_at = self.loop.now() + DIAL_TIMEOUT_S
         while not stream.connected:
             if stream.eof:
--- a/query_gateway/planner/learned_state.py
+++ b/query_gateway/planner/learned_state.py
@@ -1,17 +1,17 @@
-"""What a scheduler has learned, as JSON values for its successor: versioned, bounded, checked before use.
+"""Encodes the learned state of a scheduler as JSON for its successor: versioned, bounded and validated.
 
-The keys and the order of the values are a stored form that earlier and later versions read, so they do not
-change. They stand in this module alone:
+Earlier and later versions read the keys and the order of the values, so they must not change. They are used
+in this module only:
 
-    version, lag, usual   format version; lag ratio; usual threads
-    paces                 slowdown over the fleet, a decayed average
-    costs                 weight of requests, of rejections and of late answers, each a decayed average
+    version, lag, usual   format version; lag ratio; mean threads in use
+    paces                 slowdown of the fleet, a decayed average
+    costs                 weight requested, rejected and answered late, each a decayed average
     classes               by class name: the means of `MEANS`; rate (slowdown); first_span (longest timeout)
     engines               by engine name, a list: listed start, observed start, slowdown, fault rate, last
                           received at, ejected until, ejection time, warm table groups
 
-Times in it are wall-clock times in nanoseconds, which each process converts to its steady clock; 0 stands for
-never. Durations are nanoseconds.
+Times are wall-clock times in nanoseconds, which each process converts to its steady clock; 0 means never.
+Durations are in nanoseconds.
 """
 
 import math
@@ -27,11 +27,11 @@
 from query_gateway.policy.scheduler import Scheduler
 
 VERSION = 1
-MAX_ENGINES = 512  # engines written at most
-MAX_TABLE_GROUPS = 16  # warm table groups read of each engine
-MAX_LAG_RATIO = 1e3  # beyond any that a controller can reach
-START_TOLERANCE_NS = 1_000_000_000  # starts that differ by less are the same one
-# The stored key of each running mean and the attribute that holds it
+MAX_ENGINES = 512  # maximum number of engines written
+MAX_TABLE_GROUPS = 16  # maximum number of warm table groups read per engine
+MAX_LAG_RATIO = 1e3  # above any value that the controller can reach
+START_TOLERANCE_NS = 1_000_000_000  # start times that differ by less denote the same start
+# Attribute of `ClassState` by stored key, for each running mean
 MEANS = {
     "work": "work",
     "log_work": "log_work",
@@ -47,15 +47,15 @@
 
 @dataclass(slots=True, frozen=True)
 class LearnedClass:
-    """What was learned of one class, and the record of that class in this process."""
+    """Learned state of one class, and the `ClassState` to restore it to."""
 
     state: ClassState
-    means: dict[str, RunningMean]  # by attribute
+    means: dict[str, RunningMean]  # by attribute of `ClassState`
     slowdown: DecayedAverage
     longest_timeout: int  # nanoseconds
 
     def restore(self) -> None:
-        """Put it into the record of the class."""
+        """Apply it to the `ClassState`."""
         for attribute, mean in self.means.items():
             setattr(self.state, attribute, mean)
         self.state.slowdown = self.slowdown
@@ -64,7 +64,7 @@
 
 @dataclass(slots=True, frozen=True)
 class LearnedEngine:
-    """What was learned of one engine, and its record in this process. Times are nanoseconds."""
+    """Learned state of one engine, and the `EngineState` to restore it to. Times are in nanoseconds."""
 
     state: EngineState
     started_at: int
@@ -76,19 +76,19 @@
     warm_table_groups: list[float]
 
     def restore(self) -> None:
-        """Put it into the record of the engine."""
+        """Apply it to the `EngineState`."""
         engine = self.state
         engine.started_at, engine.log_slowdown = self.started_at, self.log_slowdown
         engine.fault_rate, engine.last_received_at = self.fault_rate, self.last_received_at
         engine.ejected_until, engine.ejection_time = self.ejected_until, self.ejection_time
         engine.warm_table_groups = self.warm_table_groups
-        # An engine that was ejected and has sent nothing since goes on with probation: one query at a time
+        # An engine that has sent nothing since its ejection continues on probation: one query at a time
         engine.on_probation = self.ejected_until > self.last_received_at
 
 
 @dataclass(slots=True, frozen=True)
 class LearnedState:
-    """All that was learned of classes and engines that this process has, checked."""
+    """The validated learned state of the classes and engines that this process has."""
 
     lag_ratio: float
     mean_threads_in_use: float
@@ -98,7 +98,7 @@
     engines: list[LearnedEngine]
 
     def restore(self, state: SchedulerState) -> None:
-        """Put all of it into a scheduler's state."""
+        """Apply it to the state of a scheduler."""
         state.controller.lag_ratio, state.controller.costs = self.lag_ratio, self.costs
         state.fleet.mean_threads_in_use = self.mean_threads_in_use
         state.fleet.slowdown_samples = self.slowdown_samples
@@ -111,9 +111,9 @@
 def export_state(
     scheduler: Scheduler, class_indexes: Mapping[str, int], wall_clock_offset: int = 0
 ) -> dict[str, Any]:
-    """What a scheduler has learned, its classes by their names.
+    """Export the learned state of a scheduler, with its classes by name.
 
-    `wall_clock_offset`: by how much the wall clock is ahead of the scheduler's clock, in nanoseconds.
+    `wall_clock_offset`: wall-clock time minus the scheduler's clock time, in nanoseconds.
     """
     return _Encoder(wall_clock_offset).encode(scheduler.state, class_indexes)
 
@@ -121,7 +121,7 @@
 def restore_state(
     scheduler: Scheduler, class_indexes: Mapping[str, int], raw: Any, wall_clock_offset: int = 0
 ) -> bool:
-    """Restore what a predecessor exported: all of it or, if any value of it is unusable, nothing."""
+    """Restore an exported state. Returns False, and restores nothing, if any of its values is invalid."""
     try:
         learned = _Decoder(wall_clock_offset).decode(scheduler.state, class_indexes, raw)
     except (KeyError, TypeError, ValueError, AttributeError):
@@ -131,13 +131,13 @@
 
 
 class _Encoder:
-    """Writes the stored form, with its times on the wall clock."""
+    """Encodes the stored form, converting times to the wall clock."""
 
     def __init__(self, wall_clock_offset: int) -> None:
         self.wall_clock_offset = wall_clock_offset
 
     def encode(self, state: SchedulerState, class_indexes: Mapping[str, int]) -> dict[str, Any]:
-        """All that a scheduler has learned."""
+        """Encode the learned state of a scheduler."""
         controller, fleet = state.controller, state.fleet
         costs = (controller.costs.requested, controller.costs.rejected, controller.costs.late)
         return {
@@ -175,19 +175,23 @@
 
 
 class _Decoder:
-    """Reads the stored form, and checks every value of it."""
+    """Decodes the stored form and validates each value."""
 
     def __init__(self, wall_clock_offset: int) -> None:
         self.wall_clock_offset = wall_clock_offset
 
     def decode(self, state: SchedulerState, class_indexes: Mapping[str, int], raw: Any) -> LearnedState:
-        """Raises LearnedStateError, or what a value of a wrong type leads to."""
+        """Decode the learned state.
+
+        Raises LearnedStateError, or KeyError, TypeError, ValueError or AttributeError for values of a wrong
+        type.
+        """
         if raw["version"] != VERSION:
-            raise LearnedStateError(f"version {raw['version']!r:.40} is not {VERSION}")
+            raise LearnedStateError(f"unsupported version {raw['version']!r:.40}, expected {VERSION}")
         costs = [self._average(cost) for cost in raw["costs"]]
         lag_ratio = _number(raw["lag"])
         if len(costs) != 3 or not 0 < lag_ratio < MAX_LAG_RATIO:
-            raise LearnedStateError(f"{len(costs)} costs or lag ratio {lag_ratio} out of range")
+            raise LearnedStateError(f"{len(costs)} costs instead of 3, or lag ratio {lag_ratio} out of range")
         return LearnedState(
             lag_ratio=lag_ratio,
             mean_threads_in_use=_number(raw["usual"]),
@@ -219,7 +223,7 @@
         return LearnedClass(request_class, means, self._average(raw["rate"]), longest_timeout)
 
     def _engine(self, engine: EngineState | None, raw: Any) -> LearnedEngine | None:
-        """None for an engine that this process does not have, or that has started again since."""
+        """Decode an engine; None if this process does not have it or it has restarted since."""
         listed_start, started_at, slowdown, fault_rate, *times, ejection_time, table_groups = raw
         if engine is None or not _is_same_start(engine.info.started_at, self._time(listed_start)):
             return None
@@ -236,11 +240,14 @@
         )
 
 
-def _is_same_start(listed_here: int, listed_there: int) -> bool:
-    """Whether both processes mean one start, which each has translated to the steady clock by itself."""
-    if not listed_here or not listed_there:
-        return listed_here == listed_there
-    return abs(listed_here - listed_there) < START_TOLERANCE_NS
+def _is_same_start(listed_here: int, listed_by_predecessor: int) -> bool:
+    """Whether two listed start times denote the same start.
+
+    Each process has converted its own to the steady clock, so the times may differ slightly.
+    """
+    if not listed_here or not listed_by_predecessor:
+        return listed_here == listed_by_predecessor
+    return abs(listed_here - listed_by_predecessor) < START_TOLERANCE_NS
 
 
 def _encode_mean(mean: RunningMean) -> list[float]:
@@ -254,5 +261,5 @@
 
 def _number(raw: Any) -> float:
     if type(raw) not in (int, float) or not math.isfinite(raw):
-        raise LearnedStateError(f"{raw!r:.40} is no number")
+        raise LearnedStateError(f"expected a finite number, got {raw!r:.40}")
     return float(raw)
--- a/query_gateway/planner/planner.py
+++ b/query_gateway/planner/planner.py
@@ -1,8 +1,8 @@
-"""A planner drives one instance of the decision module: events in, actions out; it knows no wire.
+"""Drives one instance of the decision module: events in, actions out. Independent of any network protocol.
 
-What the instance holds (queues, its view of the engines, what it learned) is lost when it raises an error, as
-that may have left its state inconsistent. In a gateway's own process `restart` replaces it; a planner process
-exits and is started again. Only a hot upgrade carries what was learned over to another process.
+When the instance raises an error, its state (queues, view of the engines, learned state) is discarded, as it
+may be inconsistent. In a gateway's own process `restart` replaces the instance; a planner process exits and
+its supervisor starts another. Only a hot upgrade transfers the learned state to another process.
 """
 
 from collections.abc import Callable
@@ -12,14 +12,14 @@
 from query_gateway.model.settings import Settings
 from query_gateway.policy.scheduler import Scheduler
 
-CallAt = Callable[[int, Callable[[], None]], object]  # schedules a call at a clock time, in nanoseconds
+CallAt = Callable[[int, Callable[[], None]], object]  # schedules a call at a clock time in nanoseconds
 
 
 class Planner:
-    """Collects events for the decision module, returns its actions, and owns its timers."""
+    """Queues events for the decision module, returns its actions, and owns its timers."""
 
     def __init__(self, settings: Settings, seed: int, clock: Callable[[], int], call_at: CallAt) -> None:
-        """Create the first instance of the module; `clock` gives nanoseconds, for `call_at` too."""
+        """Create the first instance of the module. `clock` returns the nanoseconds that `call_at` uses."""
         self.settings = settings
         self.seed = seed
         self.clock = clock
@@ -27,7 +27,7 @@
         self.scheduler = Scheduler(settings, seed)
         self.pending_events: list[Event] = []
         self.now = 0  # clock time of the last decision
-        self.restart_count = 0  # counts the restarts
+        self.restart_count = 0  # restarts of the module instance
 
     def notify(self, event: Event) -> None:
         """Queue an event for the next decision."""
@@ -40,8 +40,8 @@
         if not self.pending_events:
             return []
         events, self.pending_events = self.pending_events, []
-        # The module subtracts times of two decisions: if the second were the earlier one, it would learn from
-        # a negative duration
+        # The module subtracts the times of two decisions; a clock that goes back would make it learn from a
+        # negative duration
         self.now = max(self.now, self.clock())
         actions: list[Action] = []
         for action in self.scheduler.handle(self.now, events):
@@ -58,17 +58,17 @@
     def _set_timer(self, timer: SetTimer) -> None:
         restart_count = self.restart_count
 
-        def on_due() -> None:
-            """Notify the instance that set the timer, unless it has been replaced."""
+        def on_timer() -> None:
+            """Notify the instance that set the timer, unless it has been replaced since."""
             if restart_count == self.restart_count:
                 self.notify(TimerFired(timer.context))
 
-        self.call_at(self.now + timer.delay, on_due)
+        self.call_at(self.now + timer.delay, on_timer)
 
     def restart(self) -> None:
-        """Replace an instance that raised an error by a new one.
+        """Replace an instance that raised an error with a new one.
 
-        The new one has learned nothing; the caller notifies it of the endpoints.
+        The new instance has no learned state; the caller must notify it of the endpoints.
         """
         self.restart_count += 1
         self.seed += 1
--- a/query_gateway/planner/process_part.py
+++ b/query_gateway/planner/process_part.py
@@ -1,18 +1,18 @@
-"""Which part of a gateway in several processes this process is, and whose.
+"""The part of a multi-process gateway that this process runs, and the environment variables that name it.
 
-The supervisor names the part and itself in environment variables; the process entry reads them. The module
-loads nothing, as a plain start imports it too.
+The supervisor sets the part and its own process id in environment variables, which the process entry reads.
+This module imports the standard library only, because a start as a single process imports it too.
 """
 
 from dataclasses import dataclass
 from enum import Enum
 
-PROCESS_PART_VARIABLE = "QUERY_GATEWAY_PART"  # "planner 0", "forwarder 1"; unset in any other process
+PROCESS_PART_VARIABLE = "QUERY_GATEWAY_PART"  # such as "planner 0" or "forwarder 1"; unset in other processes
 SUPERVISOR_PID_VARIABLE = "QUERY_GATEWAY_SUPERVISOR_PID"  # set together with the part
 
 
 class ProcessKind(Enum):
-    """What a worker process runs; the value is the word in the environment variable and in the log."""
+    """What a worker process runs. The value appears in the environment variable and in the log."""
 
     PLANNER = "planner"
     FORWARDER = "forwarder"
@@ -20,21 +20,21 @@
 
 @dataclass(slots=True, frozen=True)
 class ProcessPart:
-    """One worker process; each kind is counted from 0."""
+    """One worker process; `index` counts from 0 for each kind."""
 
     kind: ProcessKind
     index: int
 
     def __str__(self) -> str:
-        """The value of the environment variable."""
+        """The part as the value of the environment variable."""
         return f"{self.kind.value} {self.index}"
 
 
 def parse_process_part(text: str) -> ProcessPart | None:
-    """Decode the environment variable; None where it is empty, in a process that no supervisor started."""
+    """Parse the environment variable; None if empty, as in a process not started by a supervisor."""
     if not text:
         return None
-    word, _, index = text.partition(" ")
-    if word == ProcessKind.PLANNER.value:
+    kind, _, index = text.partition(" ")
+    if kind == ProcessKind.PLANNER.value:
         return ProcessPart(ProcessKind.PLANNER, int(index))
     return ProcessPart(ProcessKind.FORWARDER, int(index or 0))
