--- a/query_gateway/policy/start_times.py
+++ b/query_gateway/policy/start_times.py
@@ -22,7 +22,9 @@
 QUEUED_LIFETIME_NS: Final = MS // 5  # per queued query: how long a sum over the queue is cached
 FORECAST_LIFETIME_NS: Final = MS // 5  # per attempt in flight: how long a forecast is cached
 # Progress of 2% or less is not used; from 0.7 of the expected run time on, half the age is assumed to remain
-REMAINING_TIME: Final = RemainingTimeEstimator(trusted_progress=0.02, mostly_done=0.7, overrun=0.5)
+REMAINING_TIME: Final = RemainingTimeEstimator(
+    trusted_progress=0.02, extrapolation_start=0.7, extrapolation_ratio=0.5
+)
 
 
 def start_delay(state: SchedulerState, engine: EngineState, query: QueryState) -> float:
