--- a/query_gateway/discovery/endpoint_feed.py
+++ b/query_gateway/discovery/endpoint_feed.py
@@ -46,7 +46,7 @@
     """
 
     def __init__(self, forwarder: Forwarder, names: ZoneAndKindNames, start_times: StartTimes) -> None:
-        """The feed has no position before `take_initial`."""
+        """The feed has no position before `apply_initial_list`."""
         self.forwarder, self.names, self.start_times = forwarder, names, start_times
         self.state = FeedState.IN_SEQUENCE
         self.complete_at: int | None = None  # clock time of the last answer; None: events were missing in it
@@ -54,7 +54,7 @@
         self.newest_event: EndpointListEvent | None = None  # the event at that position
         self.tombstones = EndpointTombstones()
 
-    def take_initial(self, answer: EndpointListAnswer) -> None:
+    def apply_initial_list(self, answer: EndpointListAnswer) -> None:
         """Apply the list that the configuration contains.
 
         The position is the one in the configuration, also where events are missing: the first poll is for
@@ -64,7 +64,7 @@
         self._publish(self._with_steady_starts(change), change.is_snapshot)
         self._record_position(answer.position, answer.events)
 
-    def take_answer(self, raw: Any, repeats_newest: bool = False) -> int:
+    def apply_answer(self, raw: Any, repeats_newest: bool = False) -> int:
         """Apply an answer of the discovery service and return the new position.
 
         `repeats_newest`: the poll was for the newest event once more, and those behind it. Raises ValueError
--- a/query_gateway/engine_protocol/request_writer.py
+++ b/query_gateway/engine_protocol/request_writer.py
@@ -31,7 +31,7 @@
             entry = attempts.take_unwritten()
             if not entry.attempt.may_be_written():
                 self._end_unsent(entry)
-            elif stream.write_if_taken(encode_attempt(entry.attempt, self.clock())):
+            elif stream.try_write(encode_attempt(entry.attempt, self.clock())):
                 stream.call_when_sent(entry.on_request_sent)
             else:
                 attempts.put_back(entry)
--- a/query_gateway/gateway.py
+++ b/query_gateway/gateway.py
@@ -93,7 +93,7 @@
         config = self.active.config
         start_times = StartTimes(steady_now_ns, wall_clock_offset_ns)
         self.endpoint_feed = EndpointFeed(self.forwarder, config.zones_and_kinds, start_times)
-        self.endpoint_feed.take_initial(config.initial_endpoints)
+        self.endpoint_feed.apply_initial_list(config.initial_endpoints)
 
     def _join_fronts(self, core: Core, takes_signals: bool) -> None:
         config = self.active.config
@@ -106,7 +106,7 @@
             config.discovery_address,
             self.endpoint_feed.position,
             WatchCallbacks(
-                self.endpoint_feed.take_answer, self.startup.begin if self.options.inherited else None
+                self.endpoint_feed.apply_answer, self.startup.begin if self.options.inherited else None
             ),
             config.seed,
         )
--- a/query_gateway/http/connection.py
+++ b/query_gateway/http/connection.py
@@ -176,7 +176,7 @@
 
     def _decode(self, class_name: str, headers: dict[str, str], body: bytes) -> ClientRequest:
         """Decode the request that was read just now, with when it had come; raises RequestError."""
-        end = self.stream.bytes_taken - len(self.http.trailing_data[0])
+        end = self.stream.bytes_consumed - len(self.http.trailing_data[0])
         arrival = self.stream.arrivals.time_of(end, self.loop.now())
         arrived_at = clock_time_of(arrival.earliest)
         request = decode_request(class_name, self.server.classes, headers, body, arrived_at)
--- a/query_gateway/net/arrival_watermark.py
+++ b/query_gateway/net/arrival_watermark.py
@@ -45,7 +45,7 @@
         """The loop is about to poll."""
         self._turn_began_at = polled_at if self.is_awaited else None
 
-    def spoil_turn(self) -> None:
+    def mark_turn_incomplete(self) -> None:
         """Something that was there in this turn has not been read."""
         self._turn_began_at = None
 
--- a/query_gateway/net/buffered_socket.py
+++ b/query_gateway/net/buffered_socket.py
@@ -39,8 +39,8 @@
         self.inbox, self.outbox = bytearray(), Outbox()
         self.arrivals = ArrivalLog(waiting_since)
         self._is_accepted = True  # its peer's time runs, so the times of arrival are kept
-        self.bytes_taken = 0  # of those that have come
-        self._awaits_writable = False  # `write_if_taken` could write nothing
+        self.bytes_consumed = 0  # of those that have come
+        self._awaits_writable = False  # `try_write` could write nothing
         self.connected = True
         self.eof = self.reset = self.closed = False
         self.is_local_failure = False  # the dial failed for want of something of our own machine
@@ -112,7 +112,7 @@
         except OSError as error:
             if is_momentary(error):
                 if error.errno not in NOTHING_THERE and self._is_accepted:
-                    self.loop.watermark.spoil_turn()
+                    self.loop.watermark.mark_turn_incomplete()
                 return False
             self.eof = self.reset = True
             return True
@@ -148,7 +148,7 @@
         """Remove and return what was read; reading goes on if it was paused."""
         data = bytes(self.inbox)
         self.inbox.clear()
-        self.bytes_taken += len(data)
+        self.bytes_consumed += len(data)
         if self.read_paused:
             self.read_paused = False
             self._update_mask()
@@ -166,7 +166,7 @@
             self.outbox.append(data[sent:])
         self._update_mask()
 
-    def write_if_taken(self, data: bytes) -> bool:
+    def try_write(self, data: bytes) -> bool:
         """Write if the machine takes at least the first byte now; what remains is queued. Whether it did.
 
         If not, nothing is written: `on_activity` is called when it may be tried again, or the connection has
--- a/query_gateway/net/loop.py
+++ b/query_gateway/net/loop.py
@@ -229,7 +229,7 @@
         self.watermark.begin_turn(polled_at)
         events = self._poll(timeout)
         if len(events) >= MAX_EVENTS_PER_POLL:
-            self.watermark.spoil_turn()
+            self.watermark.mark_turn_incomplete()
         now = self.now()
         if timeout == 0.0:
             self.last_turn_time = now - self.turn_started_at
@@ -253,7 +253,7 @@
         except OSError as error:
             # One failed poll must not end the process with all its connections. Nothing is lost: epoll is
             # level-triggered and reports what is ready again in the next turn
-            self.watermark.spoil_turn()
+            self.watermark.mark_turn_incomplete()
             log("fault", f"a poll failed: {error.strerror}")
             self.faults += 1
             return []
--- a/tests/stand_ins.py
+++ b/tests/stand_ins.py
@@ -94,7 +94,7 @@
     applied = threading.Event()
 
     def take_answer() -> None:
-        gateway.endpoint_feed.take_answer(answer)
+        gateway.endpoint_feed.apply_answer(answer)
         applied.set()
 
     gateway.loop.call_soon(take_answer)
--- a/tests/test_bad_input.py
+++ b/tests/test_bad_input.py
@@ -61,7 +61,7 @@
     gateway = Gateway(config, OperatorSettings(), signals=False)
     for answer in lists:
         try:
-            gateway.endpoint_feed.take_answer(answer)
+            gateway.endpoint_feed.apply_answer(answer)
         except ValueError:  # as the watch client expects
             assert list(gateway.forwarder.endpoints) == ["e0"]
     now = time.time_ns()
--- a/tests/test_key_order.py
+++ b/tests/test_key_order.py
@@ -352,7 +352,7 @@
         watermark.begin_turn(polled_at)
         (watermark.backlogged.add if has_backlog else watermark.backlogged.discard)(listener)
         if is_spoilt:
-            watermark.spoil_turn()
+            watermark.mark_turn_incomplete()
         watermark.end_turn()
         reached.append(watermark.read_through)
     assert reached == [0.0, 1.0, 2.0, 2.0, 2.0, 2.0, 5.0]
--- a/tests/test_race_engine_connections.py
+++ b/tests/test_race_engine_connections.py
@@ -88,7 +88,7 @@
                 )
                 changed_hosts = [host(engine, "e0", "draining"), host(other_engine, "e1")]
                 hosts = {"seq": 2, "whole": False, "hosts": changed_hosts}
-                gateway.endpoint_feed.take_answer({"pos": 2, "entries": [{"pos": 2, "hosts": hosts}]})
+                gateway.endpoint_feed.apply_answer({"pos": 2, "entries": [{"pos": 2, "hosts": hosts}]})
             return False
 
         gateway.loop.call_soon(lambda: gateway.loop.turn_hooks.insert(0, announce_drain))
@@ -118,7 +118,7 @@
         changed_hosts = [host(engine, "e0", "draining"), host(other_engine, "e1")]
         hosts = {"seq": 2, "whole": False, "hosts": changed_hosts}
         gateway.loop.call_soon(
-            lambda: gateway.endpoint_feed.take_answer({"pos": 2, "entries": [{"pos": 2, "hosts": hosts}]})
+            lambda: gateway.endpoint_feed.apply_answer({"pos": 2, "entries": [{"pos": 2, "hosts": hosts}]})
         )
         until(lambda: "e1" in gateway.forwarder.endpoints)
         engine.hang_up()
@@ -232,7 +232,7 @@
         until(lambda: gateway.engine_pool.connections)
         changed_hosts = [host(engine, "e0", "draining"), host(other_engine, "e1")]
         answer = endpoint_list_answer(2, changed_hosts)
-        gateway.loop.call_soon(lambda: gateway.endpoint_feed.take_answer(answer))
+        gateway.loop.call_soon(lambda: gateway.endpoint_feed.apply_answer(answer))
         assert waiting.result()[1] == {"rows": ROWS}
         engine.accept_connections()
         until(lambda: "e0" not in gateway.engine_pool.connections)
@@ -253,7 +253,7 @@
         until(lambda: len(gateway.engine_pool.by_client_request_id) == len(open_clients) + 1)
         changed_hosts = [host(engine, "e0", "draining"), host(other_engine, "e1")]
         answer = endpoint_list_answer(2, changed_hosts)
-        gateway.loop.call_soon(lambda: gateway.endpoint_feed.take_answer(answer))
+        gateway.loop.call_soon(lambda: gateway.endpoint_feed.apply_answer(answer))
         assert waiting.result()[1] == {"rows": ROWS}
         engine.may_read.set()
         for sock in open_clients:
@@ -266,19 +266,19 @@
     """A connection does not take a request at once, as earlier bytes are still in its output buffer.
 
     A request that lies in that buffer has an outdated time budget when it leaves, and cannot be withdrawn.
-    `write_if_taken` writes nothing unless the first byte leaves at once, and calls again when it may.
+    `try_write` writes nothing unless the first byte leaves at once, and calls again when it may.
     """
     loop, listener = Loop(), socket.create_server(("127.0.0.1", 0))
     near_socket = socket.create_connection(listener.getsockname())
     far_socket, tried = listener.accept()[0], list[bool]()
-    stream = Stream(loop, near_socket, "here", lambda: tried.append(stream.write_if_taken(b"b" * 10)))
+    stream = Stream(loop, near_socket, "here", lambda: tried.append(stream.try_write(b"b" * 10)))
     stream.start()
     listener.close()
     near_socket.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4_096)
-    assert stream.write_if_taken(b"a" * 1_000_000) and stream.outbox
+    assert stream.try_write(b"a" * 1_000_000) and stream.outbox
     received = bytearray()
     far_socket.settimeout(0.01)
-    assert not stream.write_if_taken(b"b" * 10)  # the rest of the first is ahead of it
+    assert not stream.try_write(b"b" * 10)  # the rest of the first is ahead of it
     queued = len(stream.outbox)
     while not tried or not tried[-1]:
         loop.turn()
@@ -299,7 +299,7 @@
 def test_a_full_socket_takes_nothing_until_there_is_room_again() -> None:
     """The send buffer of the machine is full, and the output buffer here is empty.
 
-    `write_if_taken` would not be called again if only the output buffer were watched. It asks epoll for the
+    `try_write` would not be called again if only the output buffer were watched. It asks epoll for the
     moment when the socket takes bytes again.
     """
     loop, listener = Loop(), socket.create_server(("127.0.0.1", 0))
@@ -310,9 +310,9 @@
     with contextlib.suppress(BlockingIOError):
         while True:
             near_socket.send(b"a" * 65_536)
-    stream = Stream(loop, near_socket, "here", lambda: tried.append(stream.write_if_taken(b"b")))
+    stream = Stream(loop, near_socket, "here", lambda: tried.append(stream.try_write(b"b")))
     stream.start()
-    assert not stream.write_if_taken(b"b") and not stream.outbox
+    assert not stream.try_write(b"b") and not stream.outbox
     far_socket.settimeout(0.01)
     while not tried or not tried[-1]:
         with contextlib.suppress(TimeoutError):
--- a/tests/test_race_flight.py
+++ b/tests/test_race_flight.py
@@ -121,7 +121,7 @@
         exchanges[1].abandon()
     elif event == "drains":
         draining_host = flight_host(listener) | {"health": "draining"}
-        gateway.endpoint_feed.take_answer(
+        gateway.endpoint_feed.apply_answer(
             {"pos": 2, "entries": [{"pos": 2, "hosts": {"whole": False, "hosts": [draining_host]}}]}
         )
     else:
