--- a/query_gateway/discovery/__init__.py
+++ b/query_gateway/discovery/__init__.py
@@ -1,13 +1,13 @@
 """The endpoint list: decoding, sequence checks, tombstones, and the client of the discovery service.
 
 Decides what an answer of the discovery service changes in the list, and when a snapshot is needed again. Owns
-the connection to that service, the position in its events, and the tombstones of endpoints that drained or
-were removed; the list itself is the forwarder's. All of it is lost with the process: the next one begins with
-the list in its configuration and polls for the events behind it.
+the connection to that service, the position in its events, and the tombstones of draining and removed
+endpoints; the forwarder owns the list itself. This state is not persistent: a new process starts with the
+list in its configuration and polls for the events after it.
 
-The way of an answer: `poll_connection` (HTTP) -> `watch_client` (polls, backoff) -> `endpoint_feed` ->
+Data flow of an answer: `poll_connection` (HTTP) -> `watch_client` (polls, backoff) -> `endpoint_feed` ->
 `endpoint_list` (decoding) -> `reconciliation` (sequence check) -> `start_times`, `tombstones` ->
 `Forwarder.update_endpoints`.
 
-Imported by `configuration` (which decodes the list at the start), the composition root and `lifecycle`.
+Imported by `configuration` (which decodes the list at startup), the composition root and `lifecycle`.
 """
--- a/query_gateway/discovery/poll_connection.py
+++ b/query_gateway/discovery/poll_connection.py
@@ -1,4 +1,4 @@
-"""One HTTP connection to the discovery service: polls go out, the bodies of the answers come back."""
+"""One HTTP connection to the discovery service: sends polls and reads the bodies of the answers."""
 
 from collections.abc import Callable, Generator
 from typing import Any
@@ -13,30 +13,30 @@
 
 
 class PollConnection:
-    """Polls over a connected stream, which its owner closes."""
+    """Polls over a connected stream, which the caller owns and closes."""
 
     def __init__(self, loop: Loop, stream: Stream, interruption: Callable[[], Reason | None]) -> None:
-        """`interruption` says why the connection must end before the next answer, if it must."""
+        """`interruption` returns why the connection must end before the next answer, or None."""
         self.loop, self.stream, self.interruption = loop, stream, interruption
         self._http = h11.Connection(h11.CLIENT)
 
     def send_poll(self, host: str, position: int, hold_ms: int) -> None:
-        """Poll for the events behind `position`; the service may hold the poll for so long."""
+        """Poll for the events after `position`; the service may delay its answer by `hold_ms`."""
         target = f"/journal?tail={position}&max_wait={hold_ms}"
         request = h11.Request(method="GET", target=target, headers=[("Host", host)])
         self.stream.write((self._http.send(request) or b"") + (self._http.send(h11.EndOfMessage()) or b""))
 
     def start_next_poll(self) -> bool:
-        """Whether another poll may be sent after the answer; False if the service closes the connection."""
+        """Prepare for the next poll after an answer; return False if the service closes the connection."""
         if self._http.our_state is not h11.DONE or self._http.their_state is not h11.DONE:
             return False
         self._http.start_next_cycle()
         return True
 
     def read_answer(self, timeout_at: float) -> Generator[float | None, None, Reason | bytes]:
-        """The body of an answer, or why the connection must end if there is none.
+        """Return the body of an answer, or the reason why the connection must end if there is none.
 
-        Raises h11.RemoteProtocolError if the service breaks the protocol.
+        Raises h11.RemoteProtocolError if the service violates the protocol.
         """
         body = bytearray()
         status = 0
@@ -56,7 +56,7 @@
                 return Reason.PEER_CLOSED
 
     def _next_event(self, timeout_at: float) -> Generator[float | None, None, Any]:
-        """The next h11 event, or a Reason if none can come any more."""
+        """Return the next h11 event, or a Reason if there will be none."""
         while True:
             event = self._http.next_event()
             if event is not h11.NEED_DATA:
--- a/query_gateway/discovery/reconciliation.py
+++ b/query_gateway/discovery/reconciliation.py
@@ -1,14 +1,14 @@
 """The sequence check: what an answer changes in the endpoint list, and whether events are missing from it.
 
     the answer                                              anomaly    next position
-    continues behind our position                           none       of its last event
-    has only events up to our position                      DUPLICATE  as before
-    leaves out an event, or ends before the position that   GAP        0: poll for a snapshot
-    it states
-    states a position below ours, or has another event at   RESET      of its last event, or 0 if events
-    our position than we received                                      are missing
-
-Free of I/O and of state: the caller holds the position.
+    continues after the current position                    none       of its last event
+    has only events up to the current position              DUPLICATE  unchanged
+    omits an event, or ends before the position that it     GAP        0: poll for a snapshot
+    states
+    states a position below the current one, or has a       RESET      of its last event, or 0 if events
+    different event at the current position than received              are missing
+
+Pure functions; the caller holds the position.
 """
 
 from dataclasses import dataclass
@@ -20,16 +20,16 @@
 
 
 class SequenceAnomaly(Enum):
-    """How the positions of an answer differ from a sequence; the value is the word in the log."""
+    """How the positions of an answer break the sequence; the values appear in the log."""
 
     RESET = "sequence-reset"  # the service restarted its numbering
     GAP = "sequence-gap"  # events are missing
-    DUPLICATE = "duplicate"  # it has only events that were received before
+    DUPLICATE = "duplicate"  # all of its events were received before
 
 
 @dataclass(slots=True, frozen=True)
 class EndpointListChange:
-    """What an answer changes: with a snapshot the complete list, else the endpoints that it names."""
+    """What an answer changes: the whole list if it has a snapshot, else the endpoints that it contains."""
 
     position: int  # of the last event received; 0: the next poll must be for a snapshot
     is_snapshot: bool
@@ -40,15 +40,15 @@
 def reconcile(
     position: int, answer: EndpointListAnswer, verified_event: EndpointListEvent | None = None
 ) -> EndpointListChange:
-    """Check the answer to a poll from `position` against the positions of its events, which go up by one.
+    """Check the answer to a poll from `position`: the positions of its events must be consecutive.
 
-    `verified_event`: the event received at `position`, where it was polled for once more. If the answer has
-    another one there, the service restarted its numbering and has passed our position.
+    `verified_event`: the event received at `position`, if the poll asked for it again. If the answer lacks
+    it, the service restarted its numbering and has since passed `position`.
 
-    All endpoints that the answer names are applied, in one step. Where events are missing, the next poll must
-    be for a snapshot. Without that, a service that restarted its numbering, or states a position beyond the
-    events that it sends, would leave us at a position that it does not reach: every later answer would be
-    ignored, and the list would never change again.
+    The endpoints in the answer are all applied, in one step. If events are missing, the next poll must be for
+    a snapshot. Otherwise, a service that restarted its numbering, or states a position beyond the events that
+    it sends, would leave the gateway at a position that the service does not reach: every later answer would
+    be ignored, and the list would never change again.
     """
     has_reset = answer.position < position or (
         verified_event is not None and verified_event not in answer.events
@@ -76,7 +76,7 @@
 
 
 def _anomaly(has_reset: bool, has_gap: bool, is_duplicate: bool) -> SequenceAnomaly | None:
-    """The one anomaly that is reported where there are several."""
+    """The anomaly that is reported if there are several."""
     if has_reset:
         return SequenceAnomaly.RESET
     if has_gap:
--- a/query_gateway/discovery/tombstones.py
+++ b/query_gateway/discovery/tombstones.py
@@ -1,9 +1,9 @@
-"""The tombstones: endpoints that drained or were removed, kept after the list has dropped them.
+"""Tombstones of draining and removed endpoints, kept after the endpoint list has dropped them.
 
     none --reported as draining or removed, or left out by a snapshot--> tombstone
     tombstone --reported as up--> none
 
-They are lost with the process.
+Tombstones are not persistent: a new process starts with none.
 """
 
 from collections.abc import Iterable
@@ -17,26 +17,26 @@
 
 @dataclass(slots=True, frozen=True)
 class Tombstone:
-    """The state that an endpoint was reported in, and the start of the engine that it was reported of."""
+    """The reported state of an endpoint, and the start time of the engine that was in that state."""
 
     state: EndpointState  # DRAINING or REMOVED
     started_at: int  # clock time in nanoseconds
 
 
 class EndpointTombstones:
-    """Endpoints that were reported as draining or removed, and have not been reported as up since.
+    """Endpoints that were reported as draining or removed and have not been reported as up since.
 
-    A discovery service that has restarted may know an older list than we do, and report an engine as up that
-    drains or was removed. Requests would be sent to it again and be lost when it exits. With the tombstone,
-    an engine that is reported as up stays out, unless it has started again since.
+    A restarted discovery service may have an older list than this process, and report a draining or removed
+    engine as up. Requests would be sent to that engine again and be lost when it exits. The tombstone keeps
+    the engine out of use until it is reported with another start time, that is, after a restart.
     """
 
     def __init__(self) -> None:
-        """There are none at the start."""
-        self._tombstones: dict[str, Tombstone] = {}  # by endpoint name, the oldest first
+        """Start with no tombstones."""
+        self._tombstones: dict[str, Tombstone] = {}  # by endpoint name, oldest first
 
     def record(self, endpoints: list[Endpoint], is_snapshot: bool, listed: dict[str, Endpoint]) -> None:
-        """Record a change of the list `listed`; an endpoint that a snapshot leaves out is removed."""
+        """Record a change of the list `listed`; endpoints that a snapshot omits are treated as removed."""
         reported = {endpoint.info.name for endpoint in endpoints}
         removed = [
             replace(endpoint.info, state=EndpointState.REMOVED)
@@ -53,7 +53,7 @@
             del self._tombstones[next(iter(self._tombstones))]
 
     def apply(self, endpoints: Iterable[Endpoint]) -> list[Endpoint]:
-        """The endpoints in their true states: draining ones as such, and without the removed ones."""
+        """Return the endpoints without the removed ones, and the draining ones marked as draining."""
         applied = []
         for endpoint in endpoints:
             tombstone = self._tombstones.get(endpoint.info.name)
--- a/query_gateway/discovery/watch_client.py
+++ b/query_gateway/discovery/watch_client.py
@@ -1,12 +1,12 @@
-"""The client of the discovery service: long polls for the events behind the last position.
+"""The client of the discovery service: long polls for the events after the last position.
 
-The states of the watch, each a part of its coroutine:
+The states of the watch, each implemented by a part of its coroutine:
 
     CONNECTING --connected--> POLLING --answer--> POLLING
         |                        |
-        +--refused, timed out----+--connection ended, or its answers cannot be used--> BACKOFF --> CONNECTING
+        +--refused, timed out----+--connection ended, or answer not usable--> BACKOFF --> CONNECTING
 
-    `stop` ends any of them; a new address leads from any of them to CONNECTING
+    `stop` ends the watch in any state; a new address leads from any state to CONNECTING
 """
 
 import json
@@ -20,13 +20,13 @@
 from query_gateway.net.loop import Loop
 from query_gateway.net.stream import Reason, Stream, address_of
 
-POLL_HOLD_MS = 2_000  # how long the service may hold a poll; also bounds how late its death is noticed
-SHORT_POLL_HOLD_MS = 1  # the same until the first answer, where a successor waits for it
-ANSWER_GRACE_SECONDS = 0.8  # beyond the hold, after which the service counts as unresponsive
+POLL_HOLD_MS = 2_000  # how long the service may hold a poll; also limits how late its failure is detected
+SHORT_POLL_HOLD_MS = 1  # until the first answer, if a successor waits for it to start
+ANSWER_GRACE_SECONDS = 0.8  # after the hold, before the service counts as unresponsive
 SHORT_POLL_TIMEOUT_SECONDS = 0.8
 CONNECT_TIMEOUT_SECONDS = 0.5
-# The backoff is randomized by half of it, either way: gateways whose watches end together would otherwise
-# reconnect at the same moments
+# The backoff is randomized by +-50 %; otherwise, gateways whose watches end at the same time would reconnect
+# at the same time
 MIN_BACKOFF_SECONDS = 0.1
 MAX_BACKOFF_SECONDS = 0.2
 MS_PER_SECOND = 1_000
@@ -34,11 +34,12 @@
 
 @dataclass(slots=True, frozen=True)
 class WatchCallbacks:
-    """What the watch client calls.
+    """The callbacks of the watch client.
 
-    `on_answer` gets the JSON of each answer, and whether the event at our position was polled for once more;
-    it returns the position to poll from next, and may raise any exception at an answer that it cannot decode.
-    `on_caught_up` is called once, after the first answer; where it is set, polls are not held until then.
+    `on_answer` gets the decoded JSON of each answer, and whether the poll asked again for the event at the
+    current position. It returns the position to poll from next, and may raise any exception for an answer
+    that it cannot decode. `on_caught_up` is called once, after the first answer; if it is set, polls are held
+    only for `SHORT_POLL_HOLD_MS` until then.
     """
 
     on_answer: Callable[[Any, bool], int]
@@ -46,31 +47,32 @@
 
 
 class EndpointWatchClient:
-    """Polls the discovery service, over one connection at a time, until `stop`.
+    """Polls the discovery service over one connection at a time, until `stop`.
 
-    Owns that connection and the task that serves it.
+    Owns the connection and the task that polls over it.
     """
 
     def __init__(
         self, loop: Loop, address: str, position: int, callbacks: WatchCallbacks, seed: int = 0
     ) -> None:
-        """Begin to poll for the events behind `position`; `seed` is that of the randomized backoff."""
+        """Start to poll for the events after `position`; `seed` is for the random backoff."""
         self.loop, self.address, self.position = loop, address, position
         self.on_answer, self.on_caught_up = callbacks.on_answer, callbacks.on_caught_up
         self._stopped = self._address_changed = False
-        self._answered = False  # at least once
+        self._has_answered = False  # at least one poll
         self._connection_lost = False  # since the last answer
         self._random, self._backoff = Random(seed), MIN_BACKOFF_SECONDS
-        # After a slow turn a drain may be there unread, beside a connection that comes up to that engine
+        # Urgent: after a slow turn, an unread answer may report that an engine drains, while a connection to
+        # that engine is established in the same turn
         self.task = loop.spawn(self._run(), is_urgent=True)
 
     def stop(self) -> None:
-        """End the connection and poll no more."""
+        """Close the connection and stop polling."""
         self._stopped = True
         self.task.wake()
 
     def set_address(self, address: str) -> None:
-        """Poll another address from now on, from the same position."""
+        """Poll at another address from now on, from the same position."""
         if address != self.address:
             self.address, self._address_changed = address, True
             self.task.wake()
@@ -90,20 +92,20 @@
             else:
                 reason = yield from self._serve(stream)
                 stream.close(reason)
-                self._connection_lost = self._answered and reason is not Reason.DONE
+                self._connection_lost = self._has_answered and reason is not Reason.DONE
             reconnect_at = self.loop.now() + self._backoff * (0.5 + self._random.random())
             self._backoff = min(2 * self._backoff, MAX_BACKOFF_SECONDS)
             while not self._interruption() and self.loop.now() < reconnect_at:
                 yield reconnect_at
 
     def _interruption(self) -> Reason | None:
-        """Why the present connection must end, if it must."""
+        """The reason why the current connection must end, or None."""
         if self._stopped:
             return Reason.STOPPING
         return Reason.REPLACED if self._address_changed else None
 
     def _serve(self, stream: Stream) -> Generator[float | None, None, Reason]:
-        """Poll over one connection; return why it ends."""
+        """Poll over one connection until it must end; return the reason."""
         failure = yield from self._connect(stream)
         if failure:
             return failure
@@ -128,11 +130,12 @@
         return None
 
     def _poll(self, connection: PollConnection) -> Generator[float | None, None, Reason | None]:
-        """Poll once; return why the connection must end, or None."""
+        """Poll once; return the reason why the connection must end, or None."""
         position, polled_at = self.position, self.loop.now()
-        # A service that restarted its numbering while there was no connection may have passed our position.
-        # Its answer would seem to continue our events, and the list would lack those before. So after a lost
-        # connection the event at our position is polled for once more: another event there shows the restart.
+        # A service that restarted its numbering while it was not connected may have passed our position. Its
+        # answer would then seem to continue the events received, but the list would lack its earlier events.
+        # So after a lost connection, the poll asks again for the event at our position; a different event
+        # there reveals the restart.
         verifies_newest = self._connection_lost and position > 0
         hold_ms = SHORT_POLL_HOLD_MS if self.on_caught_up else POLL_HOLD_MS
         connection.send_poll(self.address, position - 1 if verifies_newest else position, hold_ms)
@@ -141,31 +144,31 @@
             if isinstance(body, Reason):
                 return body
             self.position = self.on_answer(json.loads(body), verifies_newest)
-            self._answered, self._connection_lost = True, False
+            self._has_answered, self._connection_lost = True, False
             is_first = self._notify_caught_up()
         except Exception as error:
-            # An exception that leaves this coroutine ends the watch, and the endpoint list would not change
-            # again before a restart. Whatever an answer contains, it ends its connection alone.
+            # An exception that escaped this coroutine would end the watch, and the endpoint list would not be
+            # updated until the gateway restarts. So an invalid answer ends only its connection.
             log("discovery", f"invalid answer: {error!r}")
             return Reason.MALFORMED_RESPONSE
         is_idle = self.position == position and not is_first and not verifies_newest
         is_early = self.loop.now() < polled_at + MIN_BACKOFF_SECONDS
         if self.position < position or (is_idle and is_early):
-            # The answer has a gap or shows a reset of the numbering, or it came at once with nothing new.
-            # Polled again without a pause, a service that does so every time would keep both processes busy.
-            # The end of the connection leads to the backoff.
+            # The answer has a gap or shows that the numbering was reset, or it came immediately with nothing
+            # new. Polling again without a pause would keep both processes busy if the service always answers
+            # like that. Ending the connection leads to the backoff.
             return Reason.RESYNC
         self._backoff = MIN_BACKOFF_SECONDS
         return None
 
     def _poll_timeout(self) -> float:
-        """Seconds until the service counts as unresponsive."""
+        """Seconds without an answer until the service counts as unresponsive."""
         if self.on_caught_up:
             return SHORT_POLL_TIMEOUT_SECONDS
         return POLL_HOLD_MS / MS_PER_SECOND + ANSWER_GRACE_SECONDS
 
     def _notify_caught_up(self) -> bool:
-        """Call `on_caught_up` after the first answer; whether this was it."""
+        """Call `on_caught_up` after the first answer; return whether it was called."""
         callback, self.on_caught_up = self.on_caught_up, None
         if callback:
             callback()
--- a/query_gateway/net/arrival_watermark.py
+++ b/query_gateway/net/arrival_watermark.py
@@ -1,58 +1,60 @@
-"""Up to which time of arrival this process has read all that clients have sent.
+"""The arrival watermark: the time before which every client request that arrived has been read.
 
-A client's request counts from when the machine has it, but is known here only once its connection was
-accepted and its bytes were read, and the machine reports sockets in any order. The watermark says which
-requests may be put in order: no request that came before it is still unread. It moves while it is awaited.
+A request arrives when the kernel receives it, but this process learns of it only after accepting its
+connection and reading its bytes, and epoll reports sockets in no particular order. Requests that arrived
+before the watermark can be put in arrival order, because no earlier one is still unread. The watermark
+advances only while it is awaited:
 
-    turn N      polls at p, and accepts until nobody waits     connections that came before p are all accepted
-    turn N + 1  reads them and all others until nothing is left    the watermark is p
+    turn N      polls at time p and accepts until the backlog is empty: connections from before p are accepted
+    turn N + 1  reads every readable connection until nothing is left: the watermark becomes p
 
-A turn that could not accept or read all that was there proves nothing: then the watermark stays.
+A turn that could not accept or read everything that was pending does not advance the watermark.
 """
 
 
 class ArrivalWatermark:
-    """Collects what a turn of the loop could not take in. Times are loop times in seconds."""
+    """Tracks what a loop turn left unaccepted, unread or undecoded. Times are loop times in seconds."""
 
     def __init__(self, now: float) -> None:
-        """Nothing that came after `now` is known to have been read."""
-        self.is_awaited = False  # every readable connection is then read until nothing is left
+        """Start the watermark at `now`."""
+        self.is_awaited = False  # while set, every readable connection is read until nothing is left
         self.backlogged: set[object] = set()  # listeners with connections that could not be accepted
         self._read_through = self._accepted_through = now
-        self._parsing: dict[object, float] = {}  # requests that are decoded elsewhere: when they came
-        self._turn_began_at: float | None = None  # of a turn that was awaited from its begin
+        self._undecoded: dict[object, float] = {}  # arrival times of requests that are read but not decoded
+        # Poll time of this turn; None if it was not awaited from its start, or was marked incomplete
+        self._complete_turn_polled_at: float | None = None
 
     @property
     def read_through(self) -> float:
-        """Every request that came before is known, decoded and accepted or answered."""
-        return min(self._read_through, *self._parsing.values()) if self._parsing else self._read_through
+        """The watermark: every request that arrived before it is decoded, and accepted or answered."""
+        return min(self._read_through, *self._undecoded.values()) if self._undecoded else self._read_through
 
     @property
     def is_blocked(self) -> bool:
-        """Whether it cannot move before an event: a listener that accepts again, or the end of a parse."""
-        is_behind_a_parse = bool(self._parsing) and min(self._parsing.values()) <= self._read_through
-        return bool(self.backlogged) or is_behind_a_parse
+        """Whether the watermark can advance only after a listener accepts again or a request is decoded."""
+        is_behind_undecoded = bool(self._undecoded) and min(self._undecoded.values()) <= self._read_through
+        return bool(self.backlogged) or is_behind_undecoded
 
     def hold(self, request: object, arrived_at: float) -> None:
-        """A request that came then is read and not yet decoded; it stays ahead until `release`."""
-        self._parsing[request] = arrived_at
+        """Keep the watermark from passing `arrived_at` until `release`, as the request is not decoded yet."""
+        self._undecoded[request] = arrived_at
 
     def release(self, request: object) -> None:
-        """The request was passed on or answered; harmless if it was not held."""
-        self._parsing.pop(request, None)
+        """Stop holding a request that was accepted or answered; no effect if it is not held."""
+        self._undecoded.pop(request, None)
 
     def begin_turn(self, polled_at: float) -> None:
-        """The loop is about to poll."""
-        self._turn_began_at = polled_at if self.is_awaited else None
+        """Record that the loop is about to poll."""
+        self._complete_turn_polled_at = polled_at if self.is_awaited else None
 
     def mark_turn_incomplete(self) -> None:
-        """Something that was there in this turn has not been read."""
-        self._turn_began_at = None
+        """Record that something pending in this turn was not read, so that the turn does not count."""
+        self._complete_turn_polled_at = None
 
     def end_turn(self) -> None:
-        """All that was reported in this turn has been read, but for what spoilt it."""
-        if self._turn_began_at is None:
+        """Advance the watermark, unless the turn was marked incomplete."""
+        if self._complete_turn_polled_at is None:
             return
         self._read_through = max(self._read_through, self._accepted_through)
         if not self.backlogged:
-            self._accepted_through = self._turn_began_at
+            self._accepted_through = self._complete_turn_polled_at
--- a/query_gateway/net/arrivals.py
+++ b/query_gateway/net/arrivals.py
@@ -1,35 +1,39 @@
-"""When the bytes of a connection came: a peer's time runs from then, however late the loop reads them."""
+"""Arrival times of the bytes of a connection.
+
+Timeouts and deadlines of a request count from its arrival, however late the loop reads it.
+"""
 
 from typing import NamedTuple
 
-MAX_ENTRIES = 64  # kept of one connection; beyond it two are joined, at the earlier time
+MAX_ENTRIES = 64  # per connection; beyond it the newest two are merged, at the earlier time
 
 
 class _Arrival(NamedTuple):
-    end_position: int  # how many bytes had been received with it
+    end_position: int  # bytes received on the connection, up to and including these
     time: "ArrivalTime"
 
 
 class ArrivalTime(NamedTuple):
-    """When bytes had come, in loop times: within this span."""
+    """The range of loop times in which bytes arrived."""
 
     earliest: float
-    latest: float  # the same as `earliest` where the machine does not tell it
+    latest: float  # the same as `earliest` where the kernel does not report it
 
 
 class ArrivalLog:
-    """The reads of one connection. Times are loop times in seconds."""
+    """The arrival times of the bytes of one connection, as loop times in seconds."""
 
     def __init__(self, unread_since: float | None = None) -> None:
-        """Nothing has been read; `unread_since`: what is read first may have waited since then."""
-        self.received = 0  # bytes since the connection began
-        self.unread_since = unread_since  # what is read next may have waited since then; None: not long
+        """`unread_since`: the first bytes to be read may have waited since then."""
+        self.received = 0  # bytes since the connection was opened
+        # Loop time since which the next bytes may have been unread; None: no longer than the loop's lag
+        self.unread_since = unread_since
         self._arrivals: list[_Arrival] = []  # few; an empty list is smaller than a deque
 
     def record_read(self, size: int, time: ArrivalTime, more_waits: bool) -> None:
-        """Note a read of so many bytes, which came at that time, or earlier where they were left unread.
+        """Record a read of `size` bytes that arrived at `time`, or earlier if they were left unread.
 
-        `more_waits`: further bytes that came with them may be unread still.
+        `more_waits`: bytes that arrived together with these may still be unread.
         """
         if self.unread_since is not None:
             time = ArrivalTime(min(time.earliest, self.unread_since), time.latest)
@@ -38,14 +42,14 @@
         self.record(size, time)
 
     def record(self, size: int, time: ArrivalTime) -> None:
-        """Note that so many further bytes have come."""
+        """Record the arrival of the next `size` bytes."""
         self.received += size
         if len(self._arrivals) >= MAX_ENTRIES:
             time = ArrivalTime(self._arrivals.pop().time.earliest, time.latest)
         self._arrivals.append(_Arrival(self.received, time))
 
     def time_of(self, position: int, default: float) -> ArrivalTime:
-        """When the byte at a position, counted from 1, had come; the bytes before it are forgotten."""
+        """The arrival time of the byte at `position`, counted from 1; drops the entries before it."""
         while self._arrivals and self._arrivals[0].end_position < position:
             del self._arrivals[0]
         return self._arrivals[0].time if self._arrivals else ArrivalTime(default, default)
--- a/query_gateway/net/buffered_socket.py
+++ b/query_gateway/net/buffered_socket.py
@@ -1,12 +1,12 @@
-"""Buffered reading and writing on one non-blocking socket, with the state of its connection.
+"""Buffered reading and writing on one non-blocking socket, and the state of its connection.
 
     connecting --dial succeeded--> connected --peer closed--> eof --.
         |                              |                            |-- close --> closed
         `--------- dial failed, connection broken -------> eof -----'
 
-The flags show which: `connected`, `eof` (nothing more will be read; with `reset` nothing will be written
-either), `closed`. Each changes once at most. After an `eof` without `reset` the peer may still read what is
-written.
+The state is held in the flags `connected`, `eof` (nothing more can be read; with `reset`, nothing can be
+written either) and `closed`. Each changes at most once. After an `eof` without `reset`, the peer may still
+read what is written.
 """
 
 import contextlib
@@ -15,13 +15,13 @@
 
 from query_gateway.net.arrivals import ArrivalLog, ArrivalTime
 from query_gateway.net.dial import dial_result
-from query_gateway.net.errors import LOCAL_DIAL_FAILURES, NOTHING_THERE, is_momentary
+from query_gateway.net.errors import LOCAL_DIAL_ERRORS, WOULD_BLOCK_ERRORS, is_transient
 from query_gateway.net.loop import IN, OUT, Loop
 from query_gateway.net.outbox import Outbox
 from query_gateway.net.tcp_info import seconds_since_last_data
 
 READ_SIZE_BYTES = 65_536
-MAX_INBOX_BYTES = 262_144  # read ahead of the consumer; beyond it reading pauses
+MAX_INBOX_BYTES = 262_144  # unconsumed bytes at which reading pauses
 
 
 class BufferedSocket:
@@ -34,39 +34,39 @@
         on_activity: Callable[[], None],
         waiting_since: float | None,
     ) -> None:
-        """Take over an accepted connection, or one that is about to be dialled; see `Stream`."""
+        """Take ownership of the socket of an accepted connection, or of one to be dialled; see `Stream`."""
         self.loop, self.sock, self.on_activity = loop, sock, on_activity
         self.inbox, self.outbox = bytearray(), Outbox()
         self.arrivals = ArrivalLog(waiting_since)
-        self._is_accepted = True  # its peer's time runs, so the times of arrival are kept
-        self.bytes_consumed = 0  # of those that have come
-        self._awaits_writable = False  # `try_write` could write nothing
+        self._is_accepted = True  # a client's deadlines count from arrival, so arrival times are recorded
+        self.bytes_consumed = 0  # bytes taken out of the inbox so far
+        self._awaits_writable = False  # `try_write` wrote nothing and needs a notification
         self.connected = True
         self.eof = self.reset = self.closed = False
-        self.is_local_failure = False  # the dial failed for want of something of our own machine
+        self.is_local_failure = False  # the dial failed for lack of a resource of this host
         self.read_paused = False  # the inbox is full
         sock.setblocking(False)
-        # May fail while the machine is short of buffers; the connection works without it, with later writes
+        # May fail while the host is short of buffers; the connection still works, but writes may be delayed
         with contextlib.suppress(OSError):
             sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         self.mask = IN
 
     def start(self) -> None:
-        """Begin to read an accepted connection."""
+        """Start reading an accepted connection."""
         self.loop.watch(self.sock, self.mask, self._ready)
         if self.arrivals.unread_since is not None:
-            # Only what is there already has waited; what comes later has not
+            # Only the bytes that are pending now have waited since then, not those that arrive later
             self.read_available()
             self.arrivals.unread_since = None
 
     @property
     def is_over(self) -> bool:
-        """Whether nothing more will be read, whoever ended it."""
+        """Whether nothing more can be read, whichever side ended the connection."""
         return self.closed or self.eof
 
     def _fail_dial(self, error: int) -> None:
         self.eof = True
-        self.is_local_failure = error in LOCAL_DIAL_FAILURES
+        self.is_local_failure = error in LOCAL_DIAL_ERRORS
 
     def _ready(self) -> None:
         if self.closed:
@@ -93,10 +93,10 @@
         self.connected = True
         return True
 
-    # ---- the read side
+    # ---- reading
 
     def _read_event(self) -> None:
-        """Read what the machine reported: once, or until nothing is left where the watermark is awaited."""
+        """Handle a read event: read once, or until nothing is left if the arrival watermark is awaited."""
         if not self._is_accepted or not self.loop.watermark.is_awaited:
             self._read()
             return
@@ -104,14 +104,14 @@
             pass
 
     def _read(self) -> bool:
-        """Read once; whether anything was there, be it the end of the connection."""
-        # Before the read: what comes behind it must not count as the time of what is read
+        """Read once; return whether there were bytes to read or the connection ended."""
+        # Asked before the read, so that data arriving after it does not count as the newest data read
         waited = seconds_since_last_data(self.sock) if self._is_accepted else None
         try:
             data = self.sock.recv(READ_SIZE_BYTES)
         except OSError as error:
-            if is_momentary(error):
-                if error.errno not in NOTHING_THERE and self._is_accepted:
+            if is_transient(error):
+                if error.errno not in WOULD_BLOCK_ERRORS and self._is_accepted:
                     self.loop.watermark.mark_turn_incomplete()
                 return False
             self.eof = self.reset = True
@@ -128,24 +128,24 @@
         return True
 
     def _arrival_time(self, waited: float | None) -> ArrivalTime:
-        """When what was read just now had come; the newest data has waited for so many seconds, if known."""
+        """The arrival time of the bytes just read; the newest arrived `waited` seconds ago, if known."""
         now = self.loop.now()
-        # It may have waited as long as the loop had no time for it
+        # The bytes may have been unread for as long as the loop was busy
         earliest = now - self.loop.lag()
         latest = earliest if waited is None else now - waited
         return ArrivalTime(min(earliest, latest), latest)
 
     def read_available(self) -> None:
-        """Read what has arrived since the last poll, for a decision that depends on it."""
+        """Read what has arrived since the last poll, for a decision that needs the latest state."""
         size_before, eof_before = len(self.inbox), self.eof
         while self.connected and not (self.eof or self.closed or self.read_paused) and self._read():
-            pass  # until nothing is left, so that an end behind the bytes is found, too
+            pass  # until nothing is left, so that the end of the connection after the bytes is detected
         if self.eof is not eof_before or len(self.inbox) > size_before:
             self._update_mask()
             self.on_activity()
 
     def take_inbox(self) -> bytes:
-        """Remove and return what was read; reading goes on if it was paused."""
+        """Remove and return the bytes in the inbox; resumes reading if it was paused."""
         data = bytes(self.inbox)
         self.inbox.clear()
         self.bytes_consumed += len(data)
@@ -154,10 +154,10 @@
             self._update_mask()
         return data
 
-    # ---- the write side
+    # ---- writing
 
     def write(self, data: bytes) -> None:
-        """Send now what the machine takes and queue what remains; dropped once the connection has ended."""
+        """Send what the kernel accepts now and queue the rest; drops `data` if the connection has ended."""
         if self.closed or self.reset:
             return
         if self.outbox or not self.connected:
@@ -167,10 +167,11 @@
         self._update_mask()
 
     def try_write(self, data: bytes) -> bool:
-        """Write if the machine takes at least the first byte now; what remains is queued. Whether it did.
+        """Write if the kernel accepts at least the first byte now, and queue the rest; return whether it did.
 
-        If not, nothing is written: `on_activity` is called when it may be tried again, or the connection has
-        ended. For a message that the caller checks just before it leaves, as queued it could become outdated.
+        If not, nothing is written or queued, and `on_activity` is called when the caller may try again or the
+        connection has ended. For messages that must be checked just before they are sent: a queued one could
+        become outdated.
         """
         if self.is_over or self.outbox or not self.connected:
             return False
@@ -183,18 +184,18 @@
         return bool(sent)
 
     def call_when_sent(self, callback: Callable[[], None]) -> None:
-        """Call once the machine has taken all that was written; never, if the connection ends first."""
+        """Call once the kernel has accepted all that was written; never, if the connection ends first."""
         if self.outbox or not self.connected:
             self.outbox.call_when_sent(callback)
         elif not self.reset and not self.closed:
             callback()
 
     def _send(self, data: bytes | bytearray) -> int | None:
-        """How many bytes the machine takes now; None if the connection is broken."""
+        """Send; return how many bytes the kernel accepted, or None if the connection is broken."""
         try:
             return self.sock.send(data)
         except OSError as error:
-            if is_momentary(error):
+            if is_transient(error):
                 return 0
         self.eof = self.reset = True
         self.on_activity()
@@ -208,14 +209,14 @@
             self.outbox.remove_sent(sent)
 
     def half_close(self) -> None:
-        """Send no more, but keep reading: see `close_gracefully`."""
+        """Shut down the sending side and keep reading; see `Stream.close_gracefully`."""
         try:
             self.sock.shutdown(socket.SHUT_WR)
         except OSError:
             self.eof = self.reset = True
 
     def _update_mask(self) -> None:
-        """Watch only for what can still happen: level-triggered epoll would wake the loop in each turn."""
+        """Watch only for events that can be handled; level-triggered epoll reports others in each turn."""
         if self.closed:
             return
         writes = bool(self.outbox) or not self.connected or self._awaits_writable
--- a/query_gateway/net/dial.py
+++ b/query_gateway/net/dial.py
@@ -1,24 +1,24 @@
-"""The outcome of a dial: a connect on a non-blocking socket, by the error code that Linux gives for it."""
+"""Dials, which are connects on non-blocking sockets, and their results as Linux error codes."""
 
 import errno
 import socket
 
 NO_ERROR = 0
-# A connect that was interrupted goes on, as one that is in progress
-DIAL_UNDER_WAY = (NO_ERROR, errno.EINPROGRESS, errno.EINTR)
+# A connect that a signal interrupts continues asynchronously, like one in progress
+DIAL_IN_PROGRESS = (NO_ERROR, errno.EINPROGRESS, errno.EINTR)
 
 
 def begin_dial(sock: socket.socket, address: tuple[str, int]) -> int:
-    """Begin to connect; the error with which the dial failed at once, or NO_ERROR: it is under way."""
+    """Start to connect; return the error if the dial failed immediately, else NO_ERROR."""
     code = sock.connect_ex(address)
-    return NO_ERROR if code in DIAL_UNDER_WAY else code
+    return NO_ERROR if code in DIAL_IN_PROGRESS else code
 
 
 def dial_result(sock: socket.socket) -> int | None:
-    """The error with which the dial failed, NO_ERROR if it succeeded, None while it is under way.
+    """The error with which the dial failed, NO_ERROR if it succeeded, None while it is in progress.
 
-    On loopback a dial of a port where nobody listens may be given that port itself and connect to itself: its
-    peer would be this process, and echo what is written. It counts as refused.
+    On loopback, a dial to a port without a listener may get that same port as its local port and connect to
+    itself (a TCP self-connect); it would read back what it writes. That counts as refused.
     """
     if error := sock.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR):
         return error
--- a/query_gateway/net/listener.py
+++ b/query_gateway/net/listener.py
@@ -1,4 +1,4 @@
-"""Listening sockets: accept in bounded batches, and shared or inherited sockets."""
+"""Listening sockets, possibly shared or inherited, which accept connections in bounded batches."""
 
 import errno
 import select
@@ -7,33 +7,34 @@
 from enum import Enum
 
 from query_gateway.net.descriptors import describe_descriptors
-from query_gateway.net.errors import CONNECTION_LOST_IN_BACKLOG
+from query_gateway.net.errors import BACKLOG_CONNECTION_ERRORS
 from query_gateway.net.log import log
 from query_gateway.net.loop import IN, Loop
 from query_gateway.net.retry import retry_at_start
 
-BACKLOG = 1024  # connections that the machine queues until they are accepted
-# Connections accepted in one event: descriptors of closed ones are freed only at the end of the loop's turn
+BACKLOG = 1024  # connections that the kernel queues until they are accepted
+# Connections accepted per event. Bounded because descriptors of closed connections are freed only at the end
+# of the loop turn
 MAX_ACCEPTS_PER_EVENT = 32
-MAX_IMMEDIATE_RETRIES = 3  # of an accept that failed: the next call may succeed
-ACCEPT_RETRY_SECONDS = 0.02  # pause of the listener when descriptors or buffers stay out
-CLOSE_TIMEOUT_SECONDS = 2.0  # for what still waits when a listener closes, if accept fails all the time
+MAX_IMMEDIATE_RETRIES = 3  # of a failed accept, as the next call may succeed
+ACCEPT_RETRY_SECONDS = 0.02  # pause of the listener while descriptors or buffers are exhausted
+CLOSE_TIMEOUT_SECONDS = 2.0  # for emptying the backlog when a listener closes, if accept keeps failing
 
 
 class ListenerState(Enum):
-    """What a listener accepts."""
+    """Which connections a listener accepts."""
 
-    INHERITED = "inherited"  # nothing yet: another process accepts at the same socket
+    INHERITED = "inherited"  # none yet: another process accepts on the same socket
     LISTENING = "listening"
-    RELEASED = "released"  # nothing, while another process accepts at the same socket; this one may again
-    CLOSING = "closing"  # only what waits already
-    CLOSED = "closed"  # nothing ever again
+    RELEASED = "released"  # none while another process accepts on the same socket; may resume
+    CLOSING = "closing"  # only those already in the backlog
+    CLOSED = "closed"  # none, for good
 
 
 class Listener:
     """Accepts connections in order and passes each to its callback; owns the listening socket.
 
-    INHERITED --resume--> LISTENING --close--> CLOSING --nobody waits, or `CLOSE_TIMEOUT_SECONDS`--> CLOSED
+    INHERITED --resume--> LISTENING --close--> CLOSING --backlog empty, or `CLOSE_TIMEOUT_SECONDS`--> CLOSED
                            |    ^
                        release  resume
                            v    |
@@ -48,25 +49,26 @@
         shared: bool = False,
         inherited: socket.socket | None = None,
     ) -> None:
-        """Listen at `address` and call `on_accept` with each socket and its peer's ADDRESS:PORT.
+        """Listen on `address` and call `on_accept` with each socket and its peer's ADDRESS:PORT.
 
-        `shared`: other processes may listen at the same address. `inherited`: a listening socket that another
-        process has as well; nothing is accepted there before `resume`. Raises OSError if it cannot listen.
+        `shared`: other processes may listen on the same address. `inherited`: a listening socket that another
+        process has open as well; nothing is accepted on it before `resume`. Raises OSError if the socket
+        cannot be opened.
         """
         self.loop, self.on_accept = loop, on_accept
         self.state = ListenerState.INHERITED if inherited else ListenerState.LISTENING
-        # Loop time since when connections may have been waiting; None: none waited at the last look
+        # Loop time since which connections may be in the backlog; None: it was empty when last checked
         self._waiting_since: float | None = None
         self._close_deadline = 0.0  # loop time
-        # Called when a connection waits and there is no descriptor for it; returns whether some become free
+        # Called if no descriptor is left for a connection in the backlog; returns whether some will be freed
         self.on_descriptors_exhausted: Callable[[], bool] = lambda: False
-        self.accept_failures = 0  # calls of accept that failed for this process's or the machine's sake
-        self._failures_in_row = 0
-        self._failing_since: float | None = None  # loop time of the first of these without a success since
+        self.accept_failures = 0  # accept calls that failed for lack of a resource of this process or host
+        self._consecutive_failures = 0
+        self._failing_since: float | None = None  # loop time of the first failure since the last success
         self.socket = inherited or retry_at_start(lambda: self._listening_socket(address, shared))
         self.address: tuple[str, int] = self.socket.getsockname()
         if inherited:
-            self._record_waiting()  # some may wait already
+            self._record_waiting()  # some connections may already be in the backlog
         else:
             self._listen()
 
@@ -86,42 +88,42 @@
         return sock
 
     def resume(self) -> None:
-        """Accept connections where another process did so far; else without effect."""
+        """Start to accept connections on an inherited or released socket; no effect in other states."""
         if self.state in (ListenerState.INHERITED, ListenerState.RELEASED):
             self.state = ListenerState.LISTENING
             self._listen_again()
 
     @property
     def closed(self) -> bool:
-        """Whether nothing is accepted, and will be only if another process ends first."""
+        """Whether nothing is accepted any more, unless another process ends and this one resumes."""
         return self.state in (ListenerState.RELEASED, ListenerState.CLOSED)
 
     @property
     def waiting_since(self) -> float | None:
-        """Loop time since when a connection accepted now may have waited; None: not beyond this turn."""
+        """Loop time since which a connection accepted now may have waited; None: only since this turn."""
         return self._waiting_since
 
     def _record_waiting(self) -> None:
-        """From now on connections may wait, until the backlog is seen empty."""
+        """Record that connections may be in the backlog until it is found empty."""
         self.loop.watermark.backlogged.add(self)
         if self._waiting_since is None:
             self._waiting_since = self.loop.now() - self.loop.lag()
 
     def _record_empty_backlog(self) -> None:
-        """Nobody waits: with that, a listener that closes is done."""
+        """Record that the backlog is empty, which completes the close of a listener that is CLOSING."""
         self.loop.watermark.backlogged.discard(self)
         self._waiting_since = None
         if self.state is ListenerState.CLOSING:
             self._finish_closing()
 
     def _has_waiting_connection(self) -> bool:
-        """Whether the backlog holds a connection, also while none can be accepted."""
+        """Whether the backlog holds a connection; works even if accept would fail."""
         poll = select.poll()
         poll.register(self.socket, select.POLLIN)
         try:
             return bool(poll.poll(0))
         except OSError:
-            return True  # not known
+            return True  # unknown; assume so
 
     def _ready(self) -> None:
         for _ in range(MAX_ACCEPTS_PER_EVENT):
@@ -133,7 +135,7 @@
             self._record_empty_backlog()
 
     def _accept(self) -> bool:
-        """Accept one connection; False if none waits or none can be accepted now."""
+        """Accept one connection; return False if the backlog is empty or accept cannot succeed now."""
         try:
             sock, (host, port) = self.socket.accept()
         except BlockingIOError:
@@ -141,17 +143,17 @@
             self._record_empty_backlog()
             return False
         except OSError as error:
-            if error.errno in CONNECTION_LOST_IN_BACKLOG:
+            if error.errno in BACKLOG_CONNECTION_ERRORS:
                 return True
-            # Without a descriptor to give, accept fails before it looks whether anybody waits
+            # Without a free descriptor, accept fails even if the backlog is empty
             if not self._has_waiting_connection():
                 self._record_empty_backlog()
                 return False
             self._record_failure(error)
-            if self._failures_in_row <= MAX_IMMEDIATE_RETRIES:
+            if self._consecutive_failures <= MAX_IMMEDIATE_RETRIES:
                 return True
             if error.errno == errno.EMFILE and self._reclaim_descriptors():
-                self._record_waiting()  # they are free at the end of the turn, and the next one accepts
+                self._record_waiting()  # descriptors are freed at the end of this turn; the next turn accepts
             else:
                 self._retry_accept_later()
             return False
@@ -159,35 +161,35 @@
         try:
             self.on_accept(sock, f"{host}:{port}")
         except OSError as error:
-            # One connection failed as it was set up. Those behind it in the backlog are accepted all the same
-            log("accept", f"cannot serve {host}:{port}: {error.strerror}")
+            # The set-up of this connection failed; those behind it in the backlog are still accepted
+            log("accept", f"cannot set up connection from {host}:{port}: {error.strerror}")
             sock.close()
         return True
 
     def _reclaim_descriptors(self) -> bool:
-        """Whether some become free at the end of the turn."""
+        """Try to free descriptors; return whether some are freed at the end of the turn."""
         return self.state is ListenerState.LISTENING and self.on_descriptors_exhausted()
 
     def _record_failure(self, error: OSError) -> None:
         self.accept_failures += 1
-        self._failures_in_row += 1
+        self._consecutive_failures += 1
         if self._failing_since is None:
             self._failing_since = self.loop.now()
             log("accept", f"cannot accept: {error.strerror}; {describe_descriptors()}")
 
     def _record_success(self) -> None:
-        self._failures_in_row = 0
+        self._consecutive_failures = 0
         if self._failing_since is not None:
             log("accept", f"accepts again after {self.loop.now() - self._failing_since:.3f} s")
             self._failing_since = None
 
     def _retry_accept_later(self) -> None:
-        """Descriptors or buffers are out: accept again after `ACCEPT_RETRY_SECONDS`.
+        """Pause accepting for `ACCEPT_RETRY_SECONDS`, as descriptors or buffers are exhausted.
 
-        Watched meanwhile, the socket would be reported as ready in every turn, and the loop never sleep.
+        The socket is not watched meanwhile: it would be ready in every turn, and the loop would never sleep.
         """
         self._record_waiting()
-        self._failures_in_row = 0
+        self._consecutive_failures = 0
         now = self.loop.now()
         if self.state is ListenerState.LISTENING:
             self.loop.watch(self.socket, 0, self._ready)
@@ -198,7 +200,7 @@
             self._finish_closing()
 
     def _listen_again(self) -> None:
-        """Listen after a pause. Nobody may wait any more, and then no event will say so."""
+        """Listen after a pause; checks for an empty backlog first, as epoll does not report one."""
         if self.state is not ListenerState.LISTENING:
             return
         if not self._has_waiting_connection():
@@ -210,9 +212,9 @@
             self.loop.watch(self.socket, IN, self._ready)
 
     def release(self) -> None:
-        """Stop accepting and leave the backlog to the other process that has this socket.
+        """Stop accepting and leave the backlog to the other process that has this socket open.
 
-        It stays open here, or clients in the backlog would be reset if the other process died.
+        It stays open here as well; otherwise clients in the backlog would be reset if that process died.
         """
         if self.state is ListenerState.LISTENING:
             self.state = ListenerState.RELEASED
@@ -220,11 +222,11 @@
             self.loop.watch(self.socket, 0, self._ready)
 
     def close(self) -> None:
-        """Accept what waits in the backlog, then stop.
+        """Accept the connections in the backlog, then stop.
 
-        The machine has completed the connections in the backlog, and their clients may have sent a request: a
-        closed listening socket would reset them. So where accept fails for the moment, CLOSING lasts until
-        they have been accepted, or for `CLOSE_TIMEOUT_SECONDS`.
+        The kernel has established the connections in the backlog, and their clients may have sent requests;
+        closing the listening socket would reset them. If accept fails temporarily, the state therefore stays
+        CLOSING until they are accepted, for at most `CLOSE_TIMEOUT_SECONDS`.
         """
         if self.state in (ListenerState.RELEASED, ListenerState.CLOSING, ListenerState.CLOSED):
             return
--- a/query_gateway/net/outbox.py
+++ b/query_gateway/net/outbox.py
@@ -1,46 +1,44 @@
-"""The bytes that are queued to be written to a connection, and the callbacks for when they have left."""
+"""Bytes queued for writing to a connection, with callbacks that are called once they are sent."""
 
 from collections.abc import Callable
 from typing import NamedTuple
 
 
-class _Mark(NamedTuple):
-    """How many of the bytes ever queued must have left for a callback to be due."""
-
-    end: int
+class _SentCallback(NamedTuple):
+    end_position: int  # in bytes ever queued; the callback is due once all up to it are sent
     callback: Callable[[], None]
 
 
 class Outbox:
-    """Bytes in the order in which they leave; empty if there are none. Knows no socket."""
+    """Bytes in the order in which they are sent; false if there are none. Independent of the socket."""
 
     def __init__(self) -> None:
-        """Nothing is queued."""
+        """Start empty."""
         self.data = bytearray()
-        self._queued = 0  # bytes ever queued, less those dropped
-        self._marks: list[_Mark] = []  # few; an empty list is smaller than a deque
+        self._queued_bytes = 0  # bytes ever queued, without those dropped
+        self._callbacks: list[_SentCallback] = []  # few; an empty list is smaller than a deque
 
     def __len__(self) -> int:
-        """Bytes that have not left."""
+        """Number of bytes that are not sent."""
         return len(self.data)
 
     def append(self, data: bytes) -> None:
-        """Queue bytes behind those that are there."""
+        """Queue bytes after those already queued."""
         self.data += data
-        self._queued += len(data)
+        self._queued_bytes += len(data)
 
     def call_when_sent(self, callback: Callable[[], None]) -> None:
-        """Call once all that is queued now has left; never, if it is dropped."""
-        self._marks.append(_Mark(self._queued, callback))
+        """Call once everything queued so far is sent; never, if it is dropped."""
+        self._callbacks.append(_SentCallback(self._queued_bytes, callback))
 
     def remove_sent(self, count: int) -> None:
-        """Remove the first bytes, which have left, and call the callbacks that are due by that."""
+        """Remove the first `count` bytes, which were sent, and call the callbacks that are now due."""
         del self.data[:count]
-        while self._marks and self._marks[0].end <= self._queued - len(self.data):
-            self._marks.pop(0).callback()
+        while self._callbacks and self._callbacks[0].end_position <= self._queued_bytes - len(self.data):
+            self._callbacks.pop(0).callback()
 
     def drop(self) -> None:
-        """Drop what has not left; none of its callbacks is called."""
-        self._queued -= len(self.data)
+        """Drop the bytes that are not sent; their callbacks are not called."""
+        self._queued_bytes -= len(self.data)
         self.data.clear()
-        self._marks.clear()
+        self._callbacks.clear()
--- a/query_gateway/net/retry.py
+++ b/query_gateway/net/retry.py
@@ -1,27 +1,30 @@
-"""Makes a call again that failed for a moment, for the start of a process: nothing else runs there yet."""
+"""Retries system calls while a process starts.
+
+It blocks between attempts, which is harmless only because nothing else runs in the process yet.
+"""
 
 import errno
 import time
 from collections.abc import Callable
 from typing import TypeVar
 
-from query_gateway.net.errors import MOMENTARY
+from query_gateway.net.errors import TRANSIENT_ERRORS
 
 Result = TypeVar("Result")
 
-# Beside what passes by itself: descriptors, which other processes may give back
-START_ERRORS = MOMENTARY | {errno.ENFILE, errno.EMFILE, errno.EADDRNOTAVAIL}
+# Transient errors, and a lack of descriptors or ports, which other processes may free
+RETRIED_START_ERRORS = TRANSIENT_ERRORS | {errno.ENFILE, errno.EMFILE, errno.EADDRNOTAVAIL}
 START_RETRY_SECONDS = 0.05
 START_TIMEOUT_SECONDS = 5.0
 
 
 def retry_at_start(call: Callable[[], Result]) -> Result:
-    """The result of the call, which is made again for `START_TIMEOUT_SECONDS`; raises its last OSError."""
+    """Return the result of `call`, retried for up to `START_TIMEOUT_SECONDS`; raises its last OSError."""
     deadline = time.monotonic() + START_TIMEOUT_SECONDS
     while True:
         try:
             return call()
         except OSError as error:
-            if error.errno not in START_ERRORS or time.monotonic() >= deadline:
+            if error.errno not in RETRIED_START_ERRORS or time.monotonic() >= deadline:
                 raise
         time.sleep(START_RETRY_SECONDS)
--- a/query_gateway/net/steady_clock.py
+++ b/query_gateway/net/steady_clock.py
@@ -1,32 +1,32 @@
-"""The clock of the core: nanoseconds of real time, which no step of the machine's wall clock moves.
+"""The steady clock of `model`, `policy` and `forwarder`, in nanoseconds; wall-clock steps do not affect it.
 
-It is the machine's monotonic clock, so all processes on one machine read the same values, and a planner
-process understands the times of a forwarder. Only what comes from outside is given as a time of the wall
-clock: the start of an engine, and times in a state that another version of the program has written.
+It is based on the host's monotonic clock, so all processes on one host read the same values, and a planner
+process can use the times of a forwarder. Wall-clock times occur only in data from outside: the start of an
+engine, and inherited state that another version of the program has written.
 """
 
 import time
 
-# Keeps the values far from 0, which stands for "never", however short ago the machine was started
+# Added to the monotonic clock, which is near 0 after a boot of the host: a time of 0 means "never"
 EPOCH_NS = 10**18
 NANOSECONDS_PER_SECOND = 1e9
 
 
 def steady_now_ns() -> int:
-    """The time now."""
+    """The current time of the steady clock, in nanoseconds."""
     return EPOCH_NS + time.monotonic_ns()
 
 
 def loop_time_of(clock_time_ns: int) -> float:
-    """The loop time (seconds) of a time of this clock."""
+    """Convert a time of the steady clock (nanoseconds) to loop time (seconds)."""
     return (clock_time_ns - EPOCH_NS) / NANOSECONDS_PER_SECOND
 
 
 def clock_time_of(loop_time: float) -> int:
-    """The time of this clock (nanoseconds) of a loop time (seconds)."""
+    """Convert a loop time (seconds) to a time of the steady clock (nanoseconds)."""
     return EPOCH_NS + int(loop_time * NANOSECONDS_PER_SECOND)
 
 
 def wall_clock_offset_ns() -> int:
-    """What must be added to a time of this clock to get that of the wall clock, as it is set just now."""
+    """Nanoseconds by which the wall clock, as it is set now, is ahead of the steady clock."""
     return time.time_ns() - steady_now_ns()
--- a/query_gateway/net/tcp_info.py
+++ b/query_gateway/net/tcp_info.py
@@ -1,4 +1,4 @@
-"""What Linux tells of a TCP connection (tcp(7), `struct tcp_info` in linux/tcp.h)."""
+"""Reads TCP_INFO of a connection (tcp(7), `struct tcp_info` in linux/tcp.h)."""
 
 import socket
 import sys
@@ -6,13 +6,13 @@
 STATE_OFFSET = 0
 LAST_DATA_RECEIVED_OFFSET = 52  # tcpi_last_data_recv: 32 bits, milliseconds ago
 INFO_SIZE_BYTES = 56
-NO_STATE = 0  # no TCP state has this number: the call was answered without being understood
+NO_STATE = 0  # not a TCP state: the call succeeded without filling in the structure
 
 
 def seconds_since_last_data(sock: socket.socket) -> float | None:
-    """How long ago the machine received the newest data of a connection, read or not; None if not known.
+    """Seconds since the kernel received the newest data of a connection, read or unread; None if unknown.
 
-    By the machine's own monotonic clock, to its timer tick (10 ms at most).
+    Measured by the kernel's monotonic clock, with the resolution of its timer tick (at most 10 ms).
     """
     try:
         info = sock.getsockopt(socket.IPPROTO_TCP, socket.TCP_INFO, INFO_SIZE_BYTES)
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -48,4 +48,4 @@
 @pytest.fixture
 def reset_log_rate_limit(monkeypatch: pytest.MonkeyPatch) -> None:
     """Reset the log's rate limit, so that no earlier test suppresses the lines a test looks for."""
-    monkeypatch.setattr(log, "_kinds", {})
+    monkeypatch.setattr(log, "_buckets", {})
--- a/tests/test_operator_file.py
+++ b/tests/test_operator_file.py
@@ -14,7 +14,7 @@
 
 @pytest.fixture(autouse=True)
 def full_log_budget(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(log, "_kinds", {})
+    monkeypatch.setattr(log, "_buckets", {})
 
 
 def operator_file(folder: Path, query_class: str) -> str:
