--- a/query_gateway/admin/__init__.py
+++ b/query_gateway/admin/__init__.py
@@ -1,5 +1,6 @@
-"""The admin server at the second address: readiness, draining and figures for operators, one line a call.
+"""The admin server: readiness, draining and figures for operators, with one command per connection.
 
-Decides nothing but the text of its answers; owns its connections and listener. The figures are counted since
-the start of the process and lost with it. Imported by the composition root and by `lifecycle`.
+It listens on the admin address (`ops`). The package formats the responses and owns the admin connections and
+their listener, but makes no other decisions. Figures count from the start of the process and are not kept
+beyond its end. The package is imported by the composition root and by `lifecycle`.
 """
--- a/query_gateway/admin/figures.py
+++ b/query_gateway/admin/figures.py
@@ -1,11 +1,11 @@
-"""The figures as text, a line each: `svc_NAME{LABEL} VALUE`."""
+"""Formats the figures as text lines of the form `svc_NAME{LABEL="..."} VALUE`."""
 
 from dataclasses import dataclass
 
 from query_gateway.forwarder.counters import Counters
 from query_gateway.forwarder.messages import Verdict
 
-ANSWER_FIGURES = {
+ANSWER_FIGURE_NAMES = {
     Verdict.SERVED: "svc_succeeded_total",
     Verdict.REJECTED: "svc_declined_total",
     Verdict.FAILED: "svc_aborted_total",
@@ -18,20 +18,20 @@
 
 @dataclass(slots=True, frozen=True)
 class Gauges:
-    """What is counted at the time of a call."""
+    """The figures that are sampled when they are requested, rather than counted."""
 
-    outstanding: int  # open requests
-    discovered: int  # engines on the endpoint list
-    ejected: int  # those of them that planners have ejected
-    held_for_order: int  # requests with a key that wait for one that may have come before them
-    accept_failures: int  # calls of accept that failed, over all listeners
+    outstanding: int  # unanswered requests
+    discovered: int  # engines in the endpoint list
+    ejected: int  # engines of the list that the planners have ejected
+    held_for_order: int  # requests with a key that are held while an earlier request may still be unread
+    accept_failures: int  # failed calls of accept(), summed over all listeners
 
 
 def render_figures(counters: Counters, gauges: Gauges) -> list[str]:
-    """The lines, without line feeds."""
+    """Format all figures as lines without line feeds."""
     answers = [
         f'{name}{{service="{_escape_label(class_name)}"}} {counts[verdict]}'
-        for verdict, name in ANSWER_FIGURES.items()
+        for verdict, name in ANSWER_FIGURE_NAMES.items()
         for class_name, counts in counters.answers.items()
     ]
     early_rejections = [
--- a/query_gateway/admin/gateway_figures.py
+++ b/query_gateway/admin/gateway_figures.py
@@ -1,4 +1,4 @@
-"""Collects the figures that the second address reports."""
+"""Collects the figures that the admin server reports."""
 
 from collections.abc import Callable, Collection
 from typing import TYPE_CHECKING
@@ -12,7 +12,7 @@
 
 
 class GatewayFigures:
-    """Reads each figure where it is counted, at the time of a call."""
+    """Reads the current value of each figure from the component that maintains it."""
 
     def __init__(
         self,
@@ -21,18 +21,18 @@
         statements: "StatementService | None",
         listeners: Collection[Listener],
     ) -> None:
-        """Nothing is counted here.
+        """Keep references to the sources of the figures; no figure is counted here.
 
-        `ejected_endpoints` gives the names of those that planners have ejected; `statements` is None where
-        statements are not classified, and then there are no figures about them. `listeners` are those that
-        clients connect to.
+        `ejected_endpoints` returns the names of the endpoints that the planners have ejected. `statements` is
+        None if statements are not classified; their figures are then left out. `listeners` are the listeners
+        for clients.
         """
         self.listeners = listeners
         self.forwarder, self.statements = forwarder, statements
         self.ejected_endpoints = ejected_endpoints
 
     def lines(self) -> list[str]:
-        """The figures as they are now, one a line."""
+        """Format the current figures, one per line."""
         endpoints = self.forwarder.endpoints
         ejected_count = sum(name in endpoints for name in self.ejected_endpoints())
         gauges = Gauges(
--- a/query_gateway/cli.py
+++ b/query_gateway/cli.py
@@ -1,6 +1,6 @@
 """The command line: `query-gateway run`, `check` and `statements classify`.
 
-`python -m query_gateway` alone is `run`.
+`python -m query_gateway` without arguments is equivalent to `run`.
 """
 
 import json
@@ -17,7 +17,7 @@
 from query_gateway.configuration.errors import ConfigurationError
 from query_gateway.configuration.operator_file import (
     StatementSettings,
-    find_operator_faults,
+    find_operator_file_errors,
     load_operator_file,
     parse_statement_settings,
 )
@@ -32,23 +32,23 @@
 
 CONFIGURATION_VARIABLE = "ROUTER_CONFIG"
 OPERATOR_FILE_VARIABLE = "QUERY_GATEWAY_OPERATOR_FILE"
-DEVELOPMENT_VERSION = "0.3.0"  # of a program that is started from its folder, not installed
-EXIT_FAULT = 2
-EXIT_NO_PARSER = 1
-PARSER_TIMEOUT = 30.0  # seconds that one statement may wait for a parser process
+DEVELOPMENT_VERSION = "0.3.0"  # reported if the package is run from a checkout, without being installed
+EXIT_INVALID_CONFIGURATION = 2
+EXIT_PARSER_UNAVAILABLE = 1
+PARSER_TIMEOUT_SECONDS = 30.0  # how long a statement may wait for a parser process
 
 
 class StatementLineError(Exception):
-    """A line of the input to `classify` that holds no statement."""
+    """An input line of `classify` that does not contain a statement."""
 
     def __init__(self) -> None:
-        """The message is what `classify` prints as the reason."""
-        super().__init__('not a line {"sql": "..."}')
+        """Set the message, which `classify` prints as the reason."""
+        super().__init__('expected a JSON object with "sql" and optionally "class", "key" and "params"')
 
 
 @dataclass(slots=True, frozen=True)
 class StatementLine:
-    """One line of the input to `classify`: a statement, and what a client may send with it."""
+    """A parsed input line of `classify`: a statement, with the class, key and parameters of its client."""
 
     sql: str
     class_name: str | None
@@ -70,13 +70,21 @@
 
 
 @main.command()
-@click.option("--config", type=click.Path(dir_okay=False), help=f"In place of {CONFIGURATION_VARIABLE}.")
-@click.option("--operator", type=click.Path(dir_okay=False), help=f"In place of {OPERATOR_FILE_VARIABLE}.")
+@click.option(
+    "--config",
+    type=click.Path(dir_okay=False),
+    help=f"Configuration file; overrides {CONFIGURATION_VARIABLE}.",
+)
+@click.option(
+    "--operator",
+    type=click.Path(dir_okay=False),
+    help=f"Operator's file; overrides {OPERATOR_FILE_VARIABLE}.",
+)
 def run(config: str | None, operator: str | None) -> None:
     """Start a gateway."""
     from query_gateway.lifecycle.process import serve
 
-    # In the environment, not in an argument: a reload reads it again, and worker processes inherit it
+    # Set in the environment rather than passed on: a reload reads it again, and worker processes inherit it
     if config:
         os.environ[CONFIGURATION_VARIABLE] = config
     if operator:
@@ -86,65 +94,66 @@
 
 @main.command()
 @click.argument("files", nargs=-1, required=True, type=click.Path(dir_okay=False))
-@click.option("--operator", type=click.Path(dir_okay=False), help="An operator's file to check beside it.")
+@click.option("--operator", type=click.Path(dir_okay=False), help="An operator's file to check as well.")
 def check(files: tuple[str, ...], operator: str | None) -> None:
-    """Check FILES: the configuration (.json) and operators' files (.toml), each fault with its place.
+    """Validate FILES: the configuration (.json) and operators' files (.toml).
 
-    Exit code 2 if there is a fault. Where both are given, also whether they go together.
+    Prints every error with its location and exits with code 2 if there is any. If files of both kinds are
+    given, their consistency with each other is checked as well.
     """
     operator_files = [file for file in files if file.endswith(".toml")] + ([operator] if operator else [])
     config: Configuration | None = None
-    faults: list[str] = []
+    errors: list[str] = []
     for file in (file for file in files if not file.endswith(".toml")):
-        config, found = _check_configuration(file)
-        faults += [f"{file}: {fault}" for fault in found]
+        config, file_errors = _check_configuration(file)
+        errors += [f"{file}: {error}" for error in file_errors]
     for file in operator_files:
-        faults += _check_operator_file(file, config)
-    for fault in faults:
-        click.echo(fault, err=True)
-    if faults:
-        sys.exit(EXIT_FAULT)
+        errors += _check_operator_file(file, config)
+    for error in errors:
+        click.echo(error, err=True)
+    if errors:
+        sys.exit(EXIT_INVALID_CONFIGURATION)
     click.echo("no faults")
 
 
 def _check_configuration(file: str) -> tuple[Configuration | None, list[str]]:
-    """The configuration that the file holds, if it has no fault, and its faults."""
-    from query_gateway.configuration.schema import find_configuration_faults
+    """Read and validate a configuration file: the configuration if it is valid, and the errors."""
+    from query_gateway.configuration.schema import find_configuration_errors
 
     try:
         raw = load_configuration_file(file)
-        faults = find_configuration_faults(raw)
-        return (None, faults) if faults else (parse_configuration(raw, {}), [])
+        errors = find_configuration_errors(raw)
+        return (None, errors) if errors else (parse_configuration(raw, {}), [])
     except ConfigurationError as error:
         return None, [str(error).removeprefix(f"{file}: ")]
 
 
 def _check_operator_file(file: str, config: Configuration | None) -> list[str]:
-    """The faults of an operator's file, and its contradictions with the configuration."""
+    """The errors of an operator's file, including inconsistencies with the configuration if one is given."""
     try:
-        return [f"{file}: {fault}" for fault in find_operator_faults(load_operator_file(file), config)]
+        return [f"{file}: {error}" for error in find_operator_file_errors(load_operator_file(file), config)]
     except ConfigurationError as error:
         return [str(error)]
 
 
 @main.group()
 def statements() -> None:
-    """What the gateway makes of bare SQL."""
+    """Inspect how the gateway handles SQL statements."""
 
 
 @statements.command()
 @click.option("--rules", required=True, type=click.Path(dir_okay=False), help="An operator's file.")
 @click.argument("file", default="-", type=click.File("r", encoding="utf-8", errors="replace"))
 def classify(rules: str, file: TextIO) -> None:
-    """Read lines {"sql": "..."} from FILE or standard input and print what becomes of each.
+    """Read lines {"sql": "..."} from FILE or standard input and print the classification of each.
 
-    A line may also hold "class" and "key" as a client names them, and "params" with the values bound.
+    A line may also contain "class" and "key", as sent by a client, and "params", the bound parameter values.
     """
     try:
         settings = _read_statement_settings(rules)
     except ConfigurationError as error:
         click.echo(f"query-gateway: configuration: {error}", err=True)
-        sys.exit(EXIT_FAULT)
+        sys.exit(EXIT_INVALID_CONFIGURATION)
     service = _start_statements(settings)
     try:
         for line in file:
@@ -155,19 +164,19 @@
 
 
 def _read_statement_settings(file: str) -> StatementSettings:
-    """The table [statements] of an operator's file. Raises ConfigurationError."""
+    """Read the table [statements] of an operator's file. Raises ConfigurationError."""
     raw = load_operator_file(file)
-    faults = find_operator_faults(raw, None)
-    if faults:
-        raise ConfigurationError(f"{file}: {faults[0]}")
+    errors = find_operator_file_errors(raw, None)
+    if errors:
+        raise ConfigurationError(f"{file}: {errors[0]}")
     settings = parse_statement_settings(raw)
     if settings is None:
-        raise ConfigurationError(f"{file}: has no table [statements]")
+        raise ConfigurationError(f"{file}: there is no table [statements]")
     return settings
 
 
 def _start_statements(settings: StatementSettings) -> "StatementService":
-    """A statement service on a loop of its own, with the costs that a gateway has learned."""
+    """Create a statement service with its own loop, and with the learned costs if there is a snapshot."""
     from query_gateway.net.loop import Loop
     from query_gateway.parsing.service import StatementService
 
@@ -176,12 +185,12 @@
     service = StatementService(Loop(), rules, idempotent, settings.parser_count, settings.max_shapes)
     if settings.snapshot_path and Path(settings.snapshot_path).exists():
         service.restore(settings.snapshot_path)
-        service.snapshot_store = None  # the snapshot belongs to the gateway: it is read here, never written
+        service.snapshot_store = None  # the gateway owns the snapshot; this process must not write it
     return service
 
 
 def _parse_line(text: str) -> StatementLine:
-    """Raises StatementLineError."""
+    """Parse an input line. Raises StatementLineError."""
     try:
         raw = json.loads(text)
         sql, class_name, key, parameters = (raw.get(name) for name in ("sql", "class", "key", "params"))
@@ -194,7 +203,7 @@
 
 
 def _classify_line(service: "StatementService", text: str) -> dict[str, Any]:
-    """The classification of one line of input, as it is printed."""
+    """Classify the statement of an input line; the result is printed as JSON."""
     from query_gateway.statements.classifier import classification_line, rejected_decision
     from query_gateway.statements.errors import UnsupportedStatementError
 
@@ -219,17 +228,17 @@
 
 
 def _classifications(service: "StatementService", line: StatementLine) -> Iterator["Classification"]:
-    """Classify until there is a decision: none comes while a parser process that died is replaced."""
+    """Yield results until one has a decision: there is none while a crashed parser process is replaced."""
     from query_gateway.parsing.service import ClassificationRequest
 
     loop = service.loop
     request = ClassificationRequest(line.sql, line.class_name, line.key, line.parameters)
-    deadline = loop.now() + PARSER_TIMEOUT
+    deadline = loop.now() + PARSER_TIMEOUT_SECONDS
     while loop.now() < deadline:
-        answers: list[Classification] = []
-        service.classify(request, answers.append)
-        while not answers:
+        results: list[Classification] = []
+        service.classify(request, results.append)
+        while not results:
             loop.turn()
-        yield answers[0]
-    click.echo("query-gateway: no parser process answers", err=True)
-    sys.exit(EXIT_NO_PARSER)
+        yield results[0]
+    click.echo(f"query-gateway: no parser process answered within {PARSER_TIMEOUT_SECONDS:g} s", err=True)
+    sys.exit(EXIT_PARSER_UNAVAILABLE)
--- a/query_gateway/configuration/__init__.py
+++ b/query_gateway/configuration/__init__.py
@@ -1,15 +1,18 @@
-"""The platform's JSON, the settings in it, and the operator's file: read, checked and decoded.
+"""Reading, validation and decoding of the platform's JSON configuration and the operator's TOML file.
 
-Decides what is a fault and what its one line says. Owns no state: it returns frozen values.
+Defines what is invalid and with which one-line message it is reported. The package has no state; it returns
+immutable values.
 
-    errors                one base, and an error for each way in which a file can be wrong
-    platform              the platform's JSON: its keys, except for those of the settings
-    settings_parser       the keys and words of the settings, and the field that each of them fills
-    settings_flattening   the settings as path=value words, as the simulator sends them
-    operator_file         the operator's TOML
-    schema                the form of both files, and every fault; keys that differ from our names are aliases
+    errors                the base class of configuration errors, and a subclass for each kind of error
+    platform              the platform's JSON file, except for its settings
+    settings_parser       the keys and values of the settings, each with the field that it sets
+    settings_flattening   conversion of nested settings to path=value pairs, the format of the simulator
+    operator_file         the operator's TOML file
+    schema                pydantic models that validate both files; keys that differ from field names
+                          are aliases
 
-The keys of the files stand in these modules alone, those of an endpoint list in `discovery.endpoint_list`.
-Imported by the composition root, `lifecycle`, the command line and the simulator's adapter. `schema` loads
-pydantic, so it is imported only where an operator's file is named or a file is checked.
+The keys of the files are spelled out in these modules only, except for those of an endpoint list, which are
+in `discovery.endpoint_list`. The package is imported by the composition root, `lifecycle`, the command line
+and the simulator adapter. `schema` imports pydantic and is therefore imported only if an operator's file is
+used or a file is checked.
 """
--- a/query_gateway/configuration/errors.py
+++ b/query_gateway/configuration/errors.py
@@ -1,29 +1,29 @@
-"""The errors of this package, under one base. Each says in one line which value is wrong, and how."""
+"""The errors of this package. Each message is a single line that names the invalid value and the reason."""
 
 
 class ConfigurationError(Exception):
-    """A fault of the configuration or of the operator's file; its text is the one line that is reported."""
+    """An error in the configuration or the operator's file; the message is reported as a single line."""
 
 
 class ConfigurationFileError(ConfigurationError):
-    """A file that is not named, cannot be read, or is not JSON or TOML."""
+    """A file whose path is not set, that cannot be read, or that is not valid JSON or TOML."""
 
 
 class MissingValueError(ConfigurationError):
-    """A key that must be there and is not."""
+    """A required key that is missing."""
 
     def __init__(self, key: object) -> None:
-        """`key`: the name or the path of what is missing."""
+        """`key` is the name or the path of the missing key."""
         super().__init__(f"{key} is missing")
 
 
 class InvalidValueError(ConfigurationError):
-    """A value of the wrong type or out of its range."""
+    """A value of the wrong type or out of range."""
 
 
 class ContradictionError(ConfigurationError):
-    """Values that are valid each alone and do not go together."""
+    """Values that are valid individually but inconsistent with each other."""
 
 
 class SettingsError(ConfigurationError):
-    """A setting that is missing or cannot be decoded; names its path and its value."""
+    """A setting that is missing or cannot be decoded; the message gives its path and value."""
--- a/query_gateway/configuration/operator_file.py
+++ b/query_gateway/configuration/operator_file.py
@@ -1,6 +1,6 @@
-"""The operator's file: the optional parts of the gateway that it turns on, and its faults.
+"""The operator's file, which enables the optional parts of the gateway: reading, validation and decoding.
 
-The file is TOML; `schema` checks its form, and is loaded only where such a file is named.
+The file is TOML. `schema` validates its structure and is imported only if such a file is used.
 """
 
 import tomllib
@@ -26,24 +26,24 @@
 
 @dataclass(slots=True, frozen=True)
 class StatementSettings:
-    """How statements are classified: the rules, and what their parsing takes."""
+    """The classification of statements: its rules, and the resources of the parser processes."""
 
     rules: "Rules"
-    covers_http: bool = False  # the HTTP front, too, rejects writes under an idempotent class
+    covers_http: bool = False  # the HTTP front also rejects writes under an idempotent class
     max_shapes: int = 10_000
     parser_count: int = 2
-    snapshot_path: str = ""  # of the file with the learned costs; empty: they are lost with the process
+    snapshot_path: str = ""  # file for the learned costs; empty: they are lost when the process ends
 
 
 @dataclass(slots=True, frozen=True)
 class OperatorSettings:
-    """The parts that an operator's file turns on; by default all of them are off."""
+    """The optional parts that an operator's file enables; all of them are disabled by default."""
 
     flight_address: tuple[str, int] | None = None
     query_class: str = "lookup"
     update_class: str = "load"
     bgp: BgpSettings | None = None
-    planner_addresses: tuple[tuple[str, int], ...] = ()  # of planner processes; empty: one in the gateway
+    planner_addresses: tuple[tuple[str, int], ...] = ()  # empty: the planner runs in the gateway process
     forwarder_count: int = 1
     statements: StatementSettings | None = None
 
@@ -89,63 +89,71 @@
 
 
 def parse_statement_settings(raw: Any) -> StatementSettings | None:
-    """Decode the table `statements` of an operator's file that has no faults, if it has that table."""
+    """Decode the table `statements` of a valid operator's file; None if the file does not have this table."""
     from query_gateway.configuration import schema
 
     table = schema.OperatorFile.model_validate(raw).statements
     return _decode_statements(table) if table else None
 
 
-def find_operator_faults(raw: Any, configuration: Configuration | None) -> list[str]:
-    """Every fault of an operator's file: those of its form, or else contradictions with the configuration."""
+def find_operator_file_errors(raw: Any, configuration: Configuration | None) -> list[str]:
+    """All errors of an operator's file.
+
+    Its tables are checked against each other and against the configuration only if each is valid by itself
+    and `configuration` is given.
+    """
     from query_gateway.configuration import schema
 
-    faults = schema.find_operator_faults(raw)
-    if faults or configuration is None:
-        return faults
-    return list(_contradictions(schema.OperatorFile.model_validate(raw), configuration))
+    errors = schema.find_operator_file_errors(raw)
+    if errors or configuration is None:
+        return errors
+    return list(_consistency_errors(schema.OperatorFile.model_validate(raw), configuration))
 
 
-def _contradictions(file: "schema.OperatorFile", configuration: Configuration) -> Iterator[str]:
+def _consistency_errors(file: "schema.OperatorFile", configuration: Configuration) -> Iterator[str]:
     if file.statements and not file.flight and not file.statements.covers_http:
-        yield "statements: no front reads statements: it needs [flight], or web = true"
+        yield "statements: no front reads statements; add [flight] or set web = true"
     if file.flight:
-        yield from _class_faults("flight.query_class", file.flight.query_class, configuration)
-        yield from _class_faults("flight.update_class", file.flight.update_class, configuration)
+        yield from _undefined_class_errors("flight.query_class", file.flight.query_class, configuration)
+        yield from _undefined_class_errors("flight.update_class", file.flight.update_class, configuration)
     if file.statements:
-        yield from _statement_class_faults(file.statements, configuration)
+        yield from _statement_class_errors(file.statements, configuration)
     if configuration.admin_address and file.processes and file.processes.forwarders > 1:
-        yield "processes.forwarders: the second address needs one forwarder: figures are not added up"
+        yield "processes.forwarders: must be 1 with an admin address, as figures are not summed"
 
 
-def _class_faults(location: str, name: str, configuration: Configuration) -> Iterator[str]:
+def _undefined_class_errors(location: str, name: str, configuration: Configuration) -> Iterator[str]:
     if name not in configuration.classes:
-        yield f"{location}: names class {name!r}, which the settings lack"
+        yield f"{location}: class {name!r} is not defined in the settings"
 
 
-def _statement_class_faults(table: "schema.Statements", configuration: Configuration) -> Iterator[str]:
-    """Statements that read need idempotent classes, and those that write one that is not idempotent."""
+def _statement_class_errors(table: "schema.Statements", configuration: Configuration) -> Iterator[str]:
+    """Check that reads have idempotent classes, and writes a class that is not idempotent."""
     for key, name in (("lookup", table.lookup), ("report", table.report), ("load", table.load)):
-        if not name:  # no class for writes: they are rejected
+        if not name:  # writes have no class and are rejected
             continue
         location = f"statements.{key}"
         if name not in configuration.classes:
-            yield from _class_faults(location, name, configuration)
+            yield from _undefined_class_errors(location, name, configuration)
             continue
         is_idempotent = name in idempotent_classes(configuration)
         if is_idempotent is (key == "load"):
-            verb = "may" if is_idempotent else "may not"
-            yield f"{location}: names class {name!r}, whose requests {verb} run twice"
+            problem = (
+                "is idempotent: its writes could run twice"
+                if is_idempotent
+                else "is not idempotent: its reads could not be retried"
+            )
+            yield f"{location}: class {name!r} {problem}"
 
 
 def parse_operator_settings(raw: Any, configuration: Configuration) -> OperatorSettings:
-    """Check and decode the TOML of an operator's file; raises ConfigurationError with its first fault."""
+    """Validate and decode the TOML of an operator's file; raises ConfigurationError with the first error."""
     from query_gateway.configuration import schema
 
-    faults = find_operator_faults(raw, configuration)
-    if faults:
-        more = f" (and {len(faults) - 1} more: see `query-gateway check`)" if len(faults) > 1 else ""
-        raise ConfigurationError(f"the operator's file: {faults[0]}{more}")
+    errors = find_operator_file_errors(raw, configuration)
+    if errors:
+        more = f" (and {len(errors) - 1} more: run `query-gateway check`)" if len(errors) > 1 else ""
+        raise ConfigurationError(f"the operator's file: {errors[0]}{more}")
     file = schema.OperatorFile.model_validate(raw)
     flight, processes = file.flight, file.processes
     return OperatorSettings(
@@ -160,17 +168,17 @@
 
 
 def load_operator_file(path: str) -> Any:
-    """The TOML of a file, not yet checked; raises ConfigurationFileError if it cannot be read."""
+    """Read a TOML file without validating it; raises ConfigurationFileError if that fails."""
     try:
         return tomllib.loads(Path(path).read_text())
     except OSError as error:
         raise ConfigurationFileError(f"{path}: {error.strerror}") from None
     except ValueError as error:
-        raise ConfigurationFileError(f"{path} is not TOML ({error})") from None
+        raise ConfigurationFileError(f"{path} is not valid TOML ({error})") from None
 
 
 def _operator_file_path(environ: Mapping[str, str]) -> str | None:
-    """The path that the environment names; the deprecated variable is used only without the other."""
+    """The path from the environment; the deprecated variable is used only if the current one is not set."""
     if path := environ.get(OPERATOR_FILE_VARIABLE):
         return path
     path = environ.get(DEPRECATED_OPERATOR_FILE_VARIABLE)
@@ -183,7 +191,7 @@
 
 
 def read_operator_settings(environ: Mapping[str, str], configuration: Configuration) -> OperatorSettings:
-    """Read the file that QUERY_GATEWAY_OPERATOR_FILE names, if any; raises ConfigurationError."""
+    """Read the file given by QUERY_GATEWAY_OPERATOR_FILE, if it is set; raises ConfigurationError."""
     path = _operator_file_path(environ)
     if not path:
         return OperatorSettings()
--- a/query_gateway/configuration/platform.py
+++ b/query_gateway/configuration/platform.py
@@ -1,7 +1,7 @@
-"""The platform's configuration: its JSON file, checked and decoded into one frozen value.
+"""The platform's configuration: its JSON file, validated and decoded into an immutable `Configuration`.
 
-The keys of that file stand here, and those of its settings in `settings_parser`. A file with a fault is
-rejected as a whole, with one line that names the value.
+Defines the keys of that file; those of its settings are defined in `settings_parser`. An invalid file is
+rejected as a whole, with a one-line message that names the value.
 """
 
 import json
@@ -38,17 +38,17 @@
 DEFAULT_CONNECTION_IDLE_TIMEOUT_NS = 15_000_000_000
 DEFAULT_MAX_OPEN_REQUESTS = 30_000
 CLASS_KEY_PATH = "settings.services[]"
-OPTIONAL_CLASS_KEYS = frozenset(("aim-stretch", "in-turn", "bound-to", "stays-in"))  # a reload may drop them
-PER_CLASS_LISTS = ("parallelism", "loads", "waits-for-loads")  # of `family-info`: a value for each class
+OPTIONAL_CLASS_KEYS = frozenset(("aim-stretch", "in-turn", "bound-to", "stays-in"))  # a reload may omit them
+PER_CLASS_LISTS = ("parallelism", "loads", "waits-for-loads")  # of `family-info`: one value per class
 
 
 @dataclass(slots=True, frozen=True)
 class Configuration:
-    """The platform's file, decoded. Timeouts are in seconds."""
+    """The decoded configuration file of the platform. Timeouts are in seconds."""
 
     name: str
     listen_address: tuple[str, int]
-    admin_address: tuple[str, int] | None  # the second address
+    admin_address: tuple[str, int] | None  # where the admin server listens; None: there is no admin server
     seed: int
     max_descriptors: int
     discovery_address: str
@@ -56,19 +56,19 @@
     settings: Settings
     zones_and_kinds: ZoneAndKindNames
     classes: RequestClasses
-    streams_per_connection: int  # attempts on one connection
+    streams_per_connection: int  # concurrent attempts per connection
     dial_timeout: float
     connection_idle_timeout: float
     max_open_requests: int
-    setting_paths: frozenset[str]  # of all keys in the file; see `check_no_key_dropped`
+    setting_paths: frozenset[str]  # the paths of all keys in the file; see `check_no_key_dropped`
 
 
 def check_no_key_dropped(current: Configuration, new: Configuration) -> None:
     """Raise ConfigurationError if `new` lacks a key that `current` has.
 
-    A file that was cut off or edited by mistake may still be valid, with defaults for the keys that it lacks.
-    A reload would silently replace settings in force by those defaults. So a key may not disappear, except
-    for the optional ones of a class.
+    A file that was truncated or edited by mistake may still be valid, with defaults for the missing keys, and
+    a reload would silently replace the active settings by these defaults. So no key may disappear, except for
+    the optional keys of a class.
     """
     missing = sorted(path for path in current.setting_paths - new.setting_paths if not _is_optional(path))
     if missing:
@@ -80,18 +80,18 @@
 
 
 def _require_positive(value: Any, name: str, integral: bool = False) -> None:
-    is_number = type(value) in (int, float)  # not bool, which is an int
+    is_number = type(value) in (int, float)  # excludes bool, a subclass of int
     if not is_number or not 0 < value < math.inf or (integral and value != int(value)):
         raise InvalidValueError(f"{name} is not a positive number")
 
 
 def _check_settings(settings: Any) -> None:
-    """Reject values that decoding alone would accept: true, 0 or a string in place of a positive number."""
+    """Reject values that the parser accepts: true, 0 or a string where a positive number is required."""
     services = settings["services"]
     names = [service["name"] for service in services]
     are_strings = all(type(name) is str for name in names)
     if len(set(names)) < len(names) or len(names) > MAX_CLASSES or not are_strings:
-        raise InvalidValueError(f"the classes need names that differ, and there may be {MAX_CLASSES} at most")
+        raise InvalidValueError(f"the names of the classes must be distinct strings, at most {MAX_CLASSES}")
     for service in services:
         for key in ("aim", "give-up"):
             _require_positive(service[key], f"{key} of class {service['name']}")
@@ -99,11 +99,11 @@
     for key in PER_CLASS_LISTS:
         values = settings.get("family-info", {}).get(key)
         if values is not None and len(values) != len(names):
-            raise InvalidValueError(f"{key} has no value for each class")
+            raise InvalidValueError(f"{key} needs exactly one value per class")
 
 
 def _request_classes(services: Any, settings: Settings) -> RequestClasses:
-    """Each class by its name, as the fronts use it; all but the name follows from the decoded settings."""
+    """The classes by name, for the fronts; everything but the names is taken from the decoded settings."""
     return {
         str(service["name"]): RequestClass(
             index=index,
@@ -114,8 +114,8 @@
     }
 
 
-def _parse(raw: Any, environ: Mapping[str, str]) -> Configuration:
-    """Decode the file. Raises ConfigurationError, or the error that a value of a wrong type leads to."""
+def _decode(raw: Any, environ: Mapping[str, str]) -> Configuration:
+    """Decode the file. Raises ConfigurationError, or the built-in exception that an invalid value causes."""
     settings_raw, limits = raw["settings"], raw.get("limits", {})
     admin_address = environ.get("ROUTER_OPS") or raw.get("ops")
     _check_settings(settings_raw)
@@ -155,19 +155,22 @@
         or configuration.max_open_requests < 1
         or configuration.dial_timeout <= 0
     ):
-        raise InvalidValueError("limits leave no room to work in")
-    has_fixed_port = bool(configuration.listen_address[1])  # the machine chooses a free port for 0
+        raise InvalidValueError(
+            f"limits are too low: sockets must be at least {MIN_DESCRIPTORS}, and streams-per-conn, most-held"
+            " and dial-timeout must be positive"
+        )
+    has_fixed_port = bool(configuration.listen_address[1])  # for port 0 the kernel chooses a free port
     if configuration.admin_address == configuration.listen_address and has_fixed_port:
-        raise ContradictionError("ops is the clients' address")
+        raise ContradictionError("ops and listen are the same address")
 
 
 def parse_configuration(raw: Any, environ: Mapping[str, str]) -> Configuration:
-    """Check and decode the JSON of a configuration file, with the overrides that the environment names.
+    """Validate and decode the JSON of a configuration file, with the overrides in the environment.
 
-    Raises ConfigurationError at the first fault.
+    Raises ConfigurationError at the first error.
     """
     try:
-        configuration = _parse(raw, environ)
+        configuration = _decode(raw, environ)
     except EndpointListError as error:
         raise InvalidValueError(f"known: {error}") from None
     except KeyError as error:
@@ -179,34 +182,34 @@
 
 
 def _reject_constant(text: str) -> Any:
-    raise ValueError(f"{text} is not a number")
+    raise ValueError(f"{text} is not a valid number")
 
 
 def load_configuration_file(path: str) -> Any:
-    """The JSON of a file, not yet checked; raises ConfigurationFileError if it cannot be read."""
+    """Read a JSON file without validating it; raises ConfigurationFileError if that fails."""
     try:
         return json.loads(Path(path).read_text(), parse_constant=_reject_constant)
     except OSError as error:
         raise ConfigurationFileError(f"{path}: {error.strerror}") from None
     except (ValueError, RecursionError) as error:
-        raise ConfigurationFileError(f"{path} is not JSON ({error})") from None
+        raise ConfigurationFileError(f"{path} is not valid JSON ({error})") from None
 
 
 def read_configuration(environ: Mapping[str, str]) -> Configuration:
-    """Read the file that ROUTER_CONFIG names; raises ConfigurationError."""
+    """Read the file given by ROUTER_CONFIG; raises ConfigurationError."""
     path = environ.get("ROUTER_CONFIG")
     if not path:
-        raise ConfigurationFileError("ROUTER_CONFIG names no file")
+        raise ConfigurationFileError("ROUTER_CONFIG is not set")
     return parse_configuration(load_configuration_file(path), environ)
 
 
 def idempotent_classes(configuration: Configuration) -> frozenset[str]:
-    """The names of the classes of a configuration whose requests may run twice."""
+    """The names of the idempotent classes of a configuration, whose requests may run more than once."""
     return idempotent_class_names(configuration.classes, configuration.settings)
 
 
 def idempotent_class_names(classes: RequestClasses, settings: Settings) -> frozenset[str]:
-    """The names of those of `classes` whose requests may run twice under `settings`."""
+    """The names of those of `classes` that are idempotent under `settings`."""
     return frozenset(
         name
         for name, request_class in classes.items()
--- a/query_gateway/configuration/schema.py
+++ b/query_gateway/configuration/schema.py
@@ -1,7 +1,8 @@
-"""The form of both files: every fault with its location, not only the first.
+"""The structure of both files as pydantic models, which report every error with its location.
 
-Loaded only where an operator's file is named or a file is checked, as it needs pydantic. The modules
-`platform` and `operator_file` decode the files after this check. Keys that differ from our names are aliases.
+Imported only if an operator's file is used or a file is checked, as it imports pydantic. `platform` and
+`operator_file` decode the files; `operator_file` only after this validation. Keys that differ from the field
+names are aliases.
 """
 
 from collections.abc import Iterator
@@ -36,13 +37,13 @@
 
 
 class Table(BaseModel):
-    """A table of the operator's file: an unknown key is a fault."""
+    """A table of the operator's file; unknown keys are errors."""
 
     model_config = ConfigDict(extra="forbid", strict=True, frozen=True)
 
 
 class Flight(Table):
-    """The Flight SQL front, and the classes of its queries and updates."""
+    """The Flight SQL front, and the default classes of its queries and updates."""
 
     listen: Address
     query_class: Name = "lookup"
@@ -50,14 +51,14 @@
 
 
 class Processes(Table):
-    """Planners and forwarders as processes of their own."""
+    """Planners and forwarders that run as separate processes."""
 
     planners: Annotated[list[Address], Field(min_length=1, max_length=16)]
     forwarders: Annotated[int, Field(ge=1, le=16)] = 1
 
 
 class Bgp(Table):
-    """The BGP session, and the networks that it announces. Times are in seconds."""
+    """The BGP session and the networks that it announces. Times are in seconds."""
 
     peer: Address
     asn: AsNumber
@@ -70,7 +71,7 @@
 
 
 class Reports(Table):
-    """Which reads are reports; the rest are lookups."""
+    """The criteria by which a read is a report; all other reads are lookups."""
 
     aggregates: bool = True
     windows: bool = True
@@ -80,41 +81,41 @@
 
 
 class Key(Table):
-    """How loads of some tables are keyed: by a column, or all under one key."""
+    """The key rule for loads of certain tables: by a column, or a single key for all loads."""
 
     table: Annotated[str, Field(pattern=r"^[^.\s]+(\.[^.\s]+){0,2}$", max_length=200)]
     column: Annotated[str, Field(max_length=200)] = ""
-    is_single: Annotated[bool, Field(alias="whole")] = False  # all loads of the table have one key
+    is_single: Annotated[bool, Field(alias="whole")] = False  # all loads of the table share one key
     type: Literal["any", "integer", "text"] = "any"
 
-    def faults(self, dialect: str) -> Iterator[str]:
-        """What contradicts itself, or does not go with the dialect."""
+    def consistency_errors(self, dialect: str) -> Iterator[str]:
+        """Inconsistencies of the rule, within itself or with the dialect."""
         if self.is_single == bool(self.column):
-            yield "needs a column, or whole = true, and not both"
+            yield "needs either a column or whole = true, but not both"
         if self.column and self.type == "any" and dialect in ("mysql", "sqlite"):
-            yield f"needs type: {dialect} compares texts and numbers in its own way"
+            yield f"needs a type: {dialect} has its own rules for comparing strings with numbers"
 
 
 class Statements(Table):
-    """How bare SQL is classified and keyed."""
+    """The classification of SQL statements and the key rules."""
 
     dialect: Literal["ansi", "postgres", "mysql", "duckdb", "sqlite", "trino"] = "postgres"
     lookup: Name = "lookup"
     report: Name = "report"
     load: Annotated[str, Field(max_length=200)] = "load"  # empty: writes are rejected
     mismatch: Literal["refuse", "load"] = "refuse"
-    covers_http: Annotated[bool, Field(alias="web")] = False  # the platform's front, too
+    covers_http: Annotated[bool, Field(alias="web")] = False  # also applies to the HTTP front
     pure_functions: Annotated[list[Name], Field(max_length=1_000)] = []
     reports: Reports = Reports()
     keys: Annotated[list[Key], Field(max_length=256)] = []
     max_length: Annotated[int, Field(alias="most_length", ge=100, le=65_536)] = 16_384  # characters
     max_shapes: Annotated[int, Field(alias="shapes", ge=100, le=1_000_000)] = 10_000
     parser_count: Annotated[int, Field(alias="parsers", ge=1, le=16)] = 2
-    snapshot_path: Annotated[str, Field(alias="snapshot", max_length=1_000)] = ""  # of learned costs
+    snapshot_path: Annotated[str, Field(alias="snapshot", max_length=1_000)] = ""  # for the learned costs
 
 
 class OperatorFile(Table):
-    """The operator's file: each table turns on what it names."""
+    """The operator's file; each table enables an optional part of the gateway."""
 
     flight: Flight | None = None
     processes: Processes | None = None
@@ -122,41 +123,44 @@
     statements: Statements | None = None
 
 
-def _describe(error: ValidationError) -> list[str]:
-    """Each fault as `location: what`."""
-    faults = []
-    for details in error.errors():
+def _format_errors(exception: ValidationError) -> list[str]:
+    """Format each error as `location: message`."""
+    errors = []
+    for details in exception.errors():
         location = ".".join(str(part) for part in details["loc"]) or "the file"
         if details["type"] == "missing":
             text = "is missing"
         elif details["type"] == "extra_forbidden":
-            text = "is not known"
+            text = "unknown key"
         else:
             text = details["msg"].removeprefix("Value error, ")
-        faults.append(f"{location}: {text}")
-    return faults
+        errors.append(f"{location}: {text}")
+    return errors
 
 
-def find_operator_faults(raw: Any) -> list[str]:
-    """Every fault of the form of an operator's file, `location: what`, in the file's order."""
+def find_operator_file_errors(raw: Any) -> list[str]:
+    """All errors of an operator's file by itself, formatted as `location: message`."""
     try:
         file = OperatorFile.model_validate(raw)
     except ValidationError as error:
-        return _describe(error)
-    faults = []
+        return _format_errors(error)
+    errors = []
     if file.bgp and file.bgp.hold_time in (1, 2):
-        faults.append("bgp.hold: is 0 or at least 3")
+        errors.append("bgp.hold: must be 0 or at least 3")
     if file.statements:
         for index, key in enumerate(file.statements.keys):
-            faults += [f"statements.keys.{index}: {fault}" for fault in key.faults(file.statements.dialect)]
-    return faults
+            errors += [
+                f"statements.keys.{index}: {error}"
+                for error in key.consistency_errors(file.statements.dialect)
+            ]
+    return errors
 
 
-# ---- the platform's configuration
+# ---- the configuration of the platform
 
 
 class PlatformTable(BaseModel):
-    """A part of the platform's file, which may hold more than what is checked here."""
+    """An object in the platform's file; keys that are not declared here are ignored."""
 
     model_config = ConfigDict(extra="ignore", strict=True, frozen=True)
 
@@ -177,7 +181,7 @@
 
 
 class SettingsLimits(PlatformTable):
-    """The limits in the settings."""
+    """The site's limits, which are part of the settings."""
 
     max_attempts: Annotated[int, Field(alias="max-attempts", gt=0)]
     streams_per_connection: Annotated[int, Field(alias="streams-per-conn", gt=0)] = 32
@@ -193,13 +197,13 @@
 
 
 class ProcessLimits(PlatformTable):
-    """What the platform grants the process."""
+    """The resource limits that the platform sets for the process."""
 
     max_descriptors: Annotated[int, Field(alias="sockets", ge=32)] = 1_024
 
 
 class PlatformFile(PlatformTable):
-    """The platform's file."""
+    """The configuration file of the platform."""
 
     listen_address: Annotated[Address, Field(alias="listen")]
     admin_address: Annotated[Address | None, Field(alias="ops")] = None
@@ -209,10 +213,10 @@
     settings: SettingsTable
 
 
-def find_configuration_faults(raw: Any) -> list[str]:
-    """Every fault of the form of the platform's file; `parse_configuration` checks the rest."""
+def find_configuration_errors(raw: Any) -> list[str]:
+    """All structural errors of the platform's file; `parse_configuration` validates the rest."""
     try:
         PlatformFile.model_validate(raw)
     except ValidationError as error:
-        return _describe(error)
+        return _format_errors(error)
     return []
--- a/query_gateway/configuration/settings_flattening.py
+++ b/query_gateway/configuration/settings_flattening.py
@@ -1,24 +1,24 @@
-"""Nested JSON as flat paths: the path=value words of the settings, and the keys that a file has."""
+"""Flattening of nested JSON, to the path=value pairs of the settings and to the key paths of a file."""
 
 from typing import Any
 
-# The endpoint list in the configuration: its keys change with each event, so they are not counted as settings
+# The endpoint list in the configuration. Its keys vary with each event, so they do not count as settings.
 ENDPOINT_LIST_KEY = "known"
 
 
 def flatten_settings(value: Any, path: str = "") -> list[str]:
-    """Nested JSON as path=value words, in the form of the simulator's first message."""
+    """Flatten nested JSON to path=value pairs, in the format of the simulator's first message."""
     if isinstance(value, dict):
         return [
-            word
+            pair
             for key, inner in value.items()
-            for word in flatten_settings(inner, f"{path}.{key}" if path else str(key))
+            for pair in flatten_settings(inner, f"{path}.{key}" if path else str(key))
         ]
     if isinstance(value, list) and any(isinstance(inner, dict) for inner in value):
-        words = [f"{path}.count={len(value)}"]
+        pairs = [f"{path}.count={len(value)}"]
         for index, inner in enumerate(value):
-            words += flatten_settings(inner, f"{path}.{index}")
-        return words
+            pairs += flatten_settings(inner, f"{path}.{index}")
+        return pairs
     if isinstance(value, list):
         return [f"{path}={','.join(_format_scalar(inner) for inner in value)}"]
     return [f"{path}={_format_scalar(value)}"]
@@ -33,7 +33,7 @@
 
 
 def collect_key_paths(value: Any, path: str = "") -> frozenset[str]:
-    """The paths of all keys; of a list of objects, those that each of the objects has."""
+    """The paths of all keys; for a list of objects, the keys that all of its objects have in common."""
     if isinstance(value, dict):
         by_path = {f"{path}.{key}" if path else str(key): inner for key, inner in value.items()}
         nested = (
--- a/query_gateway/configuration/settings_parser.py
+++ b/query_gateway/configuration/settings_parser.py
@@ -1,6 +1,7 @@
-"""The settings of a site, from path=value words; the gateway's JSON is flattened to them.
+"""Decoding of the settings of a site from path=value pairs, to which the gateway's JSON is flattened.
 
-The keys and words of the settings stand here, each beside the field that it fills. Durations are nanoseconds.
+Defines the keys and the named values of the settings with the fields that they set. Durations are in
+nanoseconds.
 """
 
 from collections.abc import Callable
@@ -17,40 +18,40 @@
 
 T = TypeVar("T")
 
-IDEMPOTENCY_WORDS = {
+IDEMPOTENCY_VALUES = {
     "idempotent": Idempotency.IDEMPOTENT,
     "deduplicated": Idempotency.KEYED,
     "at_most_once": Idempotency.NON_IDEMPOTENT,
 }
-BOOLEAN_WORDS = {"true": True, "false": False, "1": True, "0": False}
-ABSENT = "-"
-POLLED_ENDPOINT_LIST = "ask"  # as against "push"
+BOOLEAN_VALUES = {"true": True, "false": False, "1": True, "0": False}
+ABSENT_VALUE = "-"
+POLLED_ENDPOINT_LIST = "ask"  # the alternative is "push"
 
 
 class SettingsReader:
-    """The path=value words of the settings by path; a path that nothing reads is ignored."""
+    """Typed access to the path=value pairs of the settings; unknown paths are ignored."""
 
-    def __init__(self, words: list[str]) -> None:
-        """Split the words; of several with one path the last is used. Raises SettingsError."""
+    def __init__(self, pairs: list[str]) -> None:
+        """Split the pairs; the last one wins if a path occurs repeatedly. Raises SettingsError."""
         self.values: dict[str, str] = {}
-        for word in words:
-            path, separator, value = word.partition("=")
+        for pair in pairs:
+            path, separator, value = pair.partition("=")
             if not separator or not path:
-                raise SettingsError(f"setting {word!r} is not path=value")
+                raise SettingsError(f"setting {pair!r} is not path=value")
             self.values[path] = value
 
     def optional(self, path: str, parse: Callable[[str], T]) -> T | None:
-        """The value, or None if it is absent; raises SettingsError if it cannot be parsed."""
+        """Return the value, or None if it is absent; raises SettingsError if it cannot be parsed."""
         value = self.values.get(path)
-        return None if value is None or value == ABSENT else self._parse(path, parse)
+        return None if value is None or value == ABSENT_VALUE else self._parse(path, parse)
 
     def get(self, path: str, parse: Callable[[str], T], default: T) -> T:
-        """The value, or `default` if it is absent; raises SettingsError if it cannot be parsed."""
+        """Return the value, or `default` if it is absent; raises SettingsError if it cannot be parsed."""
         value = self.optional(path, parse)
         return default if value is None else value
 
     def require(self, path: str, parse: Callable[[str], T]) -> T:
-        """The value; raises SettingsError if it is absent or cannot be parsed."""
+        """Return the value; raises SettingsError if it is absent or cannot be parsed."""
         if path not in self.values:
             raise SettingsError(f"setting {path} is missing")
         return self._parse(path, parse)
@@ -59,7 +60,7 @@
         try:
             return parse(self.values[path])
         except (ValueError, KeyError):
-            raise SettingsError(f"setting {path} has the value {self.values[path]!r}") from None
+            raise SettingsError(f"setting {path} has the invalid value {self.values[path]!r}") from None
 
 
 def _list_of(parse: Callable[[str], T]) -> Callable[[str], tuple[T, ...]]:
@@ -70,19 +71,19 @@
     return int(float(text)) if "." in text or "e" in text else int(text)
 
 
-def _flag(text: str) -> bool:
-    return BOOLEAN_WORDS[text]
+def _boolean(text: str) -> bool:
+    return BOOLEAN_VALUES[text]
 
 
-def _element(values: tuple[T, ...], index: int, default: T) -> T:
+def _element_or_default(values: tuple[T, ...], index: int, default: T) -> T:
     return values[index] if index < len(values) else default
 
 
 def _parse_classes(reader: SettingsReader) -> tuple[ClassSettings, ...]:
     count = reader.require("services.count", _integer)
     threads: tuple[int, ...] = reader.get("family-info.parallelism", _list_of(_integer), ())
-    locks_tables: tuple[bool, ...] = reader.get("family-info.loads", _list_of(_flag), ())
-    waits_for_locks: tuple[bool, ...] = reader.get("family-info.waits-for-loads", _list_of(_flag), ())
+    locks_tables: tuple[bool, ...] = reader.get("family-info.loads", _list_of(_boolean), ())
+    waits_for_locks: tuple[bool, ...] = reader.get("family-info.waits-for-loads", _list_of(_boolean), ())
     return tuple(
         _parse_class(reader, index, threads, locks_tables, waits_for_locks) for index in range(count)
     )
@@ -102,13 +103,13 @@
         timeout=reader.require(path + "give-up", _integer),
         priority_weight=reader.require(path + "worth", float),
         late_weight=reader.get(path + "late-value", float, 0.0),
-        idempotency=reader.require(path + "repeat", IDEMPOTENCY_WORDS.__getitem__),
+        idempotency=reader.require(path + "repeat", IDEMPOTENCY_VALUES.__getitem__),
         deduplication_scope=reader.get(path + "dedup-scope", DeduplicationScope, DeduplicationScope.ALL),
         deduplication_window=reader.get(path + "memory-span", _integer, 0),
-        threads=_element(threads, index, 1),
-        locks_tables=_element(locks_tables, index, False),
-        waits_for_locks=_element(waits_for_locks, index, False),
-        ordered_by_key=reader.get(path + "in-turn", _flag, False),
+        threads=_element_or_default(threads, index, 1),
+        locks_tables=_element_or_default(locks_tables, index, False),
+        waits_for_locks=_element_or_default(waits_for_locks, index, False),
+        ordered_by_key=reader.get(path + "in-turn", _boolean, False),
         allowed_zones=reader.optional(path + "stays-in", _list_of(_integer)),
         allowed_kinds=reader.optional(path + "bound-to", _list_of(_integer)),
     )
@@ -118,9 +119,9 @@
     return tuple(reader.get(f"realms.{index}.quota-rps", float, 0.0) for index in range(count))
 
 
-def parse_settings(words: list[str]) -> Settings:
-    """Decode the settings; raises SettingsError at the first fault. `Settings.check` is the caller's."""
-    reader = SettingsReader(words)
+def parse_settings(pairs: list[str]) -> Settings:
+    """Decode the settings; raises SettingsError at the first error. The caller must call `Settings.check`."""
+    reader = SettingsReader(pairs)
     classes = _parse_classes(reader)
     tenant_count = reader.get("realms.count", _integer, 0)
     return Settings(
@@ -134,20 +135,20 @@
         memory_mb_by_kind=reader.get("family-info.memory-by-kind-mb", _list_of(float), ()),
         max_grant_share=reader.get("family-info.max-grant-share", float, 1.0),
         memory_shortage=reader.get("family-info.out-of-memory", MemoryShortage, MemoryShortage.WAIT),
-        takes_memory_grants=reader.get("family-info.takes-grants", _flag, False),
-        heeds_priorities=reader.get("family-info.priorities", _flag, False),
+        takes_memory_grants=reader.get("family-info.takes-grants", _boolean, False),
+        heeds_priorities=reader.get("family-info.priorities", _boolean, False),
         progress_interval=reader.get("family-info.progress", _integer, 0),
-        reports_cost=reader.get("family-info.cost-in-answers", _flag, False),
+        reports_cost=reader.get("family-info.cost-in-answers", _boolean, False),
         load_report_fields=reader.get("report.fields", _list_of(str), ()),
         polls_endpoint_list=reader.get("registry-mode", str, "push") == POLLED_ENDPOINT_LIST,
-        allows_gossip=reader.get("limits.peers", _flag, False),
-        allows_health_checks=reader.get("limits.may-probe", _flag, False),
-        allows_cancellation=reader.get("limits.cancelling", _flag, False),
-        allows_hedging=reader.get("limits.second-copies", _flag, False),
-        allows_retry_after=reader.get("limits.retry-after", _flag, False),
+        allows_gossip=reader.get("limits.peers", _boolean, False),
+        allows_health_checks=reader.get("limits.may-probe", _boolean, False),
+        allows_cancellation=reader.get("limits.cancelling", _boolean, False),
+        allows_hedging=reader.get("limits.second-copies", _boolean, False),
+        allows_retry_after=reader.get("limits.retry-after", _boolean, False),
         max_retry_after=reader.get("limits.max-retry-after", _integer, 0),
         max_attempts=reader.require("limits.max-attempts", _integer),
-        marks_retry=reader.get("clients.marks-retry", _flag, False),
+        marks_retry=reader.get("clients.marks-retry", _boolean, False),
         cross_zone_cost=reader.get("fees.cross-zone", float, 0.0),
         slow_start_initial_capacity=reader.get("rules.start-capacity", float, 1.0),
         slow_start_window=reader.get("rules.cold", _integer, 0),
--- a/query_gateway/simulator_adapter.py
+++ b/query_gateway/simulator_adapter.py
@@ -1,6 +1,7 @@
-"""Line adapter between the simulator's wire and one `Scheduler` for each instance: parse, decide, format.
+"""Adapter between the simulator's line protocol and the `Scheduler` of each simulated gateway instance.
 
-A batch of lines comes between `sync` and `end` and is answered by the lines of all actions and `ok`.
+The simulator sends events in batches that start with a `sync` line and finish with an `end` line. The reply
+to a batch consists of a line for each action of the schedulers, and `ok`.
 """
 
 import base64
@@ -42,8 +43,8 @@
 from query_gateway.model.settings import Settings
 from query_gateway.policy.scheduler import Scheduler
 
-# The wire's words
-OUTCOME_WORDS = {
+# Values in the line protocol
+OUTCOME_CODES = {
     "pass": OutcomeCode.OK,
     "fault": OutcomeCode.ERROR,
     "no_room": OutcomeCode.FULL,
@@ -53,183 +54,189 @@
     "undone": OutcomeCode.CANCELLED,
     "stale_send": OutcomeCode.NOT_SENT,
 }
-STATE_LETTERS = {"U": EndpointState.UP, "L": EndpointState.DRAINING, "D": EndpointState.REMOVED}
-UPDATE_WORDS = {
+ENDPOINT_STATES = {"U": EndpointState.UP, "L": EndpointState.DRAINING, "D": EndpointState.REMOVED}
+ENDPOINT_UPDATE_KINDS = {
     "update": EndpointUpdateKind.DELTA,
     "replace": EndpointUpdateKind.SNAPSHOT,
     "restored": EndpointUpdateKind.CACHED,
     "unavailable": EndpointUpdateKind.FAILED,
 }
-PROGRESS_NUMBERS = {1: ProgressKind.PROGRESS, 2: ProgressKind.SPILLING, 3: ProgressKind.WAITING}
-HAS_ESTIMATE, IS_RETRY = 1, 2  # bits of an arrival's options
-# The cost in a completion is one number: work in ms times 4096, plus memory in units of 4 MB
+PROGRESS_KINDS = {1: ProgressKind.PROGRESS, 2: ProgressKind.SPILLING, 3: ProgressKind.WAITING}
+HAS_ESTIMATE, IS_RETRY = 1, 2  # flags in the options field of an arrival
+# A completion encodes its cost as one integer: the work in ms times 4096, plus the memory in units of 4 MB
 COST_MEMORY_UNITS, COST_MEMORY_UNIT_MB, COST_WORK_UNIT_NS = 4096, 4.0, 1_000_000
-MAX_SHOWN = 200  # characters of a malformed line that are shown
+MAX_QUOTED_CHARACTERS = 200  # of a malformed line, in the error message
 
 
 class AdapterError(ValueError):
-    """A line that cannot be used; the message says why."""
+    """A line that violates the protocol; the message gives the reason."""
 
 
 def decode_endpoint(fields: list[str]) -> EndpointInfo:
-    """Decode an endpoint: size availability group launched type executor zone."""
+    """Decode the fields of an endpoint: size, state, group, start time, kind, name and zone."""
     return EndpointInfo(
         name=fields[5],
-        state=STATE_LETTERS[fields[1]],
-        zone=integer(fields, 6),
-        kind=integer(fields, 4),
-        group=integer(fields, 2),
-        started_at=integer(fields, 3),
+        state=ENDPOINT_STATES[fields[1]],
+        zone=integer_or_zero(fields, 6),
+        kind=integer_or_zero(fields, 4),
+        group=integer_or_zero(fields, 2),
+        started_at=integer_or_zero(fields, 3),
         size=1.0 if fields[0] == "-" else float(fields[0]),
     )
 
 
-def integer(fields: list[str], index: int) -> int:
-    """An integer that may be marked absent or left off the end: 0 then."""
+def integer_or_zero(fields: list[str], index: int) -> int:
+    """Decode an integer; 0 if the field is marked as absent (`-`) or omitted at the end of the line."""
     return int(fields[index]) if len(fields) > index and fields[index] != "-" else 0
 
 
 def optional_float(fields: list[str], index: int) -> float | None:
-    """A number that may be absent in the same way."""
+    """Decode a number; None if the field is marked as absent or omitted."""
     return float(fields[index]) if len(fields) > index and fields[index] != "-" else None
 
 
-def optional_word(fields: list[str], index: int) -> str | None:
-    """A word that may be absent in the same way."""
+def optional_string(fields: list[str], index: int) -> str | None:
+    """Return the field as a string; None if it is marked as absent or omitted."""
     return fields[index] if len(fields) > index and fields[index] != "-" else None
 
 
-def load_report(fields: list[str], index: int) -> tuple[float, ...]:
-    """Numbers separated by commas; none if absent."""
-    text = optional_word(fields, index)
+def decode_load_report(fields: list[str], index: int) -> tuple[float, ...]:
+    """Decode numbers separated by commas; an empty tuple if the field is absent."""
+    text = optional_string(fields, index)
     return tuple(float(part) for part in text.split(",")) if text else ()
 
 
-def _arrival(fields: list[str], _: bool) -> Event:
-    options = integer(fields, 6)
-    has_estimate = options & HAS_ESTIMATE and optional_word(fields, 2)
+def _decode_arrival(fields: list[str], _: bool) -> Event:
+    options = integer_or_zero(fields, 6)
+    has_estimate = options & HAS_ESTIMATE and optional_string(fields, 2)
     return Request(
         request_id=int(fields[1]),
         class_index=int(fields[5]),
         deadline=int(fields[7]),
-        tenant=integer(fields, 8),
+        tenant=integer_or_zero(fields, 8),
         table_group=optional_float(fields, 4),
-        key=optional_word(fields, 3),
-        estimated_work=integer(fields, 2) if has_estimate else None,
+        key=optional_string(fields, 3),
+        estimated_work=integer_or_zero(fields, 2) if has_estimate else None,
         estimated_memory_mb=optional_float(fields, 9) or 0.0,
         is_retry=bool(options & IS_RETRY),
     )
 
 
-def _completed(fields: list[str], reports_cost: bool) -> Event:
-    cost = integer(fields, 7)
+def _decode_completion(fields: list[str], reports_cost: bool) -> Event:
+    cost = integer_or_zero(fields, 7)
     has_cost = reports_cost and cost > 0 and fields[3] == "pass"
     return AttemptOutcome(
         request_id=int(fields[1]),
         final=fields[2] == "1",
-        code=OUTCOME_WORDS[fields[3]],
-        duration=integer(fields, 4),
+        code=OUTCOME_CODES[fields[3]],
+        duration=integer_or_zero(fields, 4),
         attempt_number=int(fields[5]),
         endpoint=fields[6],
         work=cost // COST_MEMORY_UNITS * COST_WORK_UNIT_NS if has_cost else None,
         memory_mb=cost % COST_MEMORY_UNITS * COST_MEMORY_UNIT_MB if has_cost else None,
-        load_report=load_report(fields, 8),
+        load_report=decode_load_report(fields, 8),
     )
 
 
-def _heartbeat(fields: list[str], _: bool) -> Event:
-    kind = PROGRESS_NUMBERS[int(fields[4])]
+def _decode_progress_note(fields: list[str], _: bool) -> Event:
+    kind = PROGRESS_KINDS[int(fields[4])]
     return ProgressNote(int(fields[1]), int(fields[2]), fields[3], kind, float(fields[5]))
 
 
-def _under_way(fields: list[str], _: bool) -> Event:
+def _decode_attempt_start(fields: list[str], _: bool) -> Event:
     return AttemptStarted(int(fields[1]), int(fields[3]), fields[2])
 
 
-def _abandoned(fields: list[str], _: bool) -> Event:
+def _decode_abandonment(fields: list[str], _: bool) -> Event:
     return RequestAbandoned(int(fields[1]))
 
 
-def _timeout_fired(fields: list[str], _: bool) -> Event:
+def _decode_timer(fields: list[str], _: bool) -> Event:
     return TimerFired(int(fields[1]))
 
 
-def _probed(fields: list[str], _: bool) -> Event:
-    return HealthCheckResult(fields[1], fields[2] == "pass", integer(fields, 3), load_report(fields, 4))
+def _decode_health_check(fields: list[str], _: bool) -> Event:
+    return HealthCheckResult(
+        fields[1], fields[2] == "pass", integer_or_zero(fields, 3), decode_load_report(fields, 4)
+    )
 
 
-def _message(fields: list[str], _: bool) -> Event:
-    data = base64.b64decode(optional_word(fields, 2) or "", validate=True)
+def _decode_gossip(fields: list[str], _: bool) -> Event:
+    data = base64.b64decode(optional_string(fields, 2) or "", validate=True)
     return GossipMessage(int(fields[1]), data.decode("latin-1"))
 
 
-# By the first word of a line; each takes the other words and whether the site reports costs
+# By the keyword that starts a line. The arguments are the other fields and whether the site reports costs.
 EVENT_DECODERS: dict[str, Callable[[list[str], bool], Event]] = {
-    "arrival": _arrival,
-    "completed": _completed,
-    "heartbeat": _heartbeat,
-    "under_way": _under_way,
-    "abandoned": _abandoned,
-    "timeout_fired": _timeout_fired,
-    "probed": _probed,
-    "message": _message,
+    "arrival": _decode_arrival,
+    "completed": _decode_completion,
+    "heartbeat": _decode_progress_note,
+    "under_way": _decode_attempt_start,
+    "abandoned": _decode_abandonment,
+    "timeout_fired": _decode_timer,
+    "probed": _decode_health_check,
+    "message": _decode_gossip,
 }
 
 
-def decode_event(name: str, fields: list[str], reports_cost: bool) -> Event:
-    """Decode an event line by its first word. Raises AdapterError if that is unknown."""
-    decoder = EVENT_DECODERS.get(name)
+def decode_event(keyword: str, fields: list[str], reports_cost: bool) -> Event:
+    """Decode an event line according to its keyword. Raises AdapterError if the keyword is unknown."""
+    decoder = EVENT_DECODERS.get(keyword)
     if decoder is None:
         raise AdapterError("unknown event")
     return decoder(fields, reports_cost)
 
 
-def _encode_gossip(instance: int, action: SendGossip) -> str:
+def _encode_gossip(instance_number: int, action: SendGossip) -> str:
     receiver = "all" if action.peer is None else action.peer
-    return f"post {instance} {receiver} {base64.b64encode(action.data.encode()).decode()}"
+    return f"post {instance_number} {receiver} {base64.b64encode(action.data.encode()).decode()}"
 
 
-def _encode_terms(instance: int, action: SetTerms) -> str:
-    return f"assign_terms {instance} {action.request_id} {action.memory_mb:g} {action.priority}"
+def _encode_terms(instance_number: int, action: SetTerms) -> str:
+    return f"assign_terms {instance_number} {action.request_id} {action.memory_mb:g} {action.priority}"
 
 
-# By the type of an action; each takes the number of the instance and the action
+# By the type of the action. The arguments are the instance number and the action.
 ACTION_ENCODERS: dict[type[Action], Callable[[int, Any], str]] = {
-    Forward: lambda instance, action: (
-        f"place {instance} {action.request_id} {action.timeout} {action.endpoint}"
+    Forward: lambda instance_number, action: (
+        f"place {instance_number} {action.request_id} {action.timeout} {action.endpoint}"
+    ),
+    Reject: lambda instance_number, action: (
+        f"busy {instance_number} {action.request_id} {action.retry_after}"
+    ),
+    Fail: lambda instance_number, action: f"end_failed {instance_number} {action.request_id}",
+    Cancel: lambda instance_number, action: (
+        f"retract {instance_number} {action.request_id} {action.attempt_number}"
     ),
-    Reject: lambda instance, action: f"busy {instance} {action.request_id} {action.retry_after}",
-    Fail: lambda instance, action: f"end_failed {instance} {action.request_id}",
-    Cancel: lambda instance, action: f"retract {instance} {action.request_id} {action.attempt_number}",
     SetTerms: _encode_terms,
-    SetTimer: lambda instance, action: f"timer {instance} {action.delay} {action.context}",
-    HealthCheck: lambda instance, action: f"ping {instance} {action.endpoint}",
-    WatchEndpoints: lambda instance, action: f"listen {instance} {int(action.enabled)}",
-    FetchEndpoints: lambda instance, action: f"fetch {instance}",
+    SetTimer: lambda instance_number, action: f"timer {instance_number} {action.delay} {action.context}",
+    HealthCheck: lambda instance_number, action: f"ping {instance_number} {action.endpoint}",
+    WatchEndpoints: lambda instance_number, action: f"listen {instance_number} {int(action.enabled)}",
+    FetchEndpoints: lambda instance_number, action: f"fetch {instance_number}",
     SendGossip: _encode_gossip,
-    Log: lambda instance, action: f"debug {instance} {action.text}",
+    Log: lambda instance_number, action: f"debug {instance_number} {action.text}",
 }
 
 
-def encode_action(instance: int, action: Action) -> str:
-    """The line of an action."""
-    return ACTION_ENCODERS[type(action)](instance, action)
+def encode_action(instance_number: int, action: Action) -> str:
+    """Encode an action as a line of the reply."""
+    return ACTION_ENCODERS[type(action)](instance_number, action)
 
 
 class Instance:
-    """One gateway of the simulator: its scheduler, and whether its site reports costs."""
+    """A gateway instance of the simulator: its scheduler, and whether its site reports costs."""
 
     def __init__(self, settings: Settings, seed: int) -> None:
-        """Raises ValueError where the settings contradict themselves."""
+        """Create the scheduler; raises ValueError if the settings are inconsistent."""
         self.scheduler = Scheduler(settings, seed)
         self.reports_cost = settings.reports_cost
 
 
 class Adapter:
-    """The dialogue with the simulator: lines in, replies out; it holds one scheduler for each instance."""
+    """A session with the simulator: accepts lines and returns replies; owns a scheduler for each instance."""
 
     def __init__(self) -> None:
-        """Begin with no instance, no endpoint table and no open batch."""
+        """Start without instances, endpoint tables or an open batch."""
         self.now = 0
         self.instances: dict[int, Instance] = {}
         self.tables: dict[int, tuple[EndpointInfo, ...]] = {}
@@ -238,100 +245,103 @@
         self.batch: dict[int, list[Event]] = {}
         self.batch_is_open = False
 
-    def take_line(self, line: str) -> list[str] | None:
-        """Take one line; the lines of the reply at the end of a batch, else None.
+    def handle_line(self, line: str) -> list[str] | None:
+        """Process a line; returns the lines of the reply if it ends a batch, else None.
 
         Raises AdapterError, SettingsError, ValueError, IndexError or KeyError for a malformed line.
         """
-        name, *fields = line.split(" ")
-        if self.missing_entries and name != "entry":
+        keyword, *fields = line.split(" ")
+        if self.missing_entries and keyword != "entry":
             raise AdapterError(f"{self.missing_entries} entry lines are missing")
-        if name == "sync":
+        if keyword == "sync":
             self._open_batch(fields)
         elif not self.batch_is_open:
             raise AdapterError("no batch is open")
-        elif name == "end":
+        elif keyword == "end":
             return self._close_batch()
-        elif name == "table":
+        elif keyword == "table":
             self.open_table, self.missing_entries = int(fields[0]), int(fields[1])
             self.tables[self.open_table] = ()
-        elif name == "entry":
+        elif keyword == "entry":
             self._add_entry(fields)
         else:
-            self._take_event(name, int(fields[0]), fields)
+            self._handle_event(keyword, int(fields[0]), fields)
         return None
 
     def _open_batch(self, fields: list[str]) -> None:
         if self.batch_is_open:
-            raise AdapterError("a batch is open already")
+            raise AdapterError("a batch is already open")
         self.now, self.batch_is_open = int(fields[0]), True
 
     def _close_batch(self) -> list[str]:
         reply: list[str] = []
-        for number, events in self.batch.items():
-            actions = self.instances[number].scheduler.handle(self.now, events)
-            reply.extend(encode_action(number, action) for action in actions)
+        for instance_number, events in self.batch.items():
+            actions = self.instances[instance_number].scheduler.handle(self.now, events)
+            reply.extend(encode_action(instance_number, action) for action in actions)
         self.batch, self.batch_is_open = {}, False
         return [*reply, "ok"]
 
     def _add_entry(self, fields: list[str]) -> None:
         if not self.missing_entries:
-            raise AdapterError("entry outside a table")
+            raise AdapterError("entry line outside a table")
         self.tables[self.open_table] += (decode_endpoint(fields),)
         self.missing_entries -= 1
 
-    def _take_event(self, name: str, number: int, fields: list[str]) -> None:
-        if name == "configure":
-            self._configure(number, fields)
-        elif number not in self.instances:
-            raise AdapterError(f"instance {number} was never configured")
-        elif name == "killed":
-            self.batch.pop(number, None)
-            del self.instances[number]
+    def _handle_event(self, keyword: str, instance_number: int, fields: list[str]) -> None:
+        if keyword == "configure":
+            self._configure(instance_number, fields)
+        elif instance_number not in self.instances:
+            raise AdapterError(f"instance {instance_number} is not configured")
+        elif keyword == "killed":
+            self.batch.pop(instance_number, None)
+            del self.instances[instance_number]
         else:
-            self.batch.setdefault(number, []).append(self._decode(name, number, fields))
+            self.batch.setdefault(instance_number, []).append(self._decode(keyword, instance_number, fields))
 
-    def _configure(self, number: int, fields: list[str]) -> None:
-        self.batch.pop(number, None)
+    def _configure(self, instance_number: int, fields: list[str]) -> None:
+        self.batch.pop(instance_number, None)
         settings = parse_settings([part for part in fields[2:] if part])
         try:
-            self.instances[number] = Instance(settings, int(fields[1]))
+            self.instances[instance_number] = Instance(settings, int(fields[1]))
         except ValueError as error:
             raise AdapterError(str(error)) from None
 
-    def _decode(self, name: str, number: int, fields: list[str]) -> Event:
-        if name != "targets":
-            return decode_event(name, fields, self.instances[number].reports_cost)
-        kind = UPDATE_WORDS[fields[1]]
+    def _decode(self, keyword: str, instance_number: int, fields: list[str]) -> Event:
+        if keyword != "targets":
+            return decode_event(keyword, fields, self.instances[instance_number].reports_cost)
+        kind = ENDPOINT_UPDATE_KINDS[fields[1]]
         failed = kind is EndpointUpdateKind.FAILED
         return EndpointUpdate(kind, () if failed else self.tables[int(fields[3])])
 
 
-def run(source: TextIO, sink: TextIO, errors: TextIO) -> int:
-    """Hold the dialogue until the end of input: 0, or 2 after a malformed line, named in `errors`."""
+def run(input_stream: TextIO, output_stream: TextIO, error_stream: TextIO) -> int:
+    """Run a session until the end of the input; returns the exit code.
+
+    The code is 0, or 2 after a malformed line, which is reported on `error_stream`.
+    """
     adapter = Adapter()
-    for line_number, raw in enumerate(source, 1):
+    for line_number, raw in enumerate(input_stream, 1):
         line = raw.rstrip("\n")
         if not line:
             continue
         try:
-            reply = adapter.take_line(line)
+            reply = adapter.handle_line(line)
         except (SettingsError, AdapterError) as error:
-            fault = str(error)
+            message = str(error)
         except (ValueError, IndexError, KeyError) as error:
-            fault = f"missing or malformed field ({error})"
+            message = f"missing or malformed field ({error})"
         else:
             if reply is not None:
-                sink.write("\n".join(reply) + "\n")
-                sink.flush()
+                output_stream.write("\n".join(reply) + "\n")
+                output_stream.flush()
             continue
-        print(f"line {line_number}: {fault}: {line[:MAX_SHOWN]}", file=errors)
+        print(f"line {line_number}: {message}: {line[:MAX_QUOTED_CHARACTERS]}", file=error_stream)
         return 2
     return 0
 
 
 def main() -> None:
-    """Hold the dialogue on standard input and output."""
+    """Run a session on standard input and output."""
     sys.stdin.reconfigure(encoding="utf-8")  # type: ignore[union-attr]
     sys.exit(run(sys.stdin, sys.stdout, sys.stderr))
 
