--- a/query_gateway/bgp/messages.py
+++ b/query_gateway/bgp/messages.py
@@ -1,6 +1,6 @@
-"""BGP-4 messages (RFC 4271), as far as a speaker needs that only announces: encoders and one decoder.
+"""BGP-4 messages (RFC 4271): encoders and a decoder, limited to what an announce-only speaker needs.
 
-Sans I/O: bytes in, messages out, and the other way round. An error carries the NOTIFICATION that answers it.
+Performs no I/O. A protocol error carries the fields of the NOTIFICATION to send in response.
 """
 
 from dataclasses import dataclass
@@ -8,20 +8,20 @@
 from ipaddress import IPv4Address, IPv4Network
 
 MARKER = b"\xff" * 16
-HEADER_LENGTH = 19  # bytes: marker, length, type
-MAX_MESSAGE_LENGTH = 4_096  # bytes
-NOTIFICATION_HEADER_LENGTH = 21  # bytes: the header, error code and subcode
+HEADER_BYTES = 19  # marker, length and type
+MAX_MESSAGE_BYTES = 4_096
+NOTIFICATION_HEADER_BYTES = 21  # the message header, error code and error subcode
 VERSION = 4
 
 MAX_TWO_OCTET_ASN = 65_535
-AS_TRANS = 23_456  # stands in an OPEN for an AS number of more than two octets (RFC 6793)
+AS_TRANS = 23_456  # replaces an AS number that exceeds two octets in the AS field of an OPEN (RFC 6793)
 
 OPTIONAL_PARAMETER_CAPABILITIES = 2
 CAPABILITY_MULTIPROTOCOL = 1
 CAPABILITY_FOUR_OCTET_ASN = 65
 IPV4_UNICAST = bytes([0, 1, 0, 1])  # AFI 1, a reserved octet, SAFI 1
 
-WELL_KNOWN_TRANSITIVE = 0x40  # the flags of each path attribute that is sent here
+WELL_KNOWN_TRANSITIVE = 0x40  # the flags of every path attribute that this speaker sends
 ATTRIBUTE_ORIGIN = 1
 ATTRIBUTE_AS_PATH = 2
 ATTRIBUTE_NEXT_HOP = 3
@@ -32,7 +32,7 @@
 
 
 class MessageType(IntEnum):
-    """The type octet of the message header."""
+    """The values of the type octet in the message header."""
 
     OPEN = 1
     UPDATE = 2
@@ -40,16 +40,16 @@
     KEEPALIVE = 4
 
 
-MIN_LENGTHS = {
+MIN_MESSAGE_BYTES = {
     MessageType.OPEN: 29,
     MessageType.UPDATE: 23,
     MessageType.NOTIFICATION: 21,
     MessageType.KEEPALIVE: 19,
-}  # bytes, with the header
+}  # including the header
 
 
 class ErrorCode(IntEnum):
-    """The error code of a NOTIFICATION."""
+    """The error codes of a NOTIFICATION."""
 
     MESSAGE_HEADER = 1
     OPEN_MESSAGE = 2
@@ -85,32 +85,32 @@
     INVALID_NETWORK_FIELD = 10
 
 
-UNSPECIFIC = 0  # the subcode of an error that has none
+UNSPECIFIC = 0  # the subcode for error codes without subcodes
 ADMINISTRATIVE_SHUTDOWN = 2  # a subcode of `ErrorCode.CEASE` (RFC 4486)
 
 
 class BgpProtocolError(Exception):
-    """The peer broke the protocol; code, subcode and data are those of the NOTIFICATION that answers it."""
+    """The peer violated the protocol; holds the fields of the NOTIFICATION to send in response."""
 
     def __init__(self, code: ErrorCode, subcode: int, data: bytes = b"") -> None:
-        """Take the fields of the NOTIFICATION to send."""
+        """Store the error code, the subcode and the data field of the NOTIFICATION."""
         super().__init__(f"{code}/{subcode}")
         self.code, self.subcode, self.data = code, subcode, data
 
 
 @dataclass(slots=True, frozen=True)
 class Open:
-    """OPEN: who the peer is, and the hold time that it proposes, in seconds."""
+    """OPEN: the identity of the sender and the hold time that it proposes, in seconds."""
 
     asn: int
     hold_time: int
     identifier: IPv4Address
-    four_octet_asn: bool = False  # the peer reads AS numbers of four octets
+    four_octet_asn: bool = False  # the sender supports four-octet AS numbers
 
 
 @dataclass(slots=True, frozen=True)
 class Update:
-    """UPDATE: the prefixes that are withdrawn and announced; path attributes are not decoded."""
+    """UPDATE: the withdrawn and the announced prefixes; path attributes are not decoded."""
 
     withdrawn: tuple[IPv4Network, ...] = ()
     announced: tuple[IPv4Network, ...] = ()
@@ -118,7 +118,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Notification:
-    """NOTIFICATION: why the sender ends the session."""
+    """NOTIFICATION: the reason for which the sender ends the session."""
 
     code: int
     subcode: int
@@ -127,7 +127,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Keepalive:
-    """KEEPALIVE: the sender is alive."""
+    """KEEPALIVE: restarts the receiver's hold timer; has no fields."""
 
 
 Message = Open | Update | Notification | Keepalive
@@ -135,18 +135,18 @@
 
 @dataclass(slots=True, frozen=True)
 class MessageHeader:
-    """The header of a message; its length, in bytes, includes the header."""
+    """The header of a message; `length` is in bytes and includes the header."""
 
     message_type: MessageType
     length: int
 
 
 def _encode(message_type: MessageType, body: bytes = b"") -> bytes:
-    return MARKER + (HEADER_LENGTH + len(body)).to_bytes(2, "big") + bytes([message_type]) + body
+    return MARKER + (HEADER_BYTES + len(body)).to_bytes(2, "big") + bytes([message_type]) + body
 
 
 def encode_open(asn: int, hold_time: int, identifier: IPv4Address) -> bytes:
-    """Encode an OPEN with the capabilities for IPv4 unicast and for AS numbers of four octets (RFC 6793)."""
+    """Encode an OPEN with the capabilities for IPv4 unicast and for four-octet AS numbers (RFC 6793)."""
     capabilities = bytes([CAPABILITY_MULTIPROTOCOL, len(IPV4_UNICAST)]) + IPV4_UNICAST
     capabilities += bytes([CAPABILITY_FOUR_OCTET_ASN, 4]) + asn.to_bytes(4, "big")
     parameters = bytes([OPTIONAL_PARAMETER_CAPABILITIES, len(capabilities)]) + capabilities
@@ -162,8 +162,8 @@
 
 
 def encode_notification(code: int, subcode: int, data: bytes = b"") -> bytes:
-    """Encode a NOTIFICATION; data that would make it too long is cut."""
-    body = bytes([code, subcode]) + data[: MAX_MESSAGE_LENGTH - NOTIFICATION_HEADER_LENGTH]
+    """Encode a NOTIFICATION; the data is truncated to the maximum message length."""
+    body = bytes([code, subcode]) + data[: MAX_MESSAGE_BYTES - NOTIFICATION_HEADER_BYTES]
     return _encode(MessageType.NOTIFICATION, body)
 
 
@@ -193,8 +193,8 @@
 ) -> bytes:
     """Encode an UPDATE that announces `networks`.
 
-    `four_octet_asn`: the peer reads AS numbers of four octets; `internal`: it belongs to our own AS, so the
-    AS path is empty and a LOCAL_PREF is needed.
+    `four_octet_asn`: the peer supports four-octet AS numbers; `internal`: the peer belongs to our own AS, so
+    the AS_PATH is empty and LOCAL_PREF is mandatory.
     """
     segment = bytes([AS_SEQUENCE, 1]) + asn.to_bytes(4 if four_octet_asn else 2, "big")
     attributes = _encode_attribute(ATTRIBUTE_ORIGIN, bytes([ORIGIN_IGP]))
@@ -207,42 +207,42 @@
 
 
 class MessageDecoder:
-    """Turns the bytes of a connection into messages, however they are cut."""
+    """Decodes the byte stream of a connection into messages, regardless of how it is split into reads."""
 
     def __init__(self) -> None:
-        """Start at the first byte of a connection."""
-        self.buffer = bytearray()  # the start of a message that is not complete yet
+        """Start with an empty buffer."""
+        self.buffer = bytearray()  # the received part of an incomplete message
 
     def feed(self, data: bytes) -> list[Message]:
-        """The messages that `data` completes, in order.
+        """Return the messages that `data` completes, in order.
 
-        Raises BgpProtocolError at the first malformed one; the decoder must not be used again then.
+        Raises BgpProtocolError for the first malformed message; the decoder must not be used afterwards.
         """
         self.buffer += data
         messages: list[Message] = []
-        while len(self.buffer) >= HEADER_LENGTH:
+        while len(self.buffer) >= HEADER_BYTES:
             header = self._decode_header()
             if len(self.buffer) < header.length:
                 break
-            body = bytes(self.buffer[HEADER_LENGTH : header.length])
+            body = bytes(self.buffer[HEADER_BYTES : header.length])
             del self.buffer[: header.length]
             messages.append(_decode(header.message_type, body))
         return messages
 
     def _decode_header(self) -> MessageHeader:
-        """The header at the start of the buffer. Raises BgpProtocolError (RFC 4271, section 6.1)."""
+        """Return the header at the start of the buffer; raises BgpProtocolError (RFC 4271 section 6.1)."""
         if self.buffer[:16] != MARKER:
             raise _header_error(HeaderError.NOT_SYNCHRONIZED)
         length_field, type_octet = bytes(self.buffer[16:18]), self.buffer[18]
         length = int.from_bytes(length_field, "big")
-        if not HEADER_LENGTH <= length <= MAX_MESSAGE_LENGTH:
+        if not HEADER_BYTES <= length <= MAX_MESSAGE_BYTES:
             raise _header_error(HeaderError.BAD_LENGTH, length_field)
-        if type_octet not in MIN_LENGTHS:
+        if type_octet not in MIN_MESSAGE_BYTES:
             raise _header_error(HeaderError.BAD_TYPE, bytes([type_octet]))
         message_type = MessageType(type_octet)
-        if length < MIN_LENGTHS[message_type]:
+        if length < MIN_MESSAGE_BYTES[message_type]:
             raise _header_error(HeaderError.BAD_LENGTH, length_field)
-        if message_type is MessageType.KEEPALIVE and length != HEADER_LENGTH:
+        if message_type is MessageType.KEEPALIVE and length != HEADER_BYTES:
             raise _header_error(HeaderError.BAD_LENGTH, length_field)
         return MessageHeader(message_type, length)
 
@@ -285,21 +285,21 @@
 
 
 def _decode_parameters(parameters: bytes) -> int | None:
-    """The AS number of four octets that the optional parameters of an OPEN state, if they do."""
+    """Return the four-octet AS number in the optional parameters of an OPEN, or None."""
     asn = None
     while parameters:
         if len(parameters) < 2 or len(parameters) < 2 + parameters[1]:
             raise _open_error(OpenError.UNSPECIFIC)
         if parameters[0] != OPTIONAL_PARAMETER_CAPABILITIES:
             raise _open_error(OpenError.UNSUPPORTED_PARAMETER)
-        found = _decode_capabilities(parameters[2 : 2 + parameters[1]])
-        asn = asn if found is None else found
+        capability_asn = _decode_capabilities(parameters[2 : 2 + parameters[1]])
+        asn = asn if capability_asn is None else capability_asn
         parameters = parameters[2 + parameters[1] :]
     return asn
 
 
 def _decode_capabilities(capabilities: bytes) -> int | None:
-    """The AS number in the capability for four octets; other capabilities are skipped."""
+    """Return the AS number in the four-octet AS number capability, or None; others are skipped."""
     asn = None
     while capabilities:
         if len(capabilities) < 2 or len(capabilities) < 2 + capabilities[1]:
@@ -315,12 +315,14 @@
     withdrawn_length = int.from_bytes(body[:2], "big")
     if withdrawn_length + 4 > len(body):
         raise malformed
-    attributes_at = 4 + withdrawn_length
-    attributes_length = int.from_bytes(body[2 + withdrawn_length : attributes_at], "big")
-    if attributes_at + attributes_length > len(body):
+    attributes_start = 4 + withdrawn_length
+    attributes_length = int.from_bytes(body[2 + withdrawn_length : attributes_start], "big")
+    if attributes_start + attributes_length > len(body):
         raise malformed
     withdrawn = _decode_prefixes(body[2 : 2 + withdrawn_length], UpdateError.MALFORMED_ATTRIBUTE_LIST)
-    announced = _decode_prefixes(body[attributes_at + attributes_length :], UpdateError.INVALID_NETWORK_FIELD)
+    announced = _decode_prefixes(
+        body[attributes_start + attributes_length :], UpdateError.INVALID_NETWORK_FIELD
+    )
     return Update(withdrawn, announced)
 
 
--- a/query_gateway/bgp/session.py
+++ b/query_gateway/bgp/session.py
@@ -1,6 +1,6 @@
-"""One BGP session: connects, sends keepalives, announces our service addresses while we are ready.
+"""One BGP session: connects, sends keepalives, and announces the service addresses while ready.
 
-The states, of RFC 4271, section 8.2.2:
+The states (RFC 4271 section 8.2.2):
 
     IDLE --reconnect delay--> CONNECT --connected, OPEN sent--> OPEN_SENT
     OPEN_SENT --OPEN received, KEEPALIVE sent--> OPEN_CONFIRM --KEEPALIVE received--> ESTABLISHED
@@ -32,57 +32,57 @@
 from query_gateway.net.loop import Loop, Task
 from query_gateway.net.stream import Reason, Stream
 
-CONNECT_TIMEOUT = 5.0  # seconds for a connection to come up
-INITIAL_HOLD_TIME = 240.0  # seconds, until the peer has named its own (RFC 4271, 8.2.2)
-LINGER_TIME = 1.0  # seconds in which the peer may read our last message
+CONNECT_TIMEOUT_S = 5.0  # for the TCP connection to be established
+INITIAL_HOLD_TIME_S = 240.0  # until the peer's OPEN has been received (RFC 4271 section 8.2.2)
+LINGER_TIME_S = 1.0  # for the peer to read our last message
 KEEPALIVES_PER_HOLD_TIME = 3
 
 
 class SessionState(Enum):
-    """The states of RFC 4271, 8.2.2. Active is not among them: we only connect, and never listen."""
+    """The states of RFC 4271 section 8.2.2 except Active, as this speaker never listens."""
 
-    IDLE = "idle"  # no connection; the next one is made after the reconnect delay
-    CONNECT = "connect"  # waiting for the connection to come up
+    IDLE = "idle"  # no connection; the next attempt follows after the reconnect delay
+    CONNECT = "connect"  # waiting for the TCP connection
     OPEN_SENT = "open-sent"  # waiting for the peer's OPEN
-    OPEN_CONFIRM = "open-confirm"  # waiting for the KEEPALIVE that answers ours
-    ESTABLISHED = "established"  # addresses may be announced
+    OPEN_CONFIRM = "open-confirm"  # waiting for the KEEPALIVE that confirms our OPEN
+    ESTABLISHED = "established"  # UPDATE messages may be sent
 
 
 class BgpSession:
-    """A session with one peer, which is started again whenever it ends, until `stop`.
+    """A session with one peer, which is restarted whenever it ends, until `stop` is called.
 
-    Owns its connection and the task that serves it.
+    Owns the connection and the task that serves it.
     """
 
     def __init__(self, loop: Loop, settings: BgpSettings) -> None:
-        """Begin to connect on `loop`."""
+        """Start the session's task on `loop`, which connects to the peer."""
         self.loop, self.settings = loop, settings
         self.state = SessionState.IDLE
         self.ready = self.stopped = False
-        self.announced = False  # whether the last UPDATE that was sent announces our addresses
-        self.four_octet_asn = False  # the peer reads AS numbers of four octets
-        self.hold_time = INITIAL_HOLD_TIME  # seconds; 0: the session needs no keepalives
-        self.last_received_at = self.last_sent_at = 0.0  # loop time
+        self.announced = False  # whether the last UPDATE sent was an announcement
+        self.four_octet_asn = False  # whether the peer supports four-octet AS numbers
+        self.hold_time = INITIAL_HOLD_TIME_S  # seconds; 0: neither a hold timer nor keepalives
+        self.last_received_at = self.last_sent_at = 0.0  # loop times
         self.task: Task = loop.spawn(self._run())
 
     def announce(self, ready: bool) -> None:
-        """Announce our addresses from now on, or withdraw them."""
+        """Announce the service addresses from now on if `ready`, otherwise withdraw them."""
         self.ready = ready
         self.task.wake()
 
     def stop(self) -> None:
-        """Withdraw and end the session."""
+        """Withdraw the service addresses and end the session."""
         self.ready, self.stopped = False, True
         self.task.wake()
 
     @property
     def is_established(self) -> bool:
-        """Whether addresses can be announced now."""
+        """Whether the session is established, so that UPDATE messages can be sent."""
         return self.state is SessionState.ESTABLISHED
 
     @property
     def is_finished(self) -> bool:
-        """Whether the session was stopped and its connection is closed."""
+        """Whether the session has been stopped and its connection closed."""
         return self.task.done
 
     def _run(self) -> Generator[float | None, None, None]:
@@ -90,7 +90,7 @@
         while not self.stopped:
             try:
                 stream = Stream.dial(self.loop, self.settings.peer, description, lambda: self.task.wake())
-            except OSError as error:  # out of descriptors
+            except OSError as error:  # the file descriptors are exhausted
                 log("bgp", f"cannot dial: {error.strerror}")
             else:
                 stream.close((yield from self._run_session(stream)))
@@ -100,11 +100,11 @@
                 yield reconnect_at
 
     def _run_session(self, stream: Stream) -> Generator[float | None, None, Reason]:
-        failure = yield from self._connect(stream)
-        if failure:
-            return failure
+        failure_reason = yield from self._connect(stream)
+        if failure_reason:
+            return failure_reason
         stream.write(encode_open(self.settings.asn, self.settings.hold_time, self.settings.identifier))
-        self.state, self.hold_time = SessionState.OPEN_SENT, INITIAL_HOLD_TIME
+        self.state, self.hold_time = SessionState.OPEN_SENT, INITIAL_HOLD_TIME_S
         try:
             return (yield from self._serve(stream))
         except BgpProtocolError as error:
@@ -113,9 +113,9 @@
             return (yield from self._linger(stream, Reason.NOTIFIED))
 
     def _connect(self, stream: Stream) -> Generator[float | None, None, Reason | None]:
-        """Wait for the connection; return why there is none."""
+        """Wait until the connection is established; return the reason if it fails, else None."""
         self.state = SessionState.CONNECT
-        timeout_at = self.loop.now() + CONNECT_TIMEOUT
+        timeout_at = self.loop.now() + CONNECT_TIMEOUT_S
         while not stream.connected:
             if stream.eof:
                 return Reason.DIAL_REFUSED
@@ -127,7 +127,7 @@
         return None
 
     def _serve(self, stream: Stream) -> Generator[float | None, None, Reason]:
-        """Serve the connection from OpenSent to its end."""
+        """Handle messages and timers from OPEN_SENT to the end of the session; return the reason."""
         decoder = MessageDecoder()
         self.last_received_at = self.last_sent_at = self.loop.now()
         while True:
@@ -135,7 +135,7 @@
                 for message in decoder.feed(stream.take_inbox()):
                     self.last_received_at = self.loop.now()
                     if isinstance(message, Notification):
-                        log("bgp", f"got NOTIFICATION {message.code}/{message.subcode}")
+                        log("bgp", f"received NOTIFICATION {message.code}/{message.subcode}")
                         return Reason.NOTIFIED
                     self._on_message(stream, message)
             if stream.eof:
@@ -151,7 +151,7 @@
             yield self._next_timer()
 
     def _on_message(self, stream: Stream, message: Message) -> None:
-        """Take a message that is no NOTIFICATION: move to the next state, or raise BgpProtocolError."""
+        """Handle a message other than NOTIFICATION; raises BgpProtocolError if the state forbids it."""
         unexpected = BgpProtocolError(ErrorCode.FINITE_STATE_MACHINE, UNSPECIFIC)
         if self.state is SessionState.OPEN_SENT:
             if not isinstance(message, Open):
@@ -166,7 +166,7 @@
             if not isinstance(message, Keepalive):
                 raise unexpected
             self.state = SessionState.ESTABLISHED
-            log("bgp", "session is up")
+            log("bgp", "session established")
 
     def _accept_open(self, message: Open) -> None:
         if message.asn != self.settings.peer_asn:
@@ -177,7 +177,7 @@
         self.four_octet_asn = message.four_octet_asn
 
     def _send_update(self, stream: Stream) -> None:
-        """Announce or withdraw, unless the last UPDATE fits the readiness."""
+        """Send an announcement or a withdrawal if the last UPDATE does not match the readiness."""
         if not self.is_established or self.announced == self.ready:
             return
         self.announced = self.ready
@@ -191,20 +191,20 @@
             )
         else:
             stream.write(encode_withdrawal(settings.networks))
-        log("bgp", "addresses announced" if self.ready else "addresses withdrawn")
+        log("bgp", "service addresses announced" if self.ready else "service addresses withdrawn")
 
     @property
     def _next_keepalive_at(self) -> float:
         return self.last_sent_at + self.hold_time / KEEPALIVES_PER_HOLD_TIME
 
     def _send_keepalive_if_due(self, stream: Stream, now: float) -> None:
-        opened = self.state is not SessionState.OPEN_SENT
-        if opened and self.hold_time and now >= self._next_keepalive_at:
+        has_received_open = self.state is not SessionState.OPEN_SENT
+        if has_received_open and self.hold_time and now >= self._next_keepalive_at:
             stream.write(encode_keepalive())
             self.last_sent_at = now
 
     def _next_timer(self) -> float | None:
-        """When the hold time runs out or a keepalive is due, whichever is first; None without a hold time."""
+        """Return the loop time of the next hold timer expiry or keepalive; None if both are disabled."""
         if not self.hold_time:
             return None
         hold_expires_at = self.last_received_at + self.hold_time
@@ -213,10 +213,10 @@
         return min(hold_expires_at, self._next_keepalive_at)
 
     def _linger(self, stream: Stream, reason: Reason) -> Generator[float | None, None, Reason]:
-        """Close after the peer has read our last message.
+        """Close the connection gracefully, so that the peer can read our last message; return `reason`.
 
-        The system resets a connection that is closed with unread input, and a reset discards what the peer
-        has not read yet: it would not learn why the session ended. So input is read until the peer closes.
+        Closing a socket with unread input causes a TCP reset, which discards data that the peer has not read
+        yet, including the NOTIFICATION with the cause. So input is read until the peer closes.
         """
-        yield from stream.close_gracefully(LINGER_TIME)
+        yield from stream.close_gracefully(LINGER_TIME_S)
         return reason
--- a/query_gateway/bgp/settings.py
+++ b/query_gateway/bgp/settings.py
@@ -1,4 +1,4 @@
-"""The settings of the BGP speaker; the speaker itself is imported only where it is on."""
+"""The settings of the BGP speaker, in a module of their own as the speaker is imported only if enabled."""
 
 from dataclasses import dataclass
 from ipaddress import IPv4Address, IPv4Network
@@ -6,7 +6,7 @@
 
 @dataclass(slots=True, frozen=True)
 class BgpSettings:
-    """Who we are, who the peer is, and what is announced to it."""
+    """The local speaker, its peer, and the networks to announce."""
 
     peer: tuple[str, int]
     asn: int
@@ -14,5 +14,5 @@
     identifier: IPv4Address
     next_hop: IPv4Address
     networks: tuple[IPv4Network, ...]
-    hold_time: int = 90  # seconds; 0: no keepalives
-    reconnect_delay: float = 5.0  # seconds before a new connection
+    hold_time: int = 90  # seconds, as proposed in our OPEN; 0: no keepalives
+    reconnect_delay: float = 5.0  # seconds from the end of a connection to the next attempt to connect
--- a/query_gateway/flight/__init__.py
+++ b/query_gateway/flight/__init__.py
@@ -1,9 +1,9 @@
-"""Flight SQL on both sides: the server that clients call, and the connections to the engines.
+"""Flight SQL: the server for client calls, and the client for engines.
 
-Decides how a Flight SQL call becomes a request of the forwarder, how an attempt becomes calls to an engine,
-and which gRPC status an answer gets. Owns the clients' and the engines' gRPC connections. Imported by the
-composition root alone, and only where Flight SQL is on.
+Maps a Flight SQL call to a request of the forwarder, an attempt to calls at an engine, and an answer to a
+gRPC status. Owns the gRPC connections of clients and engines. Imported by the composition root only where
+Flight SQL is enabled.
 
-Modules import in one direction: `server`, `client_call`, `requests`, `messages`; `engines` uses `messages`
-alone. What a client's call needs of the server is the Protocol `FlightCallContext`.
+Modules import in one direction: `server`, `client_call`, `requests`, `messages`; `engines` imports only
+`messages`. The Protocol `FlightCallContext` is the interface of the server to a client's call.
 """
--- a/query_gateway/flight/client_call.py
+++ b/query_gateway/flight/client_call.py
@@ -1,9 +1,9 @@
-"""One call of a Flight SQL client: its message becomes a request, and the result goes back as it comes.
+"""One call of a Flight SQL client: decodes its message into a request and streams the result back.
 
 AWAITING_MESSAGE --message--> CLASSIFYING --classified--> FORWARDED --final answer--> DONE
        |     |                    |                         ^  |                       ^
        |     `-- without parsing -+-------------------------'  `--- call aborted ------+
-       `-- no or an invalid message, GetFlightInfo answered, rejected, call aborted ---'
+       `-- message missing or invalid, GetFlightInfo answered, rejected, call aborted -'
 """
 
 from collections.abc import Callable
@@ -35,48 +35,48 @@
 if TYPE_CHECKING:
     from query_gateway.parsing.service import Classification, ClassificationRequest, StatementService
 
-MESSAGE_TIMEOUT_S = 5.0  # in which a call must have brought its message
-# The platform's name of Retry-After, in milliseconds. Every rejection has it; 0 tells the client that it may
-# come back at once
+MESSAGE_TIMEOUT_S = 5.0  # from the start of a call to the arrival of its complete message
+# The platform's equivalent of Retry-After, in milliseconds, which is part of every rejection; 0: the client
+# may retry at once
 RETRY_AFTER_METADATA = "x-throttle-ms"
 RESPONSE_HEADERS = [(":status", "200"), ("content-type", "application/grpc")]
-# The one status of each verdict; the on-call page names them
+# Each verdict has exactly one status, which the on-call documentation lists
 REJECTED_STATUS, FAILED_STATUS = GrpcStatus.RESOURCE_EXHAUSTED, GrpcStatus.INTERNAL
 
 
 class FlightCallContext(Protocol):
-    """What a call uses of the server that accepted it; the classes may change between two calls."""
+    """The interface of the server to its calls; a reload may replace the classes between two calls."""
 
     loop: Loop
     forwarder: Forwarder
-    statements: "StatementService | None"  # None where statements are not parsed
-    classes: dict[str, FlightClass]  # that clients may name
-    query_class: str  # of a query whose client names none
-    update_class: str  # of an update whose client names none
+    statements: "StatementService | None"  # None if statement parsing is disabled
+    classes: dict[str, FlightClass]  # the classes that clients may request, by name
+    query_class: str  # the default class of queries
+    update_class: str  # the default class of updates
 
 
 class FlightCallState(Enum):
-    """How far a client's call has come."""
+    """The states of a client's call."""
 
     AWAITING_MESSAGE = "awaiting message"
-    CLASSIFYING = "classifying"  # its statement is being parsed
-    FORWARDED = "forwarded"  # the forwarder has it
-    DONE = "done"  # its final status has been given, or it was aborted
+    CLASSIFYING = "classifying"  # the statement is being parsed
+    FORWARDED = "forwarded"  # the forwarder has accepted the request
+    DONE = "done"  # the final status is sent or queued, or the call was aborted
 
 
 class FlightCall(CallHandler):
-    """One call of a client; of an exchange it is the client's side."""
+    """One call of a client, which is also the client's side of the exchange."""
 
     def __init__(self, server: FlightCallContext, headers: dict[str, str], call: Call) -> None:
-        """Wait for the message of a call that has just begun with these request headers."""
+        """Handle a new call with these request headers; start the timeout for its message."""
         self.server, self.request_headers, self.call = server, headers, call
         self.method_name = headers.get(":path", "").removeprefix(messages.SERVICE_PATH)
-        self.client_request_id = ""  # once its statement is being classified
+        self.client_request_id = ""  # set when classification starts
         self.exchange: Exchange | None = None
         self.state = FlightCallState.AWAITING_MESSAGE
         self.headers_sent = False
-        # A client may open calls and never send their message. They would stay in the connection's table, and
-        # the connection would count as busy for ever
+        # Without a timeout, a call whose client never sends its message would stay in the connection's table
+        # of open calls, and the connection would never count as idle
         server.loop.call_at(server.loop.now() + MESSAGE_TIMEOUT_S, self._on_message_timeout)
 
     def _on_message_timeout(self) -> None:
@@ -86,7 +86,7 @@
     # ---- the client's call
 
     def on_message(self, data: bytes, flow_controlled_bytes: int) -> None:
-        """Take up the call's first message; what may follow it is acknowledged and dropped."""
+        """Handle the first message of the call; later messages are acknowledged and discarded."""
         self.call.acknowledge(flow_controlled_bytes)
         if self.state is not FlightCallState.AWAITING_MESSAGE:
             return
@@ -110,14 +110,14 @@
             self._finish(GrpcStatus.UNIMPLEMENTED, f"{name} is not supported here")
 
     def on_end_stream(self) -> None:
-        """End a call that the client has half-closed without a message."""
+        """Fail the call if the client has half-closed it without a message."""
         if self.state is FlightCallState.AWAITING_MESSAGE:
             is_known = any(self.method_name == method.value for method in FlightMethod)
             status = GrpcStatus.INVALID_ARGUMENT if is_known else GrpcStatus.UNIMPLEMENTED
             self._finish(status, "the call holds no message")
 
     def on_aborted(self, never_ran: bool) -> None:
-        """Abandon the request of a client that has cancelled its call or lost its connection."""
+        """Abandon the request: the client has cancelled the call, or its connection has ended."""
         self.state = FlightCallState.DONE
         self.server.loop.watermark.release(self)
         if self.exchange:
@@ -126,7 +126,7 @@
     # ---- from the message to the forwarder
 
     def _classify(self, text: str, is_update: bool) -> None:
-        """Forward a statement at once, or once it has been parsed where statements are."""
+        """Forward a statement: after it was parsed if statement parsing is enabled, otherwise at once."""
         server = self.server
         stream = self.call.connection.stream
         arrival = stream.arrivals.time_of(stream.arrivals.received, server.loop.now())
@@ -139,14 +139,14 @@
         if class_name is not None and class_name not in server.classes:
             raise _unknown_class(class_name)
         if class_name is None and is_update:
-            class_name = server.update_class  # DoPut marks the statement as an update
+            class_name = server.update_class  # the client sends only updates through DoPut
         self.client_request_id = client_request_id_of(self.request_headers)
         self.state = FlightCallState.CLASSIFYING
         request = self._classification_request(statement, class_name)
         watermark = server.loop.watermark
 
         def on_classified(classification: "Classification") -> None:
-            """Go on with this statement."""
+            """Let the watermark advance past the statement and handle its classification."""
             watermark.release(self)
             self._on_classified(statement, classification)
 
@@ -154,14 +154,14 @@
         server.statements.classify(request, on_classified)
 
     def _default_class(self, statement: FlightStatement) -> str:
-        """The class that the client names, else that of its statement's kind."""
+        """Return the class that the client requests, or the default for queries or updates."""
         default = self.server.update_class if statement.is_update else self.server.query_class
         return self.request_headers.get("x-class") or default
 
     def _classification_request(
         self, statement: FlightStatement, class_name: str | None
     ) -> "ClassificationRequest":
-        """The deadline is left open where it depends on the statement's class."""
+        """Build the request to the parser; no deadline without grpc-timeout, as it depends on the class."""
         from query_gateway.parsing.service import ClassificationRequest
 
         key = hex_header(self.request_headers, "x-row", KEY_DIGITS, False)
@@ -186,7 +186,7 @@
                 self._finish(GrpcStatus.INVALID_ARGUMENT, str(error))
 
     def _shape_quarantine(self, statement: FlightStatement, classification: "Classification") -> str | None:
-        """Return why statements of this shape do not run for now, if so."""
+        """Return the reason for which statements of this shape are rejected at present, or None."""
         statements = self.server.statements
         if statements is None:
             return None
@@ -195,19 +195,19 @@
     def _forward(
         self, statement: FlightStatement, class_name: str, classification: "Classification | None" = None
     ) -> None:
-        """Give the request to the forwarder; raises RequestError if its class or a header is unusable."""
+        """Pass the request to the forwarder; raises RequestError if its class or a header is invalid."""
         flight_class = self.server.classes.get(class_name)
         if flight_class is None:
             raise _unknown_class(class_name)
         request = decode_request(statement, class_name, flight_class, self.request_headers, classification)
         self.exchange = self.server.forwarder.accept(request, self, "flight")
-        if self.state is not FlightCallState.DONE:  # accepting may have answered it
+        if self.state is not FlightCallState.DONE:  # the forwarder may have answered it in `accept`
             self.state = FlightCallState.FORWARDED
 
     # ---- the answer
 
     def _reject_unforwarded(self, class_name: str, reason: EarlyRejection, message: str) -> None:
-        """Reject before the forwarder has it, with the Retry-After time of the settings."""
+        """Reject a request that was not passed to the forwarder, with the configured Retry-After time."""
         rejection = self.server.forwarder.reject_unaccepted(self.client_request_id, class_name, reason)
         self._reject(message, rejection)
 
@@ -220,19 +220,20 @@
             self.call.send_headers(RESPONSE_HEADERS)
 
     def _finish(self, status: GrpcStatus, message: str = "", metadata: Headers | None = None) -> None:
-        """Give the call its final status; without a result before it, in one frame with the headers."""
+        """Send the final status; if no headers were sent yet, as a Trailers-Only response in one frame."""
         if self.state is FlightCallState.DONE:
             return
         self.state = FlightCallState.DONE
         trailers = [("grpc-status", str(status.value)), *(metadata or [])]
         if message:
-            trailers.append(("grpc-message", _printable(message)))
+            trailers.append(("grpc-message", _to_grpc_message(message)))
         if not self.headers_sent:
             self.call.send_headers(RESPONSE_HEADERS + trailers, end_stream=True)
             return
         self.call.finish(trailers)
         if not self.call.is_closed:
-            # A client that never reads its answer would keep the call in the connection's table for ever
+            # Without a timeout, a client that does not read its answer would keep the call in the
+            # connection's table of open calls for ever
             loop = self.server.loop
             loop.call_at(loop.now() + SLOW_READER_TIMEOUT_S, self.call.reset)
 
@@ -245,13 +246,13 @@
         return self.state is FlightCallState.DONE or self.call.is_closed or stream.is_over
 
     def send_page(self, page: bytes, on_sent: Callable[[], None]) -> None:
-        """Send one FlightData; `on_sent` is called when flow control has let it go."""
+        """Send one FlightData; `on_sent` is called when flow control has released all of it."""
         if self.state is not FlightCallState.DONE:
             self._send_headers()
             self.call.send(page, on_sent)
 
     def send_answer(self, answer: Answer) -> None:
-        """Finish the call with the status of the answer's verdict."""
+        """Finish the call with the status that corresponds to the answer's verdict."""
         if answer.verdict is Verdict.SERVED:
             self._send_headers()
             self._finish(GrpcStatus.OK)
@@ -265,6 +266,6 @@
     return RequestError(404, f"class {class_name[:MAX_NAME_IN_ERROR]!r} is unknown")
 
 
-def _printable(text: str) -> str:
-    """Return the text with a question mark for whatever `grpc-message` would need percent-encoded."""
+def _to_grpc_message(text: str) -> str:
+    """Return the text with question marks for the characters that `grpc-message` would percent-encode."""
     return "".join(char if " " <= char <= "~" and char != "%" else "?" for char in text)
--- a/query_gateway/flight/engines.py
+++ b/query_gateway/flight/engines.py
@@ -1,10 +1,10 @@
-"""Flight SQL engines: one HTTP/2 connection to each, and one or two calls for every attempt.
+"""The client for Flight SQL engines: one HTTP/2 connection per engine, one or two calls per attempt.
 
-An attempt at a query; at an update DO_PUT stands for both methods:
+The states of an attempt to run a query; an update has the single call DO_PUT in place of the two calls:
 
-    waiting for the connection --> GET_FLIGHT_INFO --plan with one ticket--> DO_GET --end of stream--> over
+    waiting for the connection --> GET_FLIGHT_INFO --plan with one ticket--> DO_GET --end of stream--> ended
             |                            |                                      |
-            `----------------------------+-- error, abort, withdrawn, stopped --+--------------------> over
+            `----------------------------+-- error, abort, withdrawn, stopped --+--------------------> ended
 """
 
 import re
@@ -24,55 +24,57 @@
 from query_gateway.rpc.connection import GrpcConnection
 from query_gateway.rpc.status import GrpcStatus
 
-MEASUREMENT = re.compile(
+MEASUREMENT_VALUE = re.compile(
     r"\d{1,9}(\.\d{1,6})?", re.ASCII
-)  # a query's work or memory, as an engine reports it
+)  # the work or memory of a query in an engine's headers
 
 
 @dataclass(slots=True, frozen=True)
 class ResultMessage:
-    """One FlightData of a result, undecoded, and what passing it on acknowledges to the engine."""
+    """One undecoded FlightData of a result, and the flow-control credit that is due for it."""
 
     data: bytes
     flow_controlled_bytes: int
 
 
-MAX_DEADLINE_AGE_NS = 20 * MS  # of the deadline in a call's headers, as the call's message leaves
-PASSED_ON = ResultMessage(b"", 0)  # in the place of a schema that has been passed on
+MAX_DEADLINE_AGE_NS = 20 * MS  # from encoding the deadline in a call's headers to sending its message
+FORWARDED_SCHEMA = ResultMessage(b"", 0)  # replaces a schema message that has been forwarded
 
 
 class FlightAttempt(CallHandler):
-    """One attempt at an engine: for a query its plan and then its result, for an update one DoPut.
+    """One attempt at an engine: GetFlightInfo and then DoGet for a query, one DoPut for an update.
 
-    Each call in turn is an HTTP/2 stream of its own; this is the handler of them all.
+    Each call is a separate HTTP/2 stream; this object handles all calls of the attempt.
     """
 
     def __init__(
         self, pool: "FlightConnectionPool", connection: "FlightConnection", attempt: AttemptHandle
     ) -> None:
-        """Prepare an attempt on this connection; nothing is sent before `begin`."""
+        """Prepare the attempt on this connection; `begin` opens its first call."""
         self.pool, self.connection, self.attempt = pool, connection, attempt
         self.call: Call | None = None
-        self.opened_at = 0  # when the call's headers were encoded, in clock time
+        self.opened_at = 0  # clock time when the call's headers were encoded
         self.method = FlightMethod.DO_PUT if attempt.request.is_update else FlightMethod.GET_FLIGHT_INFO
         self.tickets: list[bytes] = []
-        self.schema: ResultMessage | None = None  # kept back until more comes: a schema is no row
-        self.status: str | None = None  # of the call under way, as the engine sent it
-        self.is_over = False
+        self.schema: ResultMessage | None = (
+            None  # held until another message follows, as a schema has no rows
+        )
+        self.status: str | None = None  # grpc-status of the current call
+        self.is_ended = False
 
     @property
     def is_withdrawable(self) -> bool:
-        """Whether the engine has surely begun nothing of it.
+        """Whether the engine cannot have started to execute the attempt.
 
-        An engine runs nothing before it has the complete message of the call. A DoGet counts as run all the
-        same: the engine may have begun the query when it planned it.
+        An engine executes nothing before it has received the complete message of a call. During DoGet the
+        attempt counts as started in any case, as the engine may execute a query while planning it.
         """
         if self.method is FlightMethod.DO_GET:
             return False
         return self.call is None or bool(self.call.queue)
 
     def begin(self) -> None:
-        """Open the attempt's first call."""
+        """Open the first call, unless the attempt must no longer be written."""
         self.pool.postponed.remove(self.attempt)
         if not self.attempt.may_be_written():
             self.end(OutcomeCode.NOT_SENT)
@@ -84,26 +86,26 @@
             self._open_call(messages.encode_query_descriptor(statement))
 
     def stop(self) -> None:
-        """Cancel the attempt without notifying anybody."""
-        self.is_over = True
+        """Cancel the attempt without reporting an outcome."""
+        self.is_ended = True
         if self.call:
             self.call.reset()
         self.connection.remove_waiting(self)
 
     def end(self, code: OutcomeCode) -> None:
-        """Notify the forwarder of the attempt's one outcome; later ones are dropped."""
-        if not self.is_over:
-            self.is_over = True
+        """Report the outcome of the attempt to the forwarder; calls after the first one are ignored."""
+        if not self.is_ended:
+            self.is_ended = True
             self.pool.attempts.pop(id(self.attempt), None)
             self.pool.postponed.remove(self.attempt)
             self.attempt.on_ended(code)
 
-    def end_undialled(self) -> None:
-        """End the attempt as its dial failed, or postpone it if our own machine could not dial."""
-        if self.is_over or not self.connection.grpc.stream.is_local_failure:
+    def end_after_failed_dial(self) -> None:
+        """End the attempt after a failed dial, or postpone it if the failure was local to this host."""
+        if self.is_ended or not self.connection.grpc.stream.is_local_failure:
             self.end(OutcomeCode.CONNECT_FAILED)
             return
-        self.is_over = True
+        self.is_ended = True
         self.pool.attempts.pop(id(self.attempt), None)
         self.pool.postponed.postpone(self.attempt, self.pool.dial_timeout)
 
@@ -114,19 +116,19 @@
         if self.call is None:
             self.end(self._outcome_of_abort(never_ran=True))
             return
-        # A query counts as written with its plan's request; its result's is no second one
+        # A query counts as written once GetFlightInfo has been sent; DoGet must not count it a second time
         is_first = self.method is not FlightMethod.DO_GET
         self.call.send(
             message,
             on_sent=self._on_message_released if is_first else None,
             half_close=True,
-            may_leave=lambda: self._may_leave(message),
+            may_send=lambda: self._may_send_message(message),
         )
 
-    def _may_leave(self, message: bytes) -> bool:
-        """Whether a call's message may follow its headers; if they are out of date, the call is opened again.
+    def _may_send_message(self, message: bytes) -> bool:
+        """Whether the message may follow the call's headers; if their deadline is too old, reopen the call.
 
-        The engine runs nothing of a call whose message it has not received.
+        Reopening is safe, as the engine executes nothing of a call whose message it has not received.
         """
         if self.pool.clock() - self.opened_at <= MAX_DEADLINE_AGE_NS:
             return True
@@ -160,7 +162,7 @@
         return headers
 
     def _on_message_released(self) -> None:
-        """Flow control has let the message go; it counts as written once the socket has taken it."""
+        """Report the message as written once the socket, too, has accepted it after flow control."""
         self.connection.grpc.stream.call_when_sent(self.attempt.on_written)
 
     def _outcome_of_abort(self, never_ran: bool) -> OutcomeCode:
@@ -168,10 +170,10 @@
             return OutcomeCode.CONNECT_FAILED
         return OutcomeCode.RESET
 
-    # ---- what the engine sends
+    # ---- events from the engine
 
     def on_headers(self, headers: dict[str, str]) -> None:
-        """Note the call's status and what the engine measured of the query."""
+        """Record the status of the call, and report the work and memory that the engine measured."""
         self.status = headers.get("grpc-status", self.status)
         if "x-work-ms" in headers or "x-used-mb" in headers:
             work_ms = _parse_measurement(headers.get("x-work-ms", "0"))
@@ -179,9 +181,9 @@
             self.attempt.on_measured(int(work_ms * MS), used_mb)
 
     def on_message(self, data: bytes, flow_controlled_bytes: int) -> None:
-        """Take the tickets of a plan, or pass a message of the result on."""
+        """Decode the tickets of a plan, or forward a message of the result."""
         call = self.call
-        if self.is_over or call is None:
+        if self.is_ended or call is None:
             return
         if self.method is FlightMethod.GET_FLIGHT_INFO:
             call.acknowledge(flow_controlled_bytes)
@@ -193,12 +195,12 @@
         elif self.method is FlightMethod.DO_GET and self.schema is None:
             self.schema = ResultMessage(data, flow_controlled_bytes)
         else:
-            self._pass_schema_on()
-            self._pass_on(ResultMessage(data, flow_controlled_bytes))
+            self._forward_schema()
+            self._forward_message(ResultMessage(data, flow_controlled_bytes))
 
     def on_end_stream(self) -> None:
-        """Go on from a plan to its result, or end with the outcome of the call's status."""
-        if self.is_over:
+        """Continue from the plan to the result, or end the attempt with the outcome for the status."""
+        if self.is_ended:
             return
         if self.status != str(GrpcStatus.OK.value):
             is_full = self.status == str(GrpcStatus.RESOURCE_EXHAUSTED.value)
@@ -206,17 +208,17 @@
         elif self.method is FlightMethod.GET_FLIGHT_INFO:
             self._fetch_result()
         elif self.tickets:
-            # The engine's plan has several endpoints (Arrow Flight, FlightInfo), each of whose results begins
-            # with a schema of its own: as one stream they could not be read
-            self._pass_schema_on()
+            # The plan has several endpoints (Arrow Flight, FlightInfo). Each of their results starts with its
+            # own schema, so clients could not read the results as one concatenated stream
+            self._forward_schema()
             self.end(OutcomeCode.ERROR)
         else:
             self.attempt.on_executed()
-            self._pass_schema_on()
+            self._forward_schema()
             self.end(OutcomeCode.OK)
 
     def on_aborted(self, never_ran: bool) -> None:
-        """End the attempt; it may be sent elsewhere if the engine surely began nothing."""
+        """End the attempt; another engine may run it if this one cannot have started to execute it."""
         self.end(self._outcome_of_abort(never_ran))
 
     def _fetch_result(self) -> None:
@@ -226,27 +228,27 @@
         else:
             self.end(OutcomeCode.ERROR)
 
-    def _pass_schema_on(self) -> None:
+    def _forward_schema(self) -> None:
         if self.schema and self.schema.data:
-            schema, self.schema = self.schema, PASSED_ON
-            self._pass_on(schema)
+            schema, self.schema = self.schema, FORWARDED_SCHEMA
+            self._forward_message(schema)
 
-    def _pass_on(self, message: ResultMessage) -> None:
-        """Pass a message on; it is acknowledged to the engine only once it has left for the client."""
+    def _forward_message(self, message: ResultMessage) -> None:
+        """Forward a message; it is acknowledged to the engine only once it was sent to the client."""
         if call := self.call:
             self.attempt.on_page(message.data, lambda: call.acknowledge(message.flow_controlled_bytes))
 
 
 def _parse_measurement(text: str) -> float:
-    """Return a figure that an engine reports of a query; 0, for not reported, if it cannot be read."""
-    return float(text) if MEASUREMENT.fullmatch(text) else 0.0
+    """Return the value of an engine's measurement header; 0, like a missing header, if it is malformed."""
+    return float(text) if MEASUREMENT_VALUE.fullmatch(text) else 0.0
 
 
 class FlightConnection:
-    """The connection to one engine, with the attempts that wait for it to come up."""
+    """The connection to one engine, with the attempts that wait for it to be established."""
 
     def __init__(self, pool: "FlightConnectionPool", engine: str, address: str) -> None:
-        """Dial `address`, given as ADDRESS:PORT; raises OSError when no file descriptor is left."""
+        """Dial `address`, given as ADDRESS:PORT; raises OSError if the file descriptors are exhausted."""
         self.pool, self.address = pool, address
         self.waiting: list[FlightAttempt] = []
         loop = pool.loop
@@ -257,42 +259,43 @@
 
     @property
     def is_usable(self) -> bool:
-        """Whether a further call may be begun.
+        """Whether the connection accepts further calls.
 
-        Reads what has arrived first. A call written after the engine has closed the connection, unnoticed so
-        far, would count as possibly run when the connection ends, and an update could not be repeated.
+        Received data is read first, to notice a close by the engine. A call written after the close would
+        count as possibly executed when the connection ends, so that an update could not be repeated.
         """
         self.grpc.stream.read_available()
         return not self.grpc.draining and not self.grpc.stream.is_over
 
     def start(self, attempt: FlightAttempt) -> None:
-        """Begin the attempt, at once or when the connection has come up."""
+        """Begin the attempt once the connection is established, which may be at once."""
         if self.grpc.stream.connected:
             attempt.begin()
-        elif self.grpc.stream.is_over:  # the dial failed at once, and no activity follows
-            self.pool.loop.call_at(self.pool.loop.now(), attempt.end_undialled)
+        elif self.grpc.stream.is_over:  # the dial failed immediately, so no activity callback will follow
+            self.pool.loop.call_at(self.pool.loop.now(), attempt.end_after_failed_dial)
         else:
             self.waiting.append(attempt)
 
     def remove_waiting(self, attempt: FlightAttempt) -> None:
-        """Begin this attempt no more, if it still waits."""
+        """Remove the attempt from those that wait for the connection, if it is among them."""
         self.waiting = [other for other in self.waiting if other is not attempt]
 
     def _on_activity(self) -> None:
         self.grpc.wake()
         if self.waiting:
-            # Not in the midst of the events of a poll: those of clients may be cancels, and come first
+            # Deferred until all events of this poll are handled, as cancellations by clients must take effect
+            # first
             self.pool.loop.call_at(self.pool.loop.now(), self._start_waiting)
 
     def _start_waiting(self) -> None:
-        """Begin what waits, or end it if the connection never came up."""
+        """Begin the waiting attempts, or end them if the connection could not be established."""
         stream = self.grpc.stream
         if not stream.connected and not stream.is_over:
             return
         waiting, self.waiting = self.waiting, []
         for attempt in waiting:
             if stream.is_over:
-                attempt.end_undialled()
+                attempt.end_after_failed_dial()
             else:
                 attempt.begin()
 
@@ -304,20 +307,20 @@
 
 
 class FlightConnectionPool:
-    """The forwarder's engine client for Flight SQL; owns the connections and the attempts there."""
+    """The forwarder's engine client for Flight SQL; owns the connections and the attempts on them."""
 
     streams_results = True
 
     def __init__(self, loop: Loop, clock: Callable[[], int], dial_timeout: float) -> None:
-        """Begin without engines. `clock` gives clock time in nanoseconds; `dial_timeout` is in seconds."""
+        """Start without engines; `clock` returns clock time in nanoseconds, `dial_timeout` is in seconds."""
         self.loop, self.clock, self.dial_timeout = loop, clock, dial_timeout
-        self.addresses: dict[str, str] = {}  # of the engines that may get new attempts, by engine
+        self.addresses: dict[str, str] = {}  # by engine, for those that accept new attempts
         self.connections: dict[str, FlightConnection] = {}  # by engine
-        self.attempts: dict[int, FlightAttempt] = {}  # by the id() of the forwarder's attempt
+        self.attempts: dict[int, FlightAttempt] = {}  # by id() of the AttemptHandle
         self.postponed = PostponedAttempts(loop, self.start)
 
     def start(self, attempt: AttemptHandle) -> None:
-        """Send an attempt to its engine; NOT_SENT if that is impossible without an engine fault."""
+        """Send an attempt to its engine; NOT_SENT, no engine fault, if the engine accepts no new attempts."""
         address = self.addresses.get(attempt.endpoint)
         if address is None:
             self.postponed.remove(attempt)
@@ -331,7 +334,7 @@
         connection.start(flight_attempt)
 
     def _connection_to(self, engine: str, address: str) -> FlightConnection | None:
-        """Return the engine's connection, or a new one if it takes no further call; None: out of sockets."""
+        """Return the engine's connection, or a new one if it is unusable; None without file descriptors."""
         connection = self.connections.get(engine)
         if connection and connection.is_usable and connection.address == address:
             return connection
@@ -339,12 +342,12 @@
             connection.grpc.drain()
         try:
             connection = self.connections[engine] = FlightConnection(self, engine, address)
-        except OSError:  # no file descriptor is left
+        except OSError:  # the file descriptors are exhausted
             return None
         return connection
 
     def withdraw(self, attempt: AttemptHandle) -> bool:
-        """Cancel the attempt if the engine has surely begun nothing of it; False if it may have."""
+        """Cancel the attempt if the engine cannot have started to execute it; return whether it did so."""
         flight_attempt = self.attempts.get(id(attempt))
         if flight_attempt is None:
             return self.postponed.remove(attempt)
@@ -354,19 +357,19 @@
         return True
 
     def cancel(self, attempt: AttemptHandle) -> None:
-        """Stop the attempt at its engine; it gets no outcome."""
+        """Cancel the attempt at its engine without reporting an outcome."""
         self.postponed.remove(attempt)
         if flight_attempt := self.attempts.pop(id(attempt), None):
             flight_attempt.stop()
 
     def set_priority(self, attempt: AttemptHandle) -> None:
-        """Do nothing: a priority cannot be changed on this wire once the call is out."""
+        """Do nothing: Flight SQL has no means to change the priority of a call that has been sent."""
 
     def update_endpoints(self, endpoints: list[Endpoint], is_snapshot: bool) -> None:
-        """Take over the engines' addresses and states; `is_snapshot`: those not named are removed.
+        """Update the engines' addresses and states; a snapshot also removes the engines that it omits.
 
-        An engine that drains closes its connections in the end, and a call begun then would be lost. So its
-        connection takes no further call, while results under way go on.
+        A draining engine eventually closes its connections, and calls opened shortly before would be lost. So
+        its connection accepts no further calls, while result transfers in progress continue.
         """
         if is_snapshot:
             self.addresses = {}
@@ -380,10 +383,10 @@
             self._drain_connection(self.connections.pop(engine))
 
     def _drain_connection(self, connection: FlightConnection) -> None:
-        """Begin nothing more there; end what the engine has not begun, so that it is sent elsewhere."""
+        """Open no more calls; end the attempts that the engine has not started, so that others run them."""
         connection.grpc.drain()
         for flight_attempt in list(self.attempts.values()):
             if flight_attempt.connection is connection and self.withdraw(flight_attempt.attempt):
-                # The scheduler treats it as never run, as it would for `NOT_SENT`, but for this code it also
-                # ejects the engine
+                # As for `NOT_SENT`, the scheduler treats the attempt as never run, but for CONNECT_FAILED it
+                # also ejects the engine
                 flight_attempt.attempt.on_ended(OutcomeCode.CONNECT_FAILED)
--- a/query_gateway/flight/messages.py
+++ b/query_gateway/flight/messages.py
@@ -1,7 +1,7 @@
-"""The few messages of Arrow Flight and Flight SQL that the gateway reads or writes.
+"""The messages of Arrow Flight and Flight SQL that the gateway reads or writes.
 
-Declared here from the public specification's field numbers, for the protobuf package to encode and decode;
-each is turned into a plain value at once. A FlightData of a result is not even decoded: it passes as it is.
+Declared with the field numbers of the public specification, and encoded and decoded by the protobuf package;
+callers see plain values only. The FlightData messages of a result are forwarded without being decoded.
 """
 
 from dataclasses import dataclass
@@ -21,13 +21,13 @@
     FieldProto.TYPE_INT64,
     FieldProto.TYPE_MESSAGE,
 )
-COMMAND_DESCRIPTOR = 2  # the FlightDescriptor type that holds a command
-UNKNOWN_TOTAL = -1  # of a result's records or bytes
-MAX_TYPE_URL_IN_ERROR = 80  # characters
+COMMAND_DESCRIPTOR = 2  # FlightDescriptor.type of a descriptor that holds a command
+UNKNOWN_TOTAL = -1  # in FlightInfo: the number of records or bytes is unknown
+MAX_TYPE_URL_IN_ERROR = 80  # characters of a type URL that an error message repeats
 
 
 class FlightMethod(Enum):
-    """The methods of the Flight service that the gateway serves and calls; the values are the wire's."""
+    """The methods of the Flight service that the gateway serves and calls; the values are sent as such."""
 
     GET_FLIGHT_INFO = "GetFlightInfo"
     DO_GET = "DoGet"
@@ -35,17 +35,17 @@
 
 
 class FlightMessageError(Exception):
-    """Bytes that are not the expected message; the text, sent to the client, names that message."""
+    """The bytes are not the expected message; the text is sent to the client."""
 
 
 @dataclass(slots=True, frozen=True)
 class FieldSpec:
-    """One field of a message, as the public specification declares it."""
+    """One field of a message, as declared in the public specification."""
 
     name: str
     number: int
-    type: Any  # a FieldDescriptorProto type; protobuf's enum has no common type for them
-    message: str = ""  # the message's name, of a field of type MESSAGE
+    type: Any  # a FieldDescriptorProto type; the values of protobuf's enum have no common type
+    message: str = ""  # for a field of type MESSAGE: the name of that message
     is_repeated: bool = False
 
 
@@ -79,7 +79,7 @@
 
 
 def _declare_messages(package: str, messages: dict[str, list[FieldSpec]], pool: Any) -> dict[str, Any]:
-    """Declare the messages of one package in the pool and return their classes by name."""
+    """Declare the messages of one package in the descriptor pool and return their classes by name."""
     file = descriptor_pb2.FileDescriptorProto(
         name=f"mothknot/{package}.proto", package=package, syntax="proto3"
     )
@@ -95,7 +95,9 @@
     return {name: message_factory.GetMessageClass(descriptor) for name, descriptor in descriptors.items()}
 
 
-_pool: Any = descriptor_pool.DescriptorPool()  # our own: another library may declare the same names
+_pool: Any = (
+    descriptor_pool.DescriptorPool()
+)  # not the default pool, where another library may declare the same names
 _classes = _declare_messages(FLIGHT_PACKAGE, FLIGHT_MESSAGES, _pool) | _declare_messages(
     SQL_PACKAGE, SQL_MESSAGES, _pool
 )
@@ -121,27 +123,27 @@
 
 
 def _pack(name: str, **fields: Any) -> bytes:
-    """Return a Flight SQL message inside an Any, encoded."""
+    """Return a Flight SQL message, wrapped in an Any and encoded."""
     value = _classes[name](**fields).SerializeToString()
     return any_pb2.Any(type_url=TYPE_URL_PREFIX + name, value=value).SerializeToString()
 
 
 def encode_query_descriptor(statement: str) -> bytes:
-    """Return the FlightDescriptor of a query, with which GetFlightInfo requests its plan."""
+    """Return the encoded FlightDescriptor of a query, the argument of GetFlightInfo."""
     command = _pack("CommandStatementQuery", query=statement)
     descriptor = _classes["FlightDescriptor"](type=COMMAND_DESCRIPTOR, cmd=command)
     return bytes(descriptor.SerializeToString())
 
 
 def decode_query_descriptor(data: bytes) -> str:
-    """Return the statement of a query's FlightDescriptor; raises FlightMessageError."""
+    """Return the statement in the FlightDescriptor of a query; raises FlightMessageError."""
     return str(_unpack(_parse("FlightDescriptor", data).cmd, "CommandStatementQuery").query)
 
 
 def encode_flight_info(descriptor: bytes, statement: str) -> bytes:
-    """Return the FlightInfo of a query: one endpoint, this gateway, whose ticket carries the statement.
+    """Return the FlightInfo of a query: one endpoint, this gateway, with the statement in its ticket.
 
-    `descriptor` is the query's FlightDescriptor, encoded. Raises FlightMessageError if it is none.
+    `descriptor` is the encoded FlightDescriptor of the query; raises FlightMessageError if it is malformed.
     """
     ticket = _pack("TicketStatementQuery", statement_handle=statement.encode())
     endpoint = _classes["FlightEndpoint"](ticket=_classes["Ticket"](ticket=ticket))
@@ -155,12 +157,12 @@
 
 
 def decode_flight_info_tickets(data: bytes) -> list[bytes]:
-    """Return the tickets of a FlightInfo, each encoded, in order; raises FlightMessageError."""
+    """Return the encoded tickets of a FlightInfo, in its order; raises FlightMessageError."""
     return [endpoint.ticket.SerializeToString() for endpoint in _parse("FlightInfo", data).endpoint]
 
 
 def decode_ticket(data: bytes) -> str:
-    """Return the statement that a ticket of this gateway carries; raises FlightMessageError for any other."""
+    """Return the statement in a ticket that this gateway issued; raises FlightMessageError for others."""
     handle = _unpack(_parse("Ticket", data).ticket, "TicketStatementQuery").statement_handle
     try:
         return bytes(handle).decode()
@@ -169,12 +171,12 @@
 
 
 def encode_update(statement: str) -> bytes:
-    """Return the FlightData that starts DoPut with an update statement."""
+    """Return the encoded FlightData with which DoPut sends an update statement."""
     command = _pack("CommandStatementUpdate", query=statement)
     descriptor = _classes["FlightDescriptor"](type=COMMAND_DESCRIPTOR, cmd=command)
     return bytes(_classes["FlightData"](flight_descriptor=descriptor).SerializeToString())
 
 
 def decode_update(data: bytes) -> str:
-    """Return the update statement of DoPut's first FlightData; raises FlightMessageError."""
+    """Return the update statement in the first FlightData of DoPut; raises FlightMessageError."""
     return str(_unpack(_parse("FlightData", data).flight_descriptor.cmd, "CommandStatementUpdate").query)
--- a/query_gateway/flight/requests.py
+++ b/query_gateway/flight/requests.py
@@ -1,4 +1,4 @@
-"""Decodes the statement and the headers of a Flight SQL client's call into the forwarder's request."""
+"""Decodes the statement and the headers of a Flight SQL call into a request for the forwarder."""
 
 import re
 from dataclasses import dataclass
@@ -14,40 +14,41 @@
 if TYPE_CHECKING:
     from query_gateway.parsing.service import Classification
 
-# Of the client's timeout, kept for the transfer of call and result on its Flight SQL connection
+# The part of the client's timeout that is reserved for transferring the call and the result on the client's
+# Flight SQL connection
 RETURN_TRIP_RESERVE_NS = 25 * MS
 GRPC_TIMEOUT = re.compile(r"(\d{1,8})([HMSmun])")
 GRPC_TIMEOUT_UNITS_NS = {"H": 3600 * 10**9, "M": 60 * 10**9, "S": 10**9, "m": 10**6, "u": 10**3, "n": 1}
 MAX_TIMEOUT_NS = 3600 * 10**9
-REQUEST_ID_DIGITS, KEY_DIGITS, IDEMPOTENCY_KEY_DIGITS = 16, 16, 32  # hex digits of these headers
+REQUEST_ID_DIGITS, KEY_DIGITS, IDEMPOTENCY_KEY_DIGITS = 16, 16, 32  # hexadecimal digits in these headers
 MAX_WORK_HINT_MS = 1e8
 MAX_MEMORY_HINT_MB = 1e7
-MAX_NAME_IN_ERROR = 80  # characters
+MAX_NAME_IN_ERROR = 80  # characters of a client-supplied name that an error message repeats
 
 
 @dataclass(slots=True, frozen=True)
 class FlightClass:
-    """What the Flight server knows of a request class."""
+    """The settings of a request class that the Flight server uses."""
 
     class_index: int
     needs_idempotency_key: bool
     ordered_by_key: bool
-    timeout_ns: int  # of a call without a deadline
+    timeout_ns: int  # for calls without grpc-timeout
     is_idempotent: bool
 
 
 @dataclass(slots=True, frozen=True)
 class FlightStatement:
-    """A statement as a client sent it."""
+    """A statement as received from a client."""
 
     text: str
-    is_update: bool  # sent through DoPut: the client marks it as one that changes something
-    received_at_ns: int  # clock time, the earliest
-    order_at_ns: int = 0  # clock time when it had come, as exactly as is known
+    is_update: bool  # sent through DoPut, which the client uses for statements that modify data
+    received_at_ns: int  # clock time, the lower bound of the arrival time
+    order_at_ns: int = 0  # clock time, the upper bound of the arrival time, which defines the arrival order
 
 
 def build_flight_classes(classes: RequestClasses, settings: Settings) -> dict[str, FlightClass]:
-    """Return the classes by name, joined with what the settings say of each."""
+    """Return the request classes by name, each with the settings that the Flight server uses."""
     return {
         name: FlightClass(
             request_class.index,
@@ -61,9 +62,9 @@
 
 
 def parse_grpc_timeout(text: str | None, default_ns: int) -> int:
-    """Return the nanoseconds of a `grpc-timeout` header, an hour at most; without one, the default.
+    """Return the value of a `grpc-timeout` header in nanoseconds, capped at one hour, or the default.
 
-    Raises RequestError if the header is not a number with a unit.
+    Raises RequestError if the header is not a number of at most eight digits followed by a unit.
     """
     if text is None:
         return default_ns
@@ -74,7 +75,7 @@
 
 
 def deadline_of(statement: FlightStatement, timeout_ns: int) -> int:
-    """Return the clock time by which the answer must leave, for a client that waits so long."""
+    """Return the clock time by which the answer must be sent to a client with this timeout."""
     return statement.received_at_ns + max(timeout_ns // 2, timeout_ns - RETURN_TRIP_RESERVE_NS)
 
 
@@ -85,16 +86,16 @@
     headers: dict[str, str],
     classification: "Classification | None" = None,
 ) -> ClientRequest:
-    """Return the request of a statement with its call's headers; raises RequestError if one is invalid.
+    """Build the request from a statement and its call's headers; raises RequestError if any is invalid.
 
-    `classification` is what parsing the statement found, where statements are parsed.
+    `classification` is the result of parsing the statement, if statement parsing is enabled.
     """
     timeout_ns = parse_grpc_timeout(headers.get("grpc-timeout"), flight_class.timeout_ns)
     if not statement.text:
         raise RequestError(400, "the statement is missing")
     if statement.is_update and flight_class.is_idempotent:
-        # Requests of this class may run twice (retry, hedged request), and an update would be applied twice.
-        # The client marks it as one by DoPut, so it is rejected before any engine has it
+        # Requests of an idempotent class may run twice (retry, hedged request), which would apply an update
+        # twice. DoPut identifies the update, so it is rejected before it reaches an engine
         name = class_name[:MAX_NAME_IN_ERROR]
         raise RequestError(400, f"an update cannot run as {name}, whose queries may run twice")
     group = classification.table_group if classification else table_group(statement.text)
@@ -122,7 +123,7 @@
 def _ordering_key(
     flight_class: FlightClass, headers: dict[str, str], classification: "Classification | None"
 ) -> str | None:
-    """Return the key that the statement itself holds, else the header's."""
+    """Return the key from the statement, or else from the header."""
     decision = classification.decision if classification else None
     if decision and decision.key:
         return decision.key
@@ -132,12 +133,12 @@
 def _idempotency_key(
     flight_class: FlightClass, headers: dict[str, str], classification: "Classification | None"
 ) -> str | None:
-    """Return the header's key; where the statement was parsed, one made here stands in for a missing one."""
-    was_parsed = bool(classification and classification.decision)
-    must_be_sent = flight_class.needs_idempotency_key and not was_parsed
-    idempotency_key = hex_header(headers, "x-txn-key", IDEMPOTENCY_KEY_DIGITS, must_be_sent)
+    """Return the header's key; if it is missing and the statement was parsed, generate one."""
+    is_parsed = bool(classification and classification.decision)
+    is_required = flight_class.needs_idempotency_key and not is_parsed
+    idempotency_key = hex_header(headers, "x-txn-key", IDEMPOTENCY_KEY_DIGITS, is_required)
     if idempotency_key is None and flight_class.needs_idempotency_key:
-        return uuid4().hex  # of this request alone: two equal inserts are two loads
+        return uuid4().hex  # unique, as two identical inserts are two separate loads
     return idempotency_key
 
 
@@ -148,7 +149,7 @@
 
 
 def client_request_id_of(headers: dict[str, str]) -> str:
-    """Return the client's own id, or a random one where it names none; raises RequestError."""
+    """Return the request id from the header, or a random one; raises RequestError if it is malformed."""
     return hex_header(headers, "x-txn", REQUEST_ID_DIGITS, False) or uuid4().hex[:REQUEST_ID_DIGITS]
 
 
--- a/query_gateway/flight/server.py
+++ b/query_gateway/flight/server.py
@@ -1,4 +1,4 @@
-"""The Flight SQL server: accepts client connections, and sends a GOAWAY when the gateway drains."""
+"""The Flight SQL server: accepts client connections, and sends GOAWAY when the gateway drains."""
 
 import socket
 from dataclasses import dataclass
@@ -19,15 +19,15 @@
 
 @dataclass(slots=True, frozen=True)
 class FlightServerSettings:
-    """What a Flight server starts with; classes and connection limit may be replaced on it later."""
+    """The initial settings; a reload may replace the classes and the connection limit on the server."""
 
     address: tuple[str, int]
-    classes: dict[str, FlightClass]  # that clients may name
-    query_class: str  # of a query whose client names none
-    update_class: str  # of an update whose client names none
+    classes: dict[str, FlightClass]  # the classes that clients may request, by name
+    query_class: str  # the default class of queries
+    update_class: str  # the default class of updates
     max_connections: int
-    shares_port: bool = False  # with other forwarder processes, by SO_REUSEPORT
-    inherited_socket: socket.socket | None = None  # a listening socket that a predecessor has passed on
+    shares_port: bool = False  # with other forwarder processes, through SO_REUSEPORT
+    inherited_socket: socket.socket | None = None  # a listening socket that a predecessor has handed over
 
 
 class FlightServer:
@@ -41,9 +41,10 @@
         settings: FlightServerSettings,
         statements: "StatementService | None" = None,
     ) -> None:
-        """Listen at once; on an inherited socket nothing is accepted before the listener is resumed.
+        """Listen at once, except that an inherited socket accepts nothing until the listener is resumed.
 
-        `statements` parses and classifies, where that is on. Raises OSError if the address cannot be bound.
+        `statements` parses and classifies statements; None if this is disabled. Raises OSError if the address
+        cannot be bound.
         """
         self.statements = statements
         self.loop, self.forwarder, self.classes = loop, forwarder, settings.classes
@@ -58,11 +59,11 @@
 
     @property
     def is_idle(self) -> bool:
-        """Whether every client's connection has been closed."""
+        """Whether all client connections are closed."""
         return all(connection.stream.closed for connection in self.connections)
 
     def close(self) -> None:
-        """Accept no more; open calls go on to their end."""
+        """Stop accepting connections and calls; open calls continue to their end."""
         self.listener.close()
         for connection in self.connections:
             connection.send_goaway()
@@ -73,7 +74,7 @@
             self.loop.call_at(self.draining_since + DRAIN_CLOSE_IDLE_AFTER_S, self._drain_connections)
 
     def _drain_connections(self) -> None:
-        """Send a GOAWAY to clients once the platform has had its time to stop sending new ones."""
+        """Send GOAWAY to all clients once the platform has had time to stop routing new clients here."""
         is_due = self.loop.now() >= self.draining_since + DRAIN_CLOSE_IDLE_AFTER_S
         if self.readiness.phase is Phase.DRAINING and is_due:
             for connection in self.connections:
@@ -85,7 +86,8 @@
         if len(self.connections) >= self.max_connections and not self._close_idle_connection():
             stream.close(Reason.TOO_MANY)
             return
-        # Read before anything is sent: the client's reply to our preface would pass for the newest data
+        # Read before the preface is sent: the arrival time of the data already received would otherwise be
+        # taken from the client's reply to the preface
         stream.start()
         stream.read_available()
         connection = GrpcConnection(self.loop, stream, is_client=False)
@@ -94,15 +96,17 @@
         self._drain_connections()
 
     def _close_idle_connection(self) -> bool:
-        """Close the connection that is idle for longest, those that sent nothing first; False if none is.
+        """Close the longest idle connection, first those that never sent anything; False if none is idle.
 
-        Idle clients at the limit would keep every new one out, while more connections than the limit would
-        take the file descriptors that connections to engines need.
+        At the connection limit, idle clients would otherwise lock out new ones; exceeding the limit would use
+        up the file descriptors that connections to engines need.
         """
         idle = [connection for connection in self.connections if connection.is_idle]
         if not idle:
             return False
-        oldest = min(idle, key=lambda connection: (connection.has_received, connection.last_received_at))
-        oldest.close(Reason.TOO_MANY)
-        self.connections.remove(oldest)
+        longest_idle = min(
+            idle, key=lambda connection: (connection.has_received, connection.last_received_at)
+        )
+        longest_idle.close(Reason.TOO_MANY)
+        self.connections.remove(longest_idle)
         return True
--- a/query_gateway/rpc/__init__.py
+++ b/query_gateway/rpc/__init__.py
@@ -1,9 +1,9 @@
-"""gRPC over HTTP/2: connections and calls with bounded buffers and flow control from end to end.
+"""gRPC over HTTP/2: connections and calls with bounded buffers and end-to-end flow control.
 
-Decides when a connection accepts no more calls, and when one that is silent or idle is closed. Owns each
-connection's h2 state and each call's queued messages; the socket's buffers belong to `net`. Imported by the
-Flight SQL server and engine client alone; knows no message of theirs.
+Decides when a connection stops accepting calls, and when a silent or idle connection is closed. Owns the h2
+state of each connection and the queued messages of each call; the socket buffers belong to `net`. Imported
+only by the Flight SQL server and engine client, and independent of their message types.
 
-Modules import in one direction: `connection`, `peer_events`, `call`, `framing`. What a lower one needs of the
-connection is a Protocol (`CallOwner`, `CallConnection`).
+Modules import in one direction: `connection`, `peer_events`, `call`, `framing`. The Protocols `CallOwner` and
+`CallConnection` are the interfaces of the connection to the modules that it imports.
 """
--- a/query_gateway/rpc/call.py
+++ b/query_gateway/rpc/call.py
@@ -1,13 +1,13 @@
-"""One gRPC call, which is one HTTP/2 stream: its state, the messages queued on it, and who handles it.
+"""One gRPC call, which is one HTTP/2 stream: its state, its queued messages and its handler.
 
-Our side of a call:
+The states of the local side of a call:
 
     OPEN --send(half_close), finish--> HALF_CLOSING --END_STREAM with the last message--> HALF_CLOSED
       |                                     |                                                 |
       `---- trailers sent, reset by either side, refused by a GOAWAY, connection ended -------+--> CLOSED
 
-Nothing is added to a call from HALF_CLOSING on, and nothing is sent from CLOSED on. Only the connection
-closes a call (`mark_closed`), as it owns the table of open calls.
+From HALF_CLOSING on nothing more is queued, and in CLOSED nothing is sent. Only the connection closes a call
+(`mark_closed`), as it owns the table of open calls.
 """
 
 from collections import deque
@@ -25,95 +25,95 @@
 
 
 class CallHandler:
-    """What the owner of a call is notified of; each owner overrides what it needs."""
+    """The callbacks to the owner of a call; the defaults do nothing."""
 
     def on_headers(self, headers: dict[str, str]) -> None:
-        """The peer has sent the response's headers or its trailers."""
+        """The peer has sent the headers or the trailers of the response."""
 
     def on_message(self, data: bytes, flow_controlled_bytes: int) -> None:
         """The peer has sent a message.
 
-        `flow_controlled_bytes` is what the owner must give to `Call.acknowledge` once the message has been
-        passed on, or the peer's flow-control window stays short of it.
+        The owner must pass `flow_controlled_bytes` to `Call.acknowledge` once it has forwarded the message;
+        the peer's flow-control window stays reduced by them until then.
         """
 
     def on_end_stream(self) -> None:
-        """The peer has half-closed the call: nothing more comes from it."""
+        """The peer has half-closed the call and sends nothing more on it."""
 
     def on_aborted(self, never_ran: bool) -> None:
-        """The call was reset or its connection ended; `never_ran` if the peer surely did not act on it."""
+        """The call was reset or its connection ended; `never_ran`: the peer cannot have processed it."""
 
 
 class CallState(Enum):
-    """Our side of a call, and whether both sides have ended it."""
+    """The state of the local side of a call; CLOSED means both sides."""
 
     OPEN = "open"
-    HALF_CLOSING = "half-closing"  # nothing is added any more; END_STREAM follows what is queued
+    HALF_CLOSING = "half-closing"  # no more messages are queued; END_STREAM follows those in the queue
     HALF_CLOSED = "half-closed"  # END_STREAM has been sent; the peer may still send
     CLOSED = "closed"
 
 
 @dataclass(slots=True)
 class QueuedMessage:
-    """What is left to send of one message, with its prefix."""
+    """The unsent rest of one message, which includes its prefix."""
 
     data: bytes
-    on_sent: Callable[[], None] | None  # called once flow control has let the last byte go
-    may_leave: Callable[[], bool] | None  # asked as the first byte is about to leave
+    on_sent: Callable[[], None] | None  # called once flow control has released the last byte
+    may_send: Callable[[], bool] | None  # called right before the first byte is sent
 
 
 class CallConnection(Protocol):
-    """What a call uses of its connection, which owns the call and the state of HTTP/2."""
+    """The interface of a connection to its calls; the connection owns them and the HTTP/2 state."""
 
     h2: H2Connection
     stream: Stream
 
     @property
     def can_write(self) -> bool:
-        """Whether the outbox takes more from the calls."""
+        """Whether the outbox has room for more data from the calls."""
 
     def wake(self) -> None:
-        """Give the connection's task its turn."""
+        """Schedule the connection's task."""
 
     def flush(self) -> None:
-        """Write what h2 has ready."""
+        """Move the data that h2 has encoded to the stream."""
 
-    def forget(self, call: "Call") -> None:
-        """Close a call and drop what it has queued."""
+    def remove_call(self, call: "Call") -> None:
+        """Mark a call as closed, discard its queue and remove it from the open calls."""
 
     def reset(self, call: "Call") -> None:
-        """Close a call and send RST_STREAM with CANCEL."""
+        """Close a call and send RST_STREAM with the error code CANCEL."""
 
     def acknowledge(self, call: "Call", flow_controlled_bytes: int) -> None:
-        """Open the flow-control windows of the call and of the connection again by so many bytes."""
+        """Return flow-control credit for received bytes on both the call and the connection."""
 
 
 class Call:
-    """One call on a connection, from either side.
+    """One call on a connection, on the client or the server side.
 
-    A message waits here, not in the connection's outbox, until the flow-control windows let it go.
+    Messages are queued here, not in the connection's outbox, until the flow-control windows admit them.
     """
 
     def __init__(self, connection: CallConnection, stream_id: int, handler: CallHandler) -> None:
-        """Begin an open call with nothing queued; the connection owns it until it is closed."""
+        """Create an open call with an empty queue; the connection owns it until it is closed."""
         self.connection, self.stream_id, self.handler = connection, stream_id, handler
         self.decoder = MessageDecoder()
         self.queue: deque[QueuedMessage] = deque()
-        self.trailers: Headers | None = None  # what ends the call behind the queue, on the server's side
+        self.trailers: Headers | None = None  # sent after the queue to end the call; server side only
         self.state = CallState.OPEN
 
     @property
     def is_closed(self) -> bool:
-        """Whether the call is over: nothing is sent, and its handler is notified of an abort at most."""
+        """Whether the call has ended: nothing more is sent, and only an abort is still reported."""
         return self.state is CallState.CLOSED
 
     def send_headers(self, headers: Headers, end_stream: bool = False) -> None:
-        """Send headers at once; with `end_stream` they are the whole answer and close the call."""
+        """Send headers at once; with `end_stream` they are the complete response and close the call."""
         if self.is_closed:
             return
         self.connection.h2.send_headers(self.stream_id, headers, end_stream=end_stream)
         if end_stream:
-            self.connection.forget(self)
+            self.connection.remove_call(self)
         self.connection.wake()
 
     def send(
@@ -121,23 +121,23 @@
         message: bytes,
         on_sent: Callable[[], None] | None = None,
         half_close: bool = False,
-        may_leave: Callable[[], bool] | None = None,
+        may_send: Callable[[], bool] | None = None,
     ) -> None:
-        """Queue a message, without its prefix, and send what the windows allow.
+        """Queue a message, given without its prefix, and send as much as the windows admit.
 
-        `on_sent` is called once flow control has let the complete message go, which may be at once. With
-        `half_close` nothing may follow it. `may_leave` is asked once the windows and the machine have let all
-        before the message go; if it answers False it has closed the call.
+        `on_sent` is called once flow control has released the complete message, possibly at once. With
+        `half_close` it is the last message of the call. `may_send` is called once the windows and the socket
+        have accepted everything before the message; it must close the call if it returns False.
         """
         if self.is_closed:
             return
-        self.queue.append(QueuedMessage(encode_message(message), on_sent, may_leave))
+        self.queue.append(QueuedMessage(encode_message(message), on_sent, may_send))
         if half_close and self.state is CallState.OPEN:
             self.state = CallState.HALF_CLOSING
         self.send_queued()
 
     def finish(self, trailers: Headers) -> None:
-        """Close the call with these trailers once all that is queued has been sent."""
+        """Send the trailers after the queued messages, which closes the call."""
         if self.state is CallState.OPEN:
             self.state = CallState.HALF_CLOSING
             self.trailers = trailers
@@ -149,31 +149,32 @@
             self.connection.reset(self)
 
     def mark_closed(self) -> None:
-        """Record that the call is over; called by the connection."""
+        """Record that the call has ended; called by the connection only."""
         self.state = CallState.CLOSED
 
     def acknowledge(self, flow_controlled_bytes: int) -> None:
-        """Open the peer's flow-control window again by bytes that have been passed on."""
+        """Return flow-control credit to the peer for bytes that have been forwarded."""
         self.connection.acknowledge(self, flow_controlled_bytes)
 
     def send_queued(self) -> None:
-        """Send as much as the flow-control windows and the connection's outbox take."""
-        has_sent = False
-        while self.queue and not self.is_closed and self.connection.can_write and self._send_piece():
-            has_sent = True
+        """Send as much as the flow-control windows and the connection's outbox admit."""
+        sent_any = False
+        while self.queue and not self.is_closed and self.connection.can_write and self._send_data_frame():
+            sent_any = True
         if not self.queue and self.trailers is not None and not self.is_closed:
             self.connection.h2.send_headers(self.stream_id, self.trailers, end_stream=True)
-            self.connection.forget(self)
-            has_sent = True
-        # The connection's task calls this: woken without need it would run in every turn and keep a core busy
-        if has_sent:
+            self.connection.remove_call(self)
+            sent_any = True
+        # The connection's task calls this method: an unconditional wake would make the task run in every loop
+        # turn and keep a core busy
+        if sent_any:
             self.connection.wake()
 
-    def _send_piece(self) -> bool:
-        """Send one DATA frame of the first queued message; False if the flow-control window is used up."""
+    def _send_data_frame(self) -> bool:
+        """Send one DATA frame of the first queued message; False if the window or `may_send` forbids it."""
         h2, message = self.connection.h2, self.queue[0]
         window = min(h2.local_flow_control_window(self.stream_id), h2.max_outbound_frame_size)
-        if window <= 0 or not self._may_leave(message):
+        if window <= 0 or not self._may_send_first_byte(message):
             return False
         is_complete = len(message.data) <= window
         end_stream = is_complete and len(self.queue) == 1 and self._half_closes_with_message
@@ -189,17 +190,17 @@
             message.on_sent()
         return True
 
-    def _may_leave(self, message: QueuedMessage) -> bool:
-        """Whether the message's first byte may leave now, or has left already."""
-        if message.may_leave is None:
+    def _may_send_first_byte(self, message: QueuedMessage) -> bool:
+        """Whether the first byte of the message may be sent now, or has been sent already."""
+        if message.may_send is None:
             return True
-        self.connection.flush()  # the call's headers, which the machine may not take
-        if not self.connection.can_write or not message.may_leave():
+        self.connection.flush()  # the call's headers, which the socket may not accept
+        if not self.connection.can_write or not message.may_send():
             return False
-        message.may_leave = None
+        message.may_send = None
         return True
 
     @property
     def _half_closes_with_message(self) -> bool:
-        """Whether END_STREAM goes with the last message, not with trailers behind it."""
+        """Whether END_STREAM is set on the last message rather than on trailers after it."""
         return self.state is CallState.HALF_CLOSING and self.trailers is None
--- a/query_gateway/rpc/errors.py
+++ b/query_gateway/rpc/errors.py
@@ -1,9 +1,9 @@
-"""The errors of this package, under one base."""
+"""The exceptions of this package, with a common base class."""
 
 
 class RpcError(Exception):
-    """A peer broke gRPC over HTTP/2; the text says what was wrong with which value."""
+    """A peer violated gRPC over HTTP/2; the text states the invalid value and the reason."""
 
 
 class FramingError(RpcError):
-    """The bytes of a call are no length-prefixed gRPC messages that can be used here."""
+    """The data of a call is not a sequence of supported length-prefixed gRPC messages."""
--- a/query_gateway/rpc/framing.py
+++ b/query_gateway/rpc/framing.py
@@ -1,35 +1,37 @@
-"""Length-prefixed messages ("gRPC over HTTP/2", Length-Prefixed-Message): bytes in, messages out, and back.
+"""Encoder and decoder for length-prefixed messages ("gRPC over HTTP/2", Length-Prefixed-Message).
 
-No socket and no clock.
+Performs no I/O and uses no clock.
 """
 
 from query_gateway.rpc.errors import FramingError
 
-PREFIX_BYTES = 5  # one byte for the compressed flag, four bytes for the length, big-endian
+PREFIX_BYTES = 5  # one byte for the compressed flag and four bytes for the big-endian length
 MAX_MESSAGE_BYTES = 16_777_216
 
 
 class MessageDecoder:
-    """Cuts the bytes of one call into its messages; what is not complete is buffered."""
+    """Splits the data of one call into messages; an incomplete message is buffered."""
 
     def __init__(self) -> None:
-        """Begin with an empty buffer."""
+        """Start with an empty buffer."""
         self.buffer = bytearray()
 
     def feed(self, data: bytes) -> list[bytes]:
-        """Return the messages that `data` completes, in order, without their prefixes.
+        """Return the messages that `data` completes, in order and without their prefixes.
 
-        Raises FramingError for a compressed message or one above MAX_MESSAGE_BYTES; the decoder is then of
-        no further use.
+        Raises FramingError for a message that is compressed or exceeds MAX_MESSAGE_BYTES; the decoder must
+        not be used afterwards.
         """
         self.buffer += data
         messages = []
         while len(self.buffer) >= PREFIX_BYTES:
             length = int.from_bytes(self.buffer[1:PREFIX_BYTES], "big")
             if self.buffer[0]:
-                raise FramingError(f"compression flag {self.buffer[0]}: no compression was agreed on")
+                raise FramingError(f"compressed flag is {self.buffer[0]}, but no compression was negotiated")
             if length > MAX_MESSAGE_BYTES:
-                raise FramingError(f"a message of {length} bytes is above {MAX_MESSAGE_BYTES}")
+                raise FramingError(
+                    f"message of {length} bytes exceeds the limit of {MAX_MESSAGE_BYTES} bytes"
+                )
             end = PREFIX_BYTES + length
             if len(self.buffer) < end:
                 break
@@ -39,5 +41,5 @@
 
 
 def encode_message(message: bytes) -> bytes:
-    """Return the message, uncompressed, behind its prefix."""
+    """Return the message, uncompressed, with its prefix."""
     return b"\0" + len(message).to_bytes(4, "big") + message
--- a/query_gateway/rpc/peer_events.py
+++ b/query_gateway/rpc/peer_events.py
@@ -1,4 +1,4 @@
-"""What the peer's HTTP/2 frames, as h2 decodes them, mean for the calls of a connection."""
+"""Applies the peer's HTTP/2 frames, as decoded by h2, to the calls of a connection."""
 
 from collections.abc import Callable
 from typing import Protocol
@@ -13,33 +13,33 @@
 HeadersEvent = h2.events.ResponseReceived | h2.events.TrailersReceived
 CallAcceptor = Callable[
     [dict[str, str], Call], CallHandler
-]  # request headers and the new call to its handler
+]  # maps the request headers and the new call to the call's handler
 
 
 class CallOwner(CallConnection, Protocol):
-    """What the peer's events change on the connection that owns the calls."""
+    """The interface of a connection to the handler of its peer's events."""
 
     is_client: bool
-    draining: bool  # no call is begun any more, here or by the peer; open calls go on
+    draining: bool  # neither side opens further calls; open calls continue
     calls: dict[int, Call]  # the open calls by their stream id
-    on_call: CallAcceptor | None  # of a server: called for each new call
+    on_call: CallAcceptor | None  # server side only; called for each new call
 
 
 class PeerEventHandler:
     """Applies h2's events to the calls of one connection and notifies their handlers."""
 
     def __init__(self, connection: CallOwner) -> None:
-        """Serve this connection, which owns the calls."""
+        """Start without any call or GOAWAY of the peer."""
         self.connection = connection
-        self.newest_stream_id = 0  # of the last call that the peer began
-        self.goaway_stream_id = MAX_STREAM_ID  # the last call that the peer's GOAWAY promises to serve
+        self.newest_stream_id = 0  # of the last call that the peer opened
+        self.goaway_stream_id = MAX_STREAM_ID  # the last stream that the peer's GOAWAY includes
 
     def is_refused(self, call: Call) -> bool:
-        """Whether the peer's GOAWAY excludes that it acted on this call (RFC 9113 section 6.8)."""
+        """Whether the peer's GOAWAY guarantees that it did not process this call (RFC 9113 section 6.8)."""
         return call.stream_id > self.goaway_stream_id
 
     def handle(self, event: h2.events.Event) -> None:
-        """Apply one event; events that concern no open call change nothing."""
+        """Apply one event; headers, ends and resets of calls that are not open are ignored."""
         if isinstance(event, h2.events.ConnectionTerminated):
             self._on_goaway(event)
         elif isinstance(event, h2.events.RequestReceived):
@@ -63,7 +63,7 @@
         self.connection.draining = True
         self.goaway_stream_id = event.last_stream_id or 0
         for call in [call for call in self.connection.calls.values() if self.is_refused(call)]:
-            self.connection.forget(call)
+            self.connection.remove_call(call)
             call.handler.on_aborted(True)
 
     def _on_request(self, event: h2.events.RequestReceived) -> None:
@@ -72,8 +72,8 @@
             return
         headers = _header_dict(event)
         if self.connection.draining:
-            # The call crossed our GOAWAY. REFUSED_STREAM guarantees to the client that it never ran, so it
-            # may be sent again elsewhere (RFC 9113 section 8.7)
+            # The client sent the call before it received our GOAWAY. REFUSED_STREAM guarantees that the call
+            # was not processed, so the client may retry it elsewhere (RFC 9113 section 8.7)
             self.connection.h2.reset_stream(event.stream_id, h2.errors.ErrorCodes.REFUSED_STREAM)
             return
         self.newest_stream_id = event.stream_id
@@ -87,9 +87,9 @@
         flow_controlled_bytes = event.flow_controlled_length or 0
         call = self._find_call(event.stream_id)
         if call is None or call.is_closed:
-            # What still comes for a closed call counts towards the connection's flow-control window (RFC 9113
-            # section 5.1) and is acknowledged nowhere else: the window would shrink until the peer can send
-            # nothing on any call
+            # Data for a closed call still counts towards the connection's flow-control window (RFC 9113
+            # section 5.1) and is acknowledged nowhere else. Without this, the window would shrink until the
+            # peer could not send on any call
             self.connection.h2.acknowledge_received_data(flow_controlled_bytes, event.stream_id)
         else:
             self._decode_messages(call, event.data or b"", flow_controlled_bytes)
@@ -101,8 +101,8 @@
             call.reset()
             call.handler.on_aborted(False)
             return
-        # What completes no message is acknowledged at once: the peer could never send the end of a message
-        # that is larger than the window, and the call would stand still
+        # Data that completes no message is acknowledged at once: otherwise the peer could never send the rest
+        # of a message that exceeds the window, and the call would stall
         if not messages:
             call.acknowledge(flow_controlled_bytes)
         for index, message in enumerate(messages):
@@ -111,13 +111,13 @@
     def _on_end_stream(self, call: Call) -> None:
         call.handler.on_end_stream()
         if self.connection.is_client:
-            self.connection.forget(call)
+            self.connection.remove_call(call)
 
     def _on_reset(self, call: Call, event: h2.events.StreamReset) -> None:
         is_refused = event.error_code == h2.errors.ErrorCodes.REFUSED_STREAM
-        # A peer acts on a call only when its message has arrived completely
+        # A peer processes a call only after it has received the complete message
         never_ran = is_refused or bool(call.queue)
-        self.connection.forget(call)
+        self.connection.remove_call(call)
         call.handler.on_aborted(never_ran)
 
 
--- a/query_gateway/rpc/status.py
+++ b/query_gateway/rpc/status.py
@@ -1,10 +1,10 @@
-"""gRPC status codes, as the trailer `grpc-status` carries them."""
+"""gRPC status codes, as sent in the trailer `grpc-status`."""
 
 from enum import IntEnum
 
 
 class GrpcStatus(IntEnum):
-    """The status codes that the gateway sends or distinguishes; the numbers are gRPC's."""
+    """The status codes that the gateway sends or distinguishes, with gRPC's numbers."""
 
     OK = 0
     INVALID_ARGUMENT = 3
