--- a/query_gateway/bgp/session.py
+++ b/query_gateway/bgp/session.py
@@ -1,4 +1,4 @@
-"""One BGP session: connects, sends keepalives, and announces the service addresses while ready.
+"""One BGP session: connects, sends keepalives, announces the service addresses while the gateway is ready.
 
 The states (RFC 4271 section 8.2.2):
 
--- a/query_gateway/flight/engines.py
+++ b/query_gateway/flight/engines.py
@@ -24,9 +24,7 @@
 from query_gateway.rpc.connection import GrpcConnection
 from query_gateway.rpc.status import GrpcStatus
 
-MEASUREMENT_VALUE = re.compile(
-    r"\d{1,9}(\.\d{1,6})?", re.ASCII
-)  # the work or memory of a query in an engine's headers
+MEASUREMENT_VALUE = re.compile(r"\d{1,9}(\.\d{1,6})?", re.ASCII)  # work or memory in an engine's headers
 
 
 @dataclass(slots=True, frozen=True)
@@ -56,9 +54,7 @@
         self.opened_at = 0  # clock time when the call's headers were encoded
         self.method = FlightMethod.DO_PUT if attempt.request.is_update else FlightMethod.GET_FLIGHT_INFO
         self.tickets: list[bytes] = []
-        self.schema: ResultMessage | None = (
-            None  # held until another message follows, as a schema has no rows
-        )
+        self.schema: ResultMessage | None = None  # held until more follows, as a schema has no rows
         self.status: str | None = None  # grpc-status of the current call
         self.is_ended = False
 
@@ -334,7 +330,7 @@
         connection.start(flight_attempt)
 
     def _connection_to(self, engine: str, address: str) -> FlightConnection | None:
-        """Return the engine's connection, or a new one if it is unusable; None without file descriptors."""
+        """Return the engine's connection, or a new one if it is unusable; None: no file descriptors."""
         connection = self.connections.get(engine)
         if connection and connection.is_usable and connection.address == address:
             return connection
--- a/query_gateway/flight/messages.py
+++ b/query_gateway/flight/messages.py
@@ -95,9 +95,7 @@
     return {name: message_factory.GetMessageClass(descriptor) for name, descriptor in descriptors.items()}
 
 
-_pool: Any = (
-    descriptor_pool.DescriptorPool()
-)  # not the default pool, where another library may declare the same names
+_pool: Any = descriptor_pool.DescriptorPool()  # private: another library may declare the same names
 _classes = _declare_messages(FLIGHT_PACKAGE, FLIGHT_MESSAGES, _pool) | _declare_messages(
     SQL_PACKAGE, SQL_MESSAGES, _pool
 )
@@ -111,7 +109,7 @@
 
 
 def _unpack(data: bytes, name: str) -> Any:
-    """Return the message of that name inside an Any."""
+    """Return the message `name` that is wrapped in an encoded Any; raises FlightMessageError for others."""
     try:
         outer = any_pb2.Any.FromString(data)
     except DecodeError:
--- a/query_gateway/rpc/peer_events.py
+++ b/query_gateway/rpc/peer_events.py
@@ -11,9 +11,7 @@
 
 MAX_STREAM_ID = 2**31 - 1  # RFC 9113 section 5.1.1
 HeadersEvent = h2.events.ResponseReceived | h2.events.TrailersReceived
-CallAcceptor = Callable[
-    [dict[str, str], Call], CallHandler
-]  # maps the request headers and the new call to the call's handler
+CallAcceptor = Callable[[dict[str, str], Call], CallHandler]  # request headers, new call -> its handler
 
 
 class CallOwner(CallConnection, Protocol):
