--- a/query_gateway/engine_protocol/__init__.py
+++ b/query_gateway/engine_protocol/__init__.py
@@ -1,6 +1,6 @@
-"""The platform's engines: their line protocol, few connections to each, many requests on every one.
+"""The engine client for the platform's line protocol, which multiplexes requests over a few connections.
 
-Decides which connection an attempt uses, when a connection is retired or found unresponsive, and what counts
-as a valid result. Owns the connections to the engines. Imported by the composition root; the forwarder knows
-it as an `EngineClient` only.
+Chooses the connection for each attempt, retires connections, detects unresponsive ones, and validates
+results. Owns the connections to the engines. Imported by the composition root; the forwarder depends only on
+the interface `EngineClient`.
 """
--- a/query_gateway/engine_protocol/connection.py
+++ b/query_gateway/engine_protocol/connection.py
@@ -1,17 +1,18 @@
-"""One connection to an engine: dialled on demand, many attempts in flight at once.
-
-    DIALLING --establish: the dial succeeded----------------------------------> ESTABLISHED
-    DIALLING --close: the dial failed, or no attempt waits for it any longer--> CLOSED
-    ESTABLISHED --close: idle, the engine closed, or it is unresponsive-------> CLOSED
-    ESTABLISHED --close: bytes that are no frames, or a frame that does not end-> CLOSED
-    ESTABLISHED --retire: an invalid result, or one that takes too long-------> RETIRED
-    ESTABLISHED --retire: too many attempts whose late responses may come-----> RETIRED
-    DIALLING, ESTABLISHED --retire: the engine drains, restarts or moves------> RETIRED
-    RETIRED --close: no attempt is left, or for a cause of ESTABLISHED--------> CLOSED
-
-Unreadable bytes close the connection at once, logged as `malformed-response`, and end every attempt on it. An
-invalid result ends its own attempt alone, as an error; the others go on, and the connection closes after the
-last, logged as `replaced` like every retired one.
+"""One connection to an engine: dialled on demand, with many attempts in flight at once.
+
+    DIALLING --establish: the dial succeeded--------------------------------------> ESTABLISHED
+    DIALLING --close: the dial failed, or no attempt waits for it any longer------> CLOSED
+    ESTABLISHED --close: idle, closed by the engine, or unresponsive--------------> CLOSED
+    ESTABLISHED --close: bytes that are not valid frames, or an overdue frame-----> CLOSED
+    ESTABLISHED --retire: an invalid or overdue result----------------------------> RETIRED
+    ESTABLISHED --retire: too many attempts whose late responses may still arrive-> RETIRED
+    DIALLING, ESTABLISHED --retire: the engine drains, restarts or moves----------> RETIRED
+    ESTABLISHED --retire: idle, and its descriptor is needed elsewhere------------> RETIRED
+    RETIRED --close: no attempt is left, or a close condition of ESTABLISHED------> CLOSED
+
+Bytes that cannot be decoded close the connection at once, logged as `malformed-response`, and end every
+attempt on it. An invalid result ends only its own attempt, as an error; the other attempts continue, and the
+connection closes after the last of them, logged as `replaced` like any retired connection.
 """
 
 import contextlib
@@ -34,47 +35,47 @@
 from query_gateway.net.loop import Loop, Task
 from query_gateway.net.stream import Reason, Stream, address_of
 
-MAX_OUTBOX_BYTES: Final = 4_194_304  # that an engine may leave unread before it gets no more
-REDIAL_SECONDS: Final = 0.02  # until a dial that our own machine could not make is made again
+MAX_OUTBOX_BYTES: Final = 4_194_304  # of unsent data, above which the connection gets no more attempts
+REDIAL_SECONDS: Final = 0.02  # from a dial that failed for lack of a local resource to the next dial
 
 
 class ConnectionState(Enum):
-    """How far a connection has come; none of the transitions leads back."""
+    """The state of a connection; the module lists the transitions, and no state is entered again."""
 
     DIALLING = "dialling"  # attempts wait for the dial
-    # Requests are written as they are given. This follows the stream's `connected` by up to a turn of the
-    # loop: in between, requests still wait for the coroutine, so that each is written only once
+    # Requests are written when they are assigned. The state follows the stream's `connected` by up to a loop
+    # turn, in which requests still wait for the coroutine, so that each is written only once
     ESTABLISHED = "established"
-    RETIRED = "retired"  # it takes no more attempts and closes after the last
+    RETIRED = "retired"  # gets no more attempts and closes after the last one
     CLOSED = "closed"
 
 
 class ConnectionOwner(Protocol):
-    """The pool as its connections know it. Durations are in seconds."""
+    """The interface of the pool to its connections. Durations are in seconds."""
 
     loop: Loop
-    clock: Callable[[], int]  # nanoseconds, as the requests' deadlines are
+    clock: Callable[[], int]  # in nanoseconds, like the deadlines of requests
     streams_per_connection: int
     dial_timeout: float
     idle_timeout: float
-    progress_interval: float  # of engines' progress reports; 0: they report none
+    progress_interval: float  # between progress notes of an engine; 0: engines send none
 
     def on_attempt_ended(self, client_request_id: str) -> None:
-        """An attempt is no longer in flight on the connection that it was given."""
+        """An attempt is no longer in flight on its connection."""
 
     def on_connection_closed(self, connection: "EngineConnection") -> None:
-        """The connection has ended; the attempts on it end next."""
+        """The connection has ended; its attempts end right after this call."""
 
 
 class EngineConnection:
     """One connection and the attempts in flight on it; owns its stream.
 
-    Every attempt it was given ends once, by `finish` or with the connection, unless it is withdrawn or
-    cancelled before. Times are loop times in seconds.
+    Every assigned attempt ends exactly once, by `finish`, as not sent or with the connection, unless it is
+    withdrawn or cancelled before. Times are loop times in seconds.
     """
 
     def __init__(self, owner: ConnectionOwner, engine: str, endpoint: Endpoint) -> None:
-        """Begin to dial; raises OSError when no descriptor is left."""
+        """Start to dial; raises OSError if no descriptor is available."""
         self.owner, self.loop, self.engine = owner, owner.loop, engine
         self.state = ConnectionState.DIALLING
         self.attempts = AttemptTable()
@@ -90,9 +91,9 @@
     # ---- attempts
 
     def can_take(self, client_request_id: str) -> bool:
-        """Whether one more attempt fits, and no response to an earlier one of its request can reach it."""
+        """Whether the connection has room for an attempt, and no late response can bear the attempt's id."""
         if self.state is ConnectionState.ESTABLISHED:
-            # A request that is written behind the engine's close would count as possibly executed
+            # A request that is written after the engine's close would count as possibly executed
             self.stream.read_available()
         return (
             len(self.attempts.open) < self.owner.streams_per_connection
@@ -101,7 +102,7 @@
         )
 
     def _is_usable(self, now: float) -> bool:
-        """Whether attempts may be given to this connection at all."""
+        """Whether the connection may get any attempts."""
         if self.state is ConnectionState.RETIRED or self.stream.is_over:
             return False
         if len(self.stream.outbox) > MAX_OUTBOX_BYTES:
@@ -110,45 +111,45 @@
             if now - self.last_used_at > self.owner.idle_timeout:
                 return False  # the engine may close it at any moment
             if self.responses.decoder.partial:
-                return False  # its response would be appended to half a line that belongs to nothing
+                return False  # the next response would be appended to an incomplete frame of no attempt
         is_established = self.state is ConnectionState.ESTABLISHED
         return not is_established or now < (self._response_deadline(SUSPECT_INTERVALS) or math.inf)
 
     @property
     def is_idle(self) -> bool:
-        """Whether it is established and no attempt is on it."""
+        """Whether the connection is established and has no attempts in flight."""
         return self.state is ConnectionState.ESTABLISHED and not self.attempts.open
 
     def send(self, attempt: AttemptHandle) -> None:
-        """Start an attempt, at once or when the connection is established."""
+        """Send the request of an attempt, at once or when the connection is established."""
         self.last_used_at = self.loop.now()
         self.attempts.add(attempt, self.last_used_at)
         if self.state is ConnectionState.ESTABLISHED:
             self.writer.write_waiting(self.stream)
-        self.task.wake()  # its response deadline runs from now
+        self.task.wake()  # the response deadline of the attempt starts now
 
     def withdraw(self, client_request_id: str) -> bool:
-        """Remove an attempt if not a byte of it has left; whether that was so."""
+        """Remove an attempt if no byte of it was written; return whether this was the case."""
         if not self.attempts.withdraw(client_request_id):
             return False
         self.task.wake()
         return True
 
     def cancel(self, client_request_id: str) -> None:
-        """Stop an attempt; its late responses change nothing."""
+        """Remove an attempt and tell the engine to stop it; late responses to it are ignored."""
         if self.attempts.cancel(client_request_id):
-            self._retire_if_full()
+            self._retire_above_ended_id_limit()
             self.stream.write(frames.encode_stop(client_request_id))
         self.task.wake()
 
     def set_priority(self, client_request_id: str, priority: int) -> None:
-        """Change an attempt's priority at the engine, if it is there already."""
+        """Send the changed priority of an attempt, unless its request is unwritten and will contain it."""
         attempts = self.attempts
         if client_request_id in attempts.open and client_request_id not in attempts.unwritten:
             self.stream.write(frames.encode_priority(client_request_id, priority))
 
     def retire(self) -> None:
-        """Take no more attempts, and close after the last."""
+        """Accept no more attempts, and close after the last one has ended."""
         self._retire()
         self.task.wake()
 
@@ -156,28 +157,28 @@
         if self.state is not ConnectionState.CLOSED:
             self.state = ConnectionState.RETIRED
 
-    def _retire_if_full(self) -> None:
-        if self.attempts.is_full_of_ended_ids:
+    def _retire_above_ended_id_limit(self) -> None:
+        if self.attempts.exceeds_ended_id_limit:
             self._retire()
 
-    # ---- commands of the response handler, see `ResponseActions`
+    # ---- commands of the response handler (`ResponseActions`)
 
     def write(self, data: bytes) -> None:
         """Send a line to the engine."""
         self.stream.write(data)
 
     def finish(self, client_request_id: str, outcome: OutcomeCode) -> None:
-        """End an attempt with its outcome."""
+        """End an attempt with this outcome."""
         may_respond = outcome is not OutcomeCode.OK
         entry = self.attempts.remove(client_request_id, may_respond)
         if may_respond:
-            self._retire_if_full()
+            self._retire_above_ended_id_limit()
         self.owner.on_attempt_ended(client_request_id)
         self.last_used_at = self.loop.now()
         entry.attempt.on_ended(outcome)
 
     def fail_malformed(self, client_request_id: str) -> None:
-        """End an attempt whose result is invalid or takes too long, and retire: the next may be as bad."""
+        """End an attempt whose result is invalid or overdue, and retire, as later results may be as well."""
         self._retire()
         self.finish(client_request_id, OutcomeCode.ERROR)
 
@@ -187,7 +188,7 @@
         reason, outcome = Reason.FAULT, OutcomeCode.RESET
         try:
             if failure := (yield from self._connect()):
-                # An engine that our own machine could not dial is not at fault
+                # A dial that failed for lack of a local resource is not a fault of the engine
                 is_local = self.stream.is_local_failure
                 outcome = OutcomeCode.NOT_SENT if is_local else OutcomeCode.CONNECT_FAILED
                 reason = failure
@@ -197,7 +198,7 @@
             self._close(reason, outcome)
 
     def _connect(self) -> Generator[float | None, None, Reason | None]:
-        """Wait for the dial and write what waits for it; a reason if the dial failed or is not needed."""
+        """Wait for the dial, then write the waiting requests; return the reason if the connection ends."""
         while not self.stream.connected:
             if self.loop.now() >= self.dial_deadline:
                 return Reason.DIAL_TIMEOUT
@@ -219,11 +220,11 @@
         self.liveness.on_bytes(self.loop.now(), self.responses.decoder.partial)
 
     def _dial_again(self) -> Generator[float | None, None, None]:
-        """Wait a moment and dial once more: our machine had no port, route or buffer just now."""
+        """Dial again after `REDIAL_SECONDS`: the last dial lacked a local port, route or buffer."""
         retry_at = min(self.loop.now() + REDIAL_SECONDS, self.dial_deadline)
         while self.loop.now() < retry_at:
             yield retry_at
-        with contextlib.suppress(OSError):  # no descriptor is left: the next round tries again
+        with contextlib.suppress(OSError):  # no descriptor is available: the next call tries again
             failed, self.stream = self.stream, self._dial()
             failed.close(Reason.DIAL_FAILED)
 
@@ -232,7 +233,7 @@
         return Stream.dial(self.loop, address_of(self.address), description, lambda: self.task.wake())
 
     def _serve(self) -> Generator[float | None, None, Reason]:
-        """Handle responses until the connection ends; the reason."""
+        """Handle responses until the connection ends; return the reason."""
         while True:
             if self.stream.inbox:
                 try:
@@ -254,15 +255,16 @@
             yield deadline
 
     def _response_deadline(self, progress_intervals: float) -> float | None:
-        """Until when a byte must come; None if none is due."""
+        """The loop time by which the next byte must arrive, None if none is expected."""
         progress_wait = self.owner.progress_interval * progress_intervals
         return self.liveness.deadline(self.attempts, self.responses.decoder.partial, progress_wait)
 
     def _close(self, reason: Reason, outcome: OutcomeCode) -> None:
-        """End the connection, and all attempts on it with this outcome.
+        """End the connection, and all attempts on it.
 
-        A request that has not been sent completely never runs, and the engine is not at fault for it; while
-        dialling nothing is sent, and the outcome is that of the dial.
+        An attempt whose request was sent completely ends with `outcome`, any other one as not sent: an engine
+        does not run an incomplete request, and is not at fault. If the connection was still dialling, all
+        attempts end with `outcome`, which is that of the dial.
         """
         was_dialling = self.state is ConnectionState.DIALLING
         self.state = ConnectionState.CLOSED
--- a/query_gateway/engine_protocol/frames.py
+++ b/query_gateway/engine_protocol/frames.py
@@ -1,7 +1,7 @@
-"""The engines' line protocol: lines of words ended by CR LF, some followed by a body of so many bytes.
+"""The line protocol of engines: lines of words, ended by CR LF, and optional bodies of a given length.
 
-Bytes in, frames out; knows no connection. The words of the protocol are named here, except
-the kinds of progress notes, which `response_handler` names.
+Encodes requests and decodes the bytes of engines into frames, independently of the connection. Defines the
+words of the protocol, except for the kinds of progress notes, which `response_handler` defines.
 """
 
 from dataclasses import dataclass, field
@@ -10,18 +10,18 @@
 MAX_LINE_BYTES = 4_096
 MAX_BODY_BYTES = 1_048_576
 MAX_LENGTH_DIGITS = 7
-MAX_ERROR_BYTES = 60  # of what was received, in the text of an error
+MAX_ERROR_BYTES = 60  # of received data that are quoted in an error text
 LINE_END = b"\r\n"
 NO_FIELDS = "-"
 
-# Words that begin our lines
+# First words of the lines that are sent to engines
 REQUEST = "REQ"
 STOP = "STOP"
 SET_PRIORITY = "NICE"
 FETCH_PAGE = "FETCH"
 END_RESULT = "END"
 
-# Second words of an engine's lines: the kind of a frame
+# Second words of the lines that engines send: the kind of the frame
 OK = "ok"
 REFUSED = "refused"
 ERROR = "error"
@@ -39,7 +39,7 @@
 MEMORY_MB_FIELD = "allot"
 PRIORITY_FIELD = "urgency"
 
-# Fields of an engine's lines
+# Fields of the lines that engines send
 PAGE_COUNT_FIELD = "sheets"
 PAGE_NUMBER_FIELD = "sheet"
 PROGRESS_KIND_FIELD = "detail"
@@ -47,12 +47,12 @@
 
 
 class FrameError(Exception):
-    """Bytes that are no response of an engine; the text shows what is wrong with which of them."""
+    """The received bytes are not a valid response; the text names the fault and quotes the bytes."""
 
 
 @dataclass(slots=True, frozen=True)
 class Frame:
-    """One response line with its body. `client_request_id` names the request that it belongs to."""
+    """One response line with its body; `client_request_id` identifies the request."""
 
     client_request_id: str
     kind: str
@@ -68,47 +68,47 @@
 
 
 def encode_request(client_request_id: str, fields: dict[str, str], statement: bytes) -> bytes:
-    """Start a request; the fields say how it is to run."""
+    """Encode the line and body that start a request; the fields specify how it runs."""
     pairs = ",".join(f"{name}={value}" for name, value in fields.items()) or NO_FIELDS
     head = f"{REQUEST} {client_request_id} {pairs} {len(statement)}".encode()
     return b"%b\r\n%b\r\n" % (head, statement)
 
 
 def encode_stop(client_request_id: str) -> bytes:
-    """Stop a request that runs or waits."""
+    """Encode the line that stops a running or waiting request."""
     return f"{STOP} {client_request_id}\r\n".encode()
 
 
 def encode_priority(client_request_id: str, priority: int) -> bytes:
-    """Change the priority of a request that runs or waits."""
+    """Encode the line that changes the priority of a running or waiting request."""
     return f"{SET_PRIORITY} {client_request_id} {priority}\r\n".encode()
 
 
 def encode_fetch(client_request_id: str, page_number: int) -> bytes:
-    """Fetch one page of a result; page 0 comes with the first response."""
+    """Encode the line that fetches a result page; page 0 is part of the first response."""
     return f"{FETCH_PAGE} {client_request_id} {page_number}\r\n".encode()
 
 
 def encode_end(client_request_id: str) -> bytes:
-    """Release a result of several pages, all of which have come."""
+    """Encode the line that releases a result of several pages, after all of them have arrived."""
     return f"{END_RESULT} {client_request_id}\r\n".encode()
 
 
 class FrameDecoder:
-    """Bytes in, complete frames out; buffers no more than one incomplete frame."""
+    """Incremental decoder from bytes to complete frames; buffers at most one incomplete frame."""
 
     def __init__(self) -> None:
-        """Begin at the start of a line."""
+        """Start at the beginning of a line."""
         self.buffer = bytearray()
-        self._head: _FrameHead | None = None  # of the frame whose body is incomplete
+        self._head: _FrameHead | None = None  # the decoded line of a frame whose body is incomplete
 
     @property
     def partial(self) -> bool:
-        """Whether a frame has begun and is not complete."""
+        """Whether the decoder has buffered an incomplete frame."""
         return self._head is not None or bool(self.buffer)
 
     def feed(self, data: bytes) -> list[Frame]:
-        """All frames that are complete now; raises FrameError, after which the decoder is of no more use."""
+        """Return the frames that `data` completes; after a FrameError the decoder must not be used again."""
         self.buffer += data
         frames: list[Frame] = []
         while (frame := self._next_frame()) is not None:
@@ -128,16 +128,16 @@
         body = bytes(self.buffer[:length])
         if length:
             if self.buffer[length : length + len(LINE_END)] != LINE_END:
-                raise FrameError(f"no CR LF behind the body of {length} bytes for {client_request_id}")
+                raise FrameError(f"no CR LF after the body of {length} bytes for {client_request_id}")
             del self.buffer[: length + len(LINE_END)]
         self._head = None
         return Frame(client_request_id, kind, fields, body)
 
     def _next_line(self) -> bytes | None:
-        """The next line without its line feed, None if it is not complete."""
+        """Remove and return the next line without its line feed, None if it is incomplete."""
         length = self.buffer.find(b"\n")
         if length > MAX_LINE_BYTES or (length < 0 and len(self.buffer) > MAX_LINE_BYTES):
-            raise FrameError(f"a line has more than {MAX_LINE_BYTES} bytes")
+            raise FrameError(f"line exceeds {MAX_LINE_BYTES} bytes")
         if length < 0:
             return None
         line = bytes(self.buffer[:length])
@@ -147,16 +147,16 @@
 
 def _decode_head(line: bytes) -> _FrameHead:
     if not line.endswith(b"\r"):
-        raise FrameError(f"{line[:MAX_ERROR_BYTES]!r} ends without CR")
+        raise FrameError(f"{line[:MAX_ERROR_BYTES]!r} does not end with CR LF")
     try:
         words = line[:-1].decode("ascii").split(" ")
     except UnicodeDecodeError:
         raise FrameError(f"{line[:MAX_ERROR_BYTES]!r} is not ASCII") from None
     if len(words) != 4 or words[1] not in RESPONSE_KINDS:
-        raise FrameError(f"{line[:MAX_ERROR_BYTES]!r} is no response")
+        raise FrameError(f"{line[:MAX_ERROR_BYTES]!r} is not a response line")
     client_request_id, kind, fields, length = words
     if not length.isdigit() or len(length) > MAX_LENGTH_DIGITS or int(length) > MAX_BODY_BYTES:
-        raise FrameError(f"{length[:MAX_ERROR_BYTES]!r} is no length up to {MAX_BODY_BYTES}")
+        raise FrameError(f"{length[:MAX_ERROR_BYTES]!r} is not a length from 0 to {MAX_BODY_BYTES}")
     return _FrameHead(client_request_id, kind, _decode_fields(fields), int(length))
 
 
--- a/query_gateway/engine_protocol/liveness.py
+++ b/query_gateway/engine_protocol/liveness.py
@@ -1,46 +1,47 @@
-"""Whether an engine's connection is still of use, judged by when bytes and complete responses came on it.
+"""Liveness of an engine connection, based on the arrival times of bytes and complete responses.
 
-Inputs  when bytes came last, when the last frame was complete, the attempts in flight and their pages
-Answer  until when the next byte must come (`deadline`), and how old an incomplete response may be
-Reason  an engine that hangs keeps its connections open, so that nothing but silence shows the fault
+Input:      the times of the last byte and of the last complete frame, the attempts in flight and their pages
+Result:     the time by which the next byte must arrive (`deadline`), and the maximum age of an incomplete
+            response (`latest_response_start`)
+Rationale:  an engine that hangs keeps its connections open, so only the absence of data reveals the fault
 """
 
 from typing import Final
 
 from query_gateway.engine_protocol.attempt_table import AttemptTable
 
-# Progress intervals without a byte, though an attempt is in flight: first nothing new is sent, then the
-# connection ends
+# Progress intervals without a byte while an attempt is in flight: after the first number the connection gets
+# no new attempts, after the second it is closed
 SUSPECT_INTERVALS: Final = 1.2
 UNRESPONSIVE_INTERVALS: Final = 1.6
-STALL_TIMEOUT_SECONDS = 0.3  # without a byte within a response, or while a page is due
-RESPONSE_TIMEOUT_SECONDS = 2.0  # until a response that began is complete, whatever else comes meanwhile
+STALL_TIMEOUT_SECONDS = 0.3  # without a byte within a frame, or while a page is expected
+RESPONSE_TIMEOUT_SECONDS = 2.0  # from the start of a response to its end, even if bytes keep arriving
 
 
 class ConnectionLiveness:
-    """When something came on a connection. Times are loop times in seconds."""
+    """The arrival times of data on a connection. Times are loop times in seconds."""
 
     def __init__(self, now: float) -> None:
-        """Begin as if bytes had come now."""
+        """Start as if bytes had arrived at `now`."""
         self.last_received_at = now
-        self.last_frame_end_at = now  # when no response was incomplete, or one was completed
+        self.last_frame_end_at = now  # when a frame was last completed, or none was incomplete
 
     def on_bytes(self, now: float, within_frame: bool) -> None:
-        """Bytes have come; `within_frame`: behind the beginning of a response."""
+        """Bytes have arrived; `within_frame`: they continue a frame that earlier bytes began."""
         self.last_received_at = now
         if not within_frame:
             self.last_frame_end_at = now
 
     def on_frame(self) -> None:
-        """A response was completed by the bytes that came last."""
+        """The bytes that arrived last have completed a frame."""
         self.last_frame_end_at = self.last_received_at
 
     def deadline(self, attempts: AttemptTable, within_frame: bool, progress_wait: float) -> float | None:
-        """Until when a byte must come; None if none is due.
+        """The time by which the next byte must arrive, None if none is expected.
 
-        Finds a connection that stays open and is of no use: within a response, or with a page due, bytes
-        follow each other closely, and while an attempt is in flight the engine reports its progress.
-        `progress_wait`: seconds after which a report is missed, 0 where engines report nothing.
+        Detects a connection that is open but no longer works: within a frame, or while a page is expected,
+        bytes follow each other closely, and while an attempt is in flight the engine sends progress notes.
+        `progress_wait` is the time in seconds after which a progress note is overdue, 0 if engines send none.
         """
         if within_frame:
             return self.last_received_at + STALL_TIMEOUT_SECONDS
@@ -55,8 +56,8 @@
 
     @property
     def latest_response_start(self) -> float:
-        """A response that began by then and is not complete has taken too long.
+        """The time before or at which an incomplete response must not have begun.
 
-        As long as bytes keep coming no `deadline` passes, so a response without an end needs this bound.
+        While bytes keep arriving `deadline` never passes, so a response that does not end needs this bound.
         """
         return self.last_received_at - RESPONSE_TIMEOUT_SECONDS
--- a/query_gateway/engine_protocol/open_attempt.py
+++ b/query_gateway/engine_protocol/open_attempt.py
@@ -1,4 +1,4 @@
-"""An attempt that is in flight on an engine's connection, and its request as the engine reads it."""
+"""An attempt in flight on an engine connection, and the encoding of its request."""
 
 from query_gateway.engine_protocol import frames
 from query_gateway.engine_protocol.results import MAX_RESULT_BYTES
@@ -7,7 +7,7 @@
 
 
 class OpenAttempt:
-    """An attempt in flight, with the pages that have come. Times are loop times in seconds."""
+    """An attempt in flight, with the pages that have arrived. Times are loop times in seconds."""
 
     __slots__ = (
         "attempt", "client_request_id", "assigned_at", "request_sent", "has_response", "page_count", "pages",
@@ -15,18 +15,18 @@
     )  # fmt: skip
 
     def __init__(self, attempt: AttemptHandle, client_request_id: str, assigned_at: float) -> None:
-        """`assigned_at`: when the attempt was given to the connection, which may still be dialling."""
+        """`assigned_at` is when the connection got the attempt; it may still have been dialling."""
         self.attempt = attempt
         self.client_request_id = client_request_id
         self.assigned_at = assigned_at
-        self.request_sent = False  # to the last byte
-        self.has_response = False  # the response has begun; its first page comes with it
+        self.request_sent = False  # completely, to the last byte
+        self.has_response = False  # the first response line, which contains page 0, has arrived
         self.page_count = 0
-        self.pages: dict[int, bytes] = {}  # by number
+        self.pages: dict[int, bytes] = {}  # by page number
         self.response_started_at = self.last_page_at = 0.0
 
     def on_request_sent(self) -> None:
-        """The machine has taken the request to its last byte."""
+        """The kernel has accepted the last byte of the request."""
         self.request_sent = True
         self.attempt.on_written()
 
@@ -36,23 +36,23 @@
         self.response_started_at = self.last_page_at = now
 
     def add_page(self, number: int, page: bytes, now: float) -> None:
-        """Keep a page; a repeated one changes nothing but the time of the last page."""
+        """Add a page; a repeated page only updates `last_page_at`."""
         self.pages.setdefault(number, page)
         self.last_page_at = now
 
     @property
     def has_all_pages(self) -> bool:
-        """Whether the result is complete."""
+        """Whether all pages of the result have arrived."""
         return len(self.pages) >= self.page_count
 
     @property
     def is_too_large(self) -> bool:
-        """Whether the pages together exceed what a result may have."""
+        """Whether the pages together exceed `MAX_RESULT_BYTES`."""
         return sum(len(page) for page in self.pages.values()) > MAX_RESULT_BYTES
 
 
 def encode_attempt(attempt: AttemptHandle, now: int) -> bytes:
-    """The request that starts an attempt at clock time `now` (nanoseconds)."""
+    """Encode the request of an attempt as sent at clock time `now` (nanoseconds)."""
     request = attempt.request
     budget_ms = max(1, (request.deadline - now) // MS)
     fields = {frames.CLASS_FIELD: request.class_name, frames.BUDGET_MS_FIELD: str(budget_ms)}
--- a/query_gateway/engine_protocol/pool.py
+++ b/query_gateway/engine_protocol/pool.py
@@ -1,7 +1,7 @@
-"""The connections to every engine, and which of them an attempt uses.
+"""The connection pool of all engines, and the choice of the connection for each attempt.
 
-An attempt takes the first connection to its engine that can take it; if none can, a new one is dialled. The
-modules import downwards only:
+An attempt uses the first connection to its engine that can take it; if there is none, a new one is dialled.
+Each module imports only modules further to the right:
 
     pool > connection > request_writer, response_handler > liveness > attempt_table > open_attempt > frames
 """
@@ -17,7 +17,8 @@
 from query_gateway.model.events import OutcomeCode
 from query_gateway.net.loop import Loop
 
-# Of the engines' idle timeout, after which we close first, so that no request crosses an engine's close
+# The part of the engines' idle timeout after which the gateway closes a connection itself, so that no request
+# is sent while the engine closes it
 IDLE_TIMEOUT_SHARE: Final = 0.8
 
 
@@ -27,50 +28,51 @@
 
     streams_per_connection: int
     dial_timeout: float
-    idle_timeout: float  # after which engines close
-    progress_interval: float  # of engines' progress reports; 0: they report none
+    idle_timeout: float  # after which engines close a connection
+    progress_interval: float  # between progress notes of an engine; 0: engines send none
 
 
 class ConnectionPool:
-    """Every engine's connections. Owns them; the attempts belong to the forwarder."""
+    """Owns the connections to all engines; the attempts belong to the forwarder."""
 
     streams_results = False
 
     def __init__(self, loop: Loop, clock: Callable[[], int], limits: ConnectionLimits) -> None:
-        """`clock` gives nanoseconds, as the requests' deadlines are."""
+        """`clock` returns nanoseconds, like the deadlines of requests."""
         self.loop, self.clock = loop, clock
         self.update_limits(limits)
         self.endpoints: dict[str, Endpoint] = {}  # by engine
         self.connections: dict[str, list[EngineConnection]] = {}  # by engine
-        self.by_client_request_id: dict[str, EngineConnection] = {}  # connections of the attempts in flight
-        self.postponed = PostponedAttempts(loop, self.start)  # those for which no socket could be made yet
+        self.by_client_request_id: dict[str, EngineConnection] = {}  # the connection of each attempt
+        self.postponed = PostponedAttempts(loop, self.start)  # attempts that wait for a socket
 
     def update_limits(self, limits: ConnectionLimits) -> None:
         """Apply new limits, to open connections as well."""
         self.streams_per_connection = limits.streams_per_connection
         self.dial_timeout = limits.dial_timeout
-        self.idle_timeout = limits.idle_timeout * IDLE_TIMEOUT_SHARE  # after which we close
+        self.idle_timeout = limits.idle_timeout * IDLE_TIMEOUT_SHARE  # after which the gateway closes
         self.progress_interval = limits.progress_interval
 
     def start(self, attempt: AttemptHandle) -> None:
-        """Send an attempt, over a new connection if need be.
+        """Send an attempt, on a new connection if necessary.
 
-        It ends as not sent if the engine is unknown, if its client id is already in flight, or if descriptors
-        are out for the time of a dial; as a failed connect if the dial fails.
+        It ends as not sent if the engine is unknown, if an attempt with the same client request id is in
+        flight, or if no socket can be created for the duration of the dial timeout. It ends as a failed
+        connect if the dial fails.
         """
         engine, client_request_id = attempt.endpoint, attempt.request.client_request_id
         endpoint = self.endpoints.get(engine)
-        # Engines know one attempt an id, whatever connection it came on
+        # Engines allow one attempt per id, even across connections
         is_in_flight = client_request_id in self.by_client_request_id
         if endpoint is None or "web" not in endpoint.addresses or is_in_flight:
             self.postponed.remove(attempt)
             attempt.on_ended(OutcomeCode.NOT_SENT)
             return
-        connection = self._free_connection(engine, client_request_id)
+        connection = self._available_connection(engine, client_request_id)
         if connection is None:
             try:
                 connection = EngineConnection(self, engine, endpoint)
-            except OSError:  # out of descriptors or buffers just now
+            except OSError:  # no descriptor or buffer is available at the moment
                 self.postponed.postpone(attempt, self.dial_timeout)
                 return
             self.connections.setdefault(engine, []).append(connection)
@@ -78,15 +80,15 @@
         self.by_client_request_id[client_request_id] = connection
         connection.send(attempt)
 
-    def _free_connection(self, engine: str, client_request_id: str) -> EngineConnection | None:
-        """The first connection to an engine that can take an attempt."""
+    def _available_connection(self, engine: str, client_request_id: str) -> EngineConnection | None:
+        """The first connection to an engine that can take an attempt with this id, None if there is none."""
         for connection in self.connections.get(engine, ()):
             if connection.can_take(client_request_id):
                 return connection
         return None
 
     def withdraw(self, attempt: AttemptHandle) -> bool:
-        """Take an attempt back if nothing of it has left; whether that was so."""
+        """Withdraw an attempt if no byte of it was sent; return whether this was the case."""
         client_request_id = attempt.request.client_request_id
         if self.postponed.remove(attempt):
             return True
@@ -97,18 +99,18 @@
         return True
 
     def cancel(self, attempt: AttemptHandle) -> None:
-        """Stop an attempt that is in flight; it will not be ended here."""
+        """Stop an attempt that is in flight, without calling its `on_ended`."""
         self.postponed.remove(attempt)
         if connection := self.by_client_request_id.pop(attempt.request.client_request_id, None):
             connection.cancel(attempt.request.client_request_id)
 
     def set_priority(self, attempt: AttemptHandle) -> None:
-        """Pass on an attempt's changed priority."""
+        """Send an attempt's changed priority to its engine."""
         if connection := self.by_client_request_id.get(attempt.request.client_request_id):
             connection.set_priority(attempt.request.client_request_id, attempt.priority)
 
     def retire_idle(self, count: int) -> bool:
-        """Close up to so many connections without an attempt, the longest idle first; whether any is."""
+        """Close up to `count` idle connections, longest idle first; return whether any was idle."""
         idle = [
             connection
             for connections in self.connections.values()
@@ -119,14 +121,14 @@
             connection.retire()
         return bool(idle)
 
-    # ---- reports of the connections, see `ConnectionOwner`
+    # ---- events of the connections (`ConnectionOwner`)
 
     def on_attempt_ended(self, client_request_id: str) -> None:
         """An attempt is no longer in flight on its connection."""
         self.by_client_request_id.pop(client_request_id, None)
 
     def on_connection_closed(self, connection: EngineConnection) -> None:
-        """Drop a connection that has ended; engines without one leave the table."""
+        """Remove a connection that has ended, and its engine's entry if it was the last one."""
         connections = self.connections.get(connection.engine, [])
         if connection in connections:
             connections.remove(connection)
@@ -134,8 +136,8 @@
             self.connections.pop(connection.engine, None)
         ended = [
             client_request_id
-            for client_request_id, its_connection in self.by_client_request_id.items()
-            if its_connection is connection
+            for client_request_id, used_connection in self.by_client_request_id.items()
+            if used_connection is connection
         ]
         for client_request_id in ended:
             del self.by_client_request_id[client_request_id]
@@ -143,7 +145,7 @@
     # ---- the endpoint list
 
     def update_endpoints(self, endpoints: list[Endpoint], is_snapshot: bool) -> None:
-        """Apply a change of the endpoint list; engines that a snapshot lacks are retired."""
+        """Apply a change of the endpoint list; retires engines that are absent from a snapshot."""
         if is_snapshot:
             listed = {endpoint.info.name for endpoint in endpoints}
             for engine in [engine for engine in self.endpoints if engine not in listed]:
@@ -160,8 +162,8 @@
             or previous.addresses != endpoint.addresses
         )
         if endpoint.info.state is not EndpointState.UP or restarted_or_moved:
-            # Its connections may lead to a process that has ended, and what waits for a dial must not be sent
-            # to an engine that is draining
+            # The connections may lead to a process that has ended, and attempts that wait for a dial must not
+            # be sent to an engine that is draining
             self._retire(engine)
         if endpoint.info.state is EndpointState.REMOVED:
             self.endpoints.pop(engine, None)
@@ -169,14 +171,15 @@
             self.endpoints[engine] = endpoint
 
     def _retire(self, engine: str) -> None:
-        """Send nothing more on an engine's connections, and take back what has not left yet."""
+        """Retire the connections of an engine, and withdraw the attempts of which no byte was sent."""
         self.endpoints.pop(engine, None)
         for connection in list(self.connections.get(engine, [])):
             connection.retire()
             for entry in list(connection.attempts.open.values()):
                 if self.withdraw(entry.attempt):
-                    # The scheduler treats it as never run, as it would for `NOT_SENT`, but for this code it
-                    # also ejects the engine. A restart, of which it is notified next, ends that ejection
+                    # As for `NOT_SENT`, the scheduler treats the attempt as never run, but for this code it
+                    # also ejects the engine. If the engine has restarted, the scheduler is notified of that
+                    # next, which ends the ejection
                     entry.attempt.on_ended(OutcomeCode.CONNECT_FAILED)
         if not self.connections.get(engine):
             self.connections.pop(engine, None)
--- a/query_gateway/engine_protocol/request_writer.py
+++ b/query_gateway/engine_protocol/request_writer.py
@@ -1,8 +1,9 @@
 """Writes the requests of a connection's attempts, each as late as possible.
 
-A request in an output buffer cannot be taken back, and the time budget in it gets out of date. So none is
-encoded before the machine takes its first byte at once; until then its attempt may be withdrawn, and as the
-byte is about to leave the attempt is asked whether it may still be sent (`AttemptHandle.may_be_written`).
+A request in an output buffer cannot be withdrawn, and its time budget becomes outdated. Therefore a request
+is encoded for each try to write it, and buffered only once the kernel has accepted its first byte. Until then
+its attempt can be withdrawn, and right before each try `AttemptHandle.may_be_written` decides whether the
+request may still be sent.
 """
 
 from collections.abc import Callable
@@ -14,18 +15,18 @@
 
 
 class RequestWriter:
-    """Writes what waits in an attempt table."""
+    """Writes the unwritten requests of an attempt table."""
 
     def __init__(
         self, attempts: AttemptTable, clock: Callable[[], int], on_attempt_ended: Callable[[str], None]
     ) -> None:
-        """`clock` gives nanoseconds; `on_attempt_ended` gets the id of an attempt that must not be sent."""
+        """`clock` returns nanoseconds; `on_attempt_ended` gets the id of an attempt that may not be sent."""
         self.attempts = attempts
         self.clock = clock
         self.on_attempt_ended = on_attempt_ended
 
     def write_waiting(self, stream: Stream) -> None:
-        """Write the requests that wait, the oldest first, as long as the machine takes them at once."""
+        """Write the waiting requests, oldest first, as long as the kernel accepts them at once."""
         attempts = self.attempts
         while attempts.unwritten and not stream.outbox and not stream.is_over:
             entry = attempts.take_unwritten()
@@ -38,7 +39,7 @@
                 return
 
     def _end_unsent(self, entry: OpenAttempt) -> None:
-        """End an attempt that must not be written any more."""
+        """End an attempt that may no longer be written."""
         if self.attempts.open.get(entry.client_request_id) is entry:
             self.attempts.remove(entry.client_request_id, may_respond=False)
             self.on_attempt_ended(entry.client_request_id)
--- a/query_gateway/engine_protocol/response_handler.py
+++ b/query_gateway/engine_protocol/response_handler.py
@@ -1,10 +1,10 @@
-"""What an engine's frames mean for the attempts in flight on its connection.
+"""Applies the frames of an engine to the attempts in flight on its connection.
 
 awaiting the response --OK--> awaiting pages --the last page--> finished, served
 awaiting the response --REFUSED, ERROR, STALE--> finished, with the outcome in `OUTCOMES`
-awaiting pages --ERROR, or any other of these--> finished, as an error
-either --an invalid result, or one that takes too long--> finished, as an error
-either --bytes that are no frames, or a frame that does not end--> the connection ends, and its attempts
+awaiting pages --REFUSED, ERROR, STALE--> finished, as an error
+either --an invalid or overdue result--> finished, as an error
+either --bytes that are not valid frames, or an overdue frame--> the connection ends, with all its attempts
 """
 
 from typing import Final, Protocol
@@ -25,8 +25,8 @@
 OUTCOMES: Final = {
     frames.REFUSED: OutcomeCode.FULL,
     frames.ERROR: OutcomeCode.ERROR,
-    # This attempt was sent, but the engine declined it, as its request was over already. The code fits all
-    # the same: nothing ran, and the engine is not at fault
+    # The attempt was sent, but the engine declined it because its request had already ended. The code applies
+    # nevertheless: nothing ran, and the engine is not at fault
     frames.STALE: OutcomeCode.NOT_SENT,
 }
 MAX_NUMBER_DIGITS: Final = 9
@@ -34,39 +34,39 @@
 
 
 class ResponseActions(Protocol):
-    """What responses ask of their connection."""
+    """The commands of the response handler to its connection."""
 
     def write(self, data: bytes) -> None:
         """Send a line to the engine."""
 
     def finish(self, client_request_id: str, outcome: OutcomeCode) -> None:
-        """End an attempt with its outcome."""
+        """End an attempt with this outcome."""
 
     def fail_malformed(self, client_request_id: str) -> None:
-        """End an attempt whose result is invalid or takes too long."""
+        """End an attempt whose result is invalid or overdue."""
 
 
 class ResponseHandler:
-    """Applies what was read from a connection to its attempts.
+    """Decodes the bytes of a connection and applies the frames to its attempts.
 
-    Frames of an attempt that is no longer in flight, second copies, and frames that do not fit the attempt's
-    state change nothing. An invalid result ends its attempt as an error.
+    Ignores frames of attempts that are no longer in flight, duplicates, and frames that the state of the
+    attempt does not allow. An invalid result ends its attempt as an error.
     """
 
     def __init__(
         self, attempts: AttemptTable, liveness: ConnectionLiveness, connection: ResponseActions
     ) -> None:
-        """Handle the frames of one connection."""
+        """Handle the frames of one connection, whose commands are in `connection`."""
         self.attempts = attempts
         self.liveness = liveness
         self.connection = connection
         self.decoder = frames.FrameDecoder()
 
     def receive(self, data: bytes, now: float) -> None:
-        """Apply what was read at a loop time.
+        """Apply bytes that were read at loop time `now`.
 
-        Raises FrameError, after which the connection is of no more use: the bytes are no frames, or a frame
-        does not end.
+        Raises FrameError if the bytes are not valid frames or an incomplete frame is overdue. The connection
+        must then be closed.
         """
         self.liveness.on_bytes(now, self.decoder.partial)
         received = self.decoder.feed(data)
@@ -74,7 +74,7 @@
             self._handle(frame)
         if received:
             self.liveness.on_frame()
-        self._end_overlong_responses()
+        self._end_overdue_responses()
 
     def _handle(self, frame: frames.Frame) -> None:
         entry = self.attempts.open.get(frame.client_request_id)
@@ -141,15 +141,15 @@
             entry.attempt.on_page(entry.pages[page_number])
         self.connection.finish(entry.client_request_id, OutcomeCode.OK)
 
-    def _end_overlong_responses(self) -> None:
-        """End attempts whose response began too long ago; raises FrameError if an incomplete frame did."""
+    def _end_overdue_responses(self) -> None:
+        """End attempts whose response is overdue; raises FrameError if an incomplete frame is overdue."""
         latest_start = self.liveness.latest_response_start
         if self.attempts.responding:
             for client_request_id, entry in list(self.attempts.open.items()):
                 if entry.has_response and entry.response_started_at <= latest_start:
                     self.connection.fail_malformed(client_request_id)
         if self.decoder.partial and self.liveness.last_frame_end_at <= latest_start:
-            raise frames.FrameError("an incomplete frame takes too long")
+            raise frames.FrameError("incomplete frame is overdue")
 
 
 def _integer(text: str, minimum: int, maximum: int) -> int | None:
--- a/query_gateway/engine_protocol/results.py
+++ b/query_gateway/engine_protocol/results.py
@@ -1,4 +1,4 @@
-"""What counts as a valid result: its pages, rows and columns."""
+"""The limits on results, and the validation of their pages."""
 
 MAX_PAGES = 64
 MAX_PAGE_BYTES = 6_000
@@ -9,7 +9,7 @@
 
 
 def is_valid_page(page: bytes) -> bool:
-    """Whether a page is complete rows of text with the right number of columns, and not too large."""
+    """Whether a page is within its size limit and consists of complete rows of `COLUMNS` columns in UTF-8."""
     if len(page) > MAX_PAGE_BYTES or (page and not page.endswith(ROW_END.encode())):
         return False
     try:
--- a/query_gateway/http/connection.py
+++ b/query_gateway/http/connection.py
@@ -1,18 +1,22 @@
-"""One client connection: waits for a request, reads it, has it handled, sends the response, and closes.
-
-The state of a connection is the place of its coroutine; each step is the method in brackets:
-
-    awaiting a request --> reading --> handling --> responding --.
-    [_await_request]       [_serve_plain_request or              |
-      ^   |   |             _serve_h11_request]                  |
-      |   |   |                |           |                     |
-      |   |   |                |           `- client left ---> closed
-      |   |   |                `- invalid, too slow: [_reject] --+
-      |   |   `- unused, draining, server closes ----------------+--> closing [_close_gracefully] --> closed
-      |   `- transferred to the successor, client left --> closed |
-      `---------------------- the connection goes on -------------'
-
-`drop` leads to closed from anywhere. Why a connection ends is decided in `end_reasons`.
+"""One client connection: reads requests one at a time, passes them to the handler and sends the responses.
+
+The state is implicit in the position of the connection's coroutine; the implementing methods are in brackets:
+
+    AWAITING A REQUEST [_await_request] --a byte has arrived--> READING
+    AWAITING A REQUEST --idle timeout, draining, or the server closes--> CLOSING
+    AWAITING A REQUEST --transferred to the successor, or the client disconnected--> CLOSED
+    READING [_serve_plain_request, _serve_h11_request] --the request is complete--> HANDLING
+    READING, HANDLING --the request is invalid or incomplete at its deadline: [_reject]--> CLOSING
+    READING, HANDLING --an unexpected exception: [_fail_for_fault]--> CLOSING
+    READING, HANDLING --the client disconnected--> CLOSED
+    HANDLING --the answer is known--> RESPONDING [_send_response]
+    RESPONDING --the response is sent, the connection is kept--> AWAITING A REQUEST
+    RESPONDING --the response is sent, and it was the last one--> CLOSING
+    RESPONDING --the client has reset the connection, or does not read the response--> CLOSED
+    CLOSING [_close_gracefully] --the client closed, or LINGER_SECONDS have passed--> CLOSED
+    any --drop--> CLOSED
+
+`end_reasons` determines the reason code that is logged when the connection closes.
 """
 
 import socket
@@ -44,47 +48,49 @@
 from query_gateway.net.steady_clock import clock_time_of
 from query_gateway.net.stream import Reason, Stream
 
-FIRST_REQUEST_TIMEOUT_SECONDS = 2.0  # from the connection's start until its first request is complete
-REQUEST_TIMEOUT_SECONDS = 5.0  # from the start of a later request until it is complete
-IDLE_TIMEOUT_SECONDS = 6.0  # the platform's clients close what was idle for 4 s; others are closed here
-LINGER_SECONDS = 1.0  # how long input is still read after our half-close
-TRANSFER_RETRY_SECONDS = 0.02  # until a connection that could not be transferred is tried again
-DRAIN_FIRST_REQUEST_SECONDS = 0.5  # from a connection's start until its first request, while draining
+FIRST_REQUEST_TIMEOUT_SECONDS = 2.0  # from the start of the connection to the end of its first request
+REQUEST_TIMEOUT_SECONDS = 5.0  # from the first to the last byte of a later request
+IDLE_TIMEOUT_SECONDS = 6.0  # for clients other than the platform's, which close idle connections after 4 s
+LINGER_SECONDS = 1.0  # how long input is still read after the half-close
+TRANSFER_RETRY_SECONDS = 0.02  # interval between attempts to transfer a connection
+DRAIN_FIRST_REQUEST_SECONDS = 0.5  # from the start of a connection to its first byte, while draining
 
-Steps = Generator[float | None, None, Reason]
-OptionalReason = Generator[float | None, None, Reason | None]
+ReasonCoroutine = Generator[float | None, None, Reason]
+OptionalReasonCoroutine = Generator[float | None, None, Reason | None]
 
 
 class IdleTransfer(Protocol):
-    """Passes an idle connection to the successor in a hot upgrade."""
+    """Transfers an idle connection to the successor in a hot upgrade."""
 
     def __call__(self, sock: socket.socket, peer: str, has_sent_request: bool, /) -> bool:
-        """Whether the successor has it; `has_sent_request`: a complete request has come on it."""
+        """Return whether the successor has accepted it; `has_sent_request`: it has had a complete request."""
 
 
 class ConnectionContext(RequestContext, Protocol):
-    """What a connection uses of the server, which owns it and its tables of connections."""
+    """The interface of the server to its connections, which it owns and keeps in tables."""
 
-    classes: RequestClasses  # those that requests may name
+    classes: RequestClasses  # those that requests may address
     readiness: Readiness
-    closing: bool  # no further request is waited for
+    closing: bool  # connections close instead of waiting for further requests
     transfer: IdleTransfer | None  # set while idle connections are transferred
     connections: "dict[HttpConnection, None]"
-    without_request: "dict[HttpConnection, None]"  # no complete request came yet, oldest first
-    idle: "dict[HttpConnection, None]"  # between two requests, longest idle first
+    awaiting_first_request: "dict[HttpConnection, None]"  # no complete request yet; oldest first
+    idle: "dict[HttpConnection, None]"  # between two requests; longest idle first
 
 
 class HttpConnection:
     """Serves one connection in a coroutine; owns its stream.
 
-    Between requests it waits in the server's table of idle connections, before its first one in that of
-    connections without a request. Its steps return the reason why the connection ends, or None to go on.
+    The server's table `awaiting_first_request` contains the connection until its first request is complete,
+    and the table `idle` contains it between requests. The methods that are part of the coroutine return the
+    reason if the connection ends, and None if it continues.
     """
 
     def __init__(self, server: ConnectionContext, stream: Stream, peer: str, has_sent_request: bool) -> None:
-        """Serve an accepted connection, whose stream is not started yet; `peer` is the client's ADDRESS:PORT.
+        """Start to serve an accepted connection; `peer` is the client's ADDRESS:PORT.
 
-        `has_sent_request`: a complete request has come already, before a hot upgrade transferred it.
+        The stream must not have been started. `has_sent_request` is set for a connection that a hot upgrade
+        has transferred after its first complete request.
         """
         self.server, self.loop, self.peer = server, server.loop, peer
         self.stream = stream
@@ -98,7 +104,7 @@
         self.started_at = self.loop.now()
         self.first_request_deadline = self.started_at + FIRST_REQUEST_TIMEOUT_SECONDS
         if not has_sent_request:
-            server.without_request[self] = None
+            server.awaiting_first_request[self] = None
 
     def _run(self) -> Generator[float | None, None, None]:
         reason = Reason.FAULT
@@ -108,21 +114,21 @@
             self.drop(reason)
 
     def drop(self, reason: Reason) -> None:
-        """Close at once; the coroutine finds its stream closed when it next runs, and ends."""
+        """Close at once; the coroutine ends when it next runs, as its stream is closed."""
         is_unanswered = self.handler.has_open_request and not self.stream.is_over
         self.server.forwarder.invariants.check(
             not is_unanswered, Invariant.ANSWERED_BEFORE_CLOSE, f"client {self.peer} {reason.value}"
         )
         self.stream.close(reason)
-        for table in (self.server.connections, self.server.without_request, self.server.idle):
+        for table in (self.server.connections, self.server.awaiting_first_request, self.server.idle):
             table.pop(self, None)
         self.task.wake()
 
-    def _serve_requests(self) -> Steps:
+    def _serve_requests(self) -> ReasonCoroutine:
         while True:
             if ended := (yield from self._await_request()):
                 return ended
-            # h11 goes on with what it has buffered behind the last request
+            # Bytes that h11 has buffered after the last request must be parsed by h11
             plain = None if self.http.trailing_data[0] else parse_plain_request(self.stream.inbox)
             try:
                 ended = yield from self._serve_plain_request(plain) if plain else self._serve_h11_request()
@@ -130,15 +136,15 @@
                 return (yield from self._reject(error.error_status_hint or 400, str(error)))
             except RequestError as error:
                 return (yield from self._reject(error.status, str(error)))
-            except Exception as error:  # a fault in our own code must not leave the client without an answer
+            except Exception as error:  # the client must get a response even after a program error
                 return (yield from self._fail_for_fault(error))
             if ended:
                 return ended
 
     # ---- between two requests
 
-    def _await_request(self) -> OptionalReason:
-        """Wait until a request begins; a reason if none will."""
+    def _await_request(self) -> OptionalReasonCoroutine:
+        """Wait for the first byte of a request; return the reason if the connection ends instead."""
         deadline = self.first_request_deadline
         if self.has_sent_request:
             deadline = self.loop.now() + IDLE_TIMEOUT_SECONDS
@@ -147,8 +153,8 @@
             if self.stream.is_over:
                 return reason_of_lost_connection(self.stream)
             if self.server.closing or self.loop.now() >= deadline:
-                # A request may have arrived just now. Closed over unread bytes the connection would be reset,
-                # and the client would have no answer to it
+                # A request may have arrived since the last poll. Closing a socket with unread bytes would
+                # reset the connection and leave the request unanswered
                 self.stream.read_available()
                 if self.stream.inbox or self.stream.eof:
                     continue
@@ -170,19 +176,19 @@
 
     def _on_complete_request(self) -> None:
         self.has_sent_request = self.handler.has_open_request = True
-        self.server.without_request.pop(self, None)
+        self.server.awaiting_first_request.pop(self, None)
 
     # ---- one request
 
     def _decode(self, class_name: str, headers: dict[str, str], body: bytes) -> ClientRequest:
-        """Decode the request that was read just now, with when it had come; raises RequestError."""
+        """Decode the request that has just been read, with its arrival time; raises RequestError."""
         end = self.stream.bytes_taken - len(self.http.trailing_data[0])
         arrival = self.stream.arrivals.time_of(end, self.loop.now())
         arrived_at = clock_time_of(arrival.earliest)
         request = decode_request(class_name, self.server.classes, headers, body, arrived_at)
         return replace(request, received_at=clock_time_of(arrival.latest)) if request.key else request
 
-    def _serve_plain_request(self, plain: PlainRequest) -> OptionalReason:
+    def _serve_plain_request(self, plain: PlainRequest) -> OptionalReasonCoroutine:
         self.stream.take_inbox()
         self._on_complete_request()
         self.sender.bypasses_h11 = True
@@ -195,7 +201,7 @@
         self.sender.bypasses_h11 = False
         return (yield from self._close_after_last_response()) if self.sender.announced_close else None
 
-    def _serve_h11_request(self) -> OptionalReason:
+    def _serve_h11_request(self) -> OptionalReasonCoroutine:
         deadline = self.first_request_deadline
         if self.has_sent_request:
             deadline = self.loop.now() + REQUEST_TIMEOUT_SECONDS
@@ -215,22 +221,22 @@
         return None
 
     def _respond_to(self, request: HttpRequest) -> Generator[float | None, None, Response | Reason]:
-        """Answer for the liveness path, or have the statement handled."""
+        """Respond to a request for the liveness path, or pass the statement to the handler."""
         if liveness := liveness_response(request, self.server.readiness.ready):
             return liveness
         decoded = self._decode(addressed_class_name(request), request.headers, request.body)
         return (yield from self.handler.handle(decoded))
 
-    # ---- responses and the end
+    # ---- responses and the end of the connection
 
-    def _send_response(self, response: Response, closing: bool = False) -> OptionalReason:
-        """Send, and wait until the client has read enough of it; a reason if it does not."""
+    def _send_response(self, response: Response, closing: bool = False) -> OptionalReasonCoroutine:
+        """Send the response and wait until all of it is passed to the kernel; return a reason on failure."""
         self.sender.write(response, closing or self._is_last_response())
         self.handler.has_open_request = False
         return self.sender.wait_until_sent()
 
     def _is_last_response(self) -> bool:
-        """Whether the connection ends with the response to be sent."""
+        """Whether the connection closes after the response that is about to be sent."""
         handler = self.handler
         if (
             handler.discarded_bytes
@@ -240,37 +246,38 @@
             return True
         if not self.server.closing and not self.server.draining_for():
             return False
-        # The client may have sent a further request already (pipelining, RFC 9112 section 9.3.2), which a
-        # close with this response would leave unanswered
+        # The client may have pipelined a further request (RFC 9112 section 9.3.2), which would remain
+        # unanswered if the connection closed after this response
         self.stream.read_available()
         return not self.stream.inbox and not self.http.trailing_data[0]
 
-    def _fail_for_fault(self, error: Exception) -> Steps:
-        """Answer a request in whose handling our own code broke."""
-        log("fault", f"a request's handling broke: {error!r}")
+    def _fail_for_fault(self, error: Exception) -> ReasonCoroutine:
+        """Respond to a request whose handling raised an unexpected exception."""
+        log("fault", f"unexpected exception while handling a request: {error!r}")
         self.loop.faults += 1
         self.handler.abandon()
         if self.handler.has_open_request and not self.stream.is_over:
             yield from self._reject(500, "Internal")
         return Reason.FAULT
 
-    def _reject(self, status: int, text: str) -> Steps:
-        """Send what is wrong with a request, where HTTP still allows a response, and close."""
+    def _reject(self, status: int, text: str) -> ReasonCoroutine:
+        """Send an error response, if HTTP still permits a response to the request, and close."""
         if self.sender.may_send:
             ended = yield from self._send_response(failure_response(status, text), closing=True)
             if ended:
                 return ended
         return (yield from self._close_gracefully(reason_after_rejection(status)))
 
-    def _close_after_last_response(self) -> Steps:
+    def _close_after_last_response(self) -> ReasonCoroutine:
         reason = reason_after_last_response(self.handler, self.server.closing, self.server.draining_for())
         return (yield from self._close_gracefully(reason))
 
-    def _close_gracefully(self, reason: Reason) -> Steps:
-        """End the connection as RFC 9112 section 9.6 recommends: half-close, then read on for a while.
+    def _close_gracefully(self, reason: Reason) -> ReasonCoroutine:
+        """Close as RFC 9112 section 9.6 recommends: half-close, then read for up to `LINGER_SECONDS`.
 
-        A request that comes after our half-close is not served: its response could not be sent, and its
-        client sends it again elsewhere. A client that has sent too much is not waited for.
+        A request that arrives after the half-close is not served, as its response could not be sent; the
+        client retries it on another connection. For a client that has exceeded `MAX_DISCARDED_BYTES` neither
+        is done.
         """
         if self.handler.has_sent_too_much:
             return reason
--- a/query_gateway/http/end_reasons.py
+++ b/query_gateway/http/end_reasons.py
@@ -1,7 +1,7 @@
-"""Why a client connection ends: each reason code that this front gives of its own accord.
+"""Reason codes for the end of a client connection, as far as the front itself decides to close it.
 
-A connection that fails while a request is read or handled ends with the reason that this step returns
-(`h11_request`, `request_handler`); `docs/on-call.md` says what to do about each code.
+If a connection fails while a request is being read or handled, `h11_request` and `request_handler` return the
+reason instead. `docs/on-call.md` documents what an operator should do about each code.
 """
 
 from query_gateway.http.request_handler import RequestHandler
@@ -11,31 +11,32 @@
 
 
 def reason_of_lost_connection(stream: Stream) -> Reason:
-    """Of one that the client ended between two requests."""
+    """The reason for a connection that the client has closed or reset between two requests."""
     return Reason.RESET if stream.reset else Reason.PEER_CLOSED
 
 
 def reason_of_unused_connection(closing: bool, has_sent_request: bool) -> Reason:
-    """Of one on which no request began in time, or none will as the server closes (`closing`)."""
+    """The reason for an unused connection: no request began in time, or the server is `closing`."""
     if closing:
         return Reason.STOPPING
     return Reason.IDLE if has_sent_request else Reason.UNRESPONSIVE
 
 
 def reason_of_drained_connection(has_sent_request: bool) -> Reason:
-    """Of one without an open request while the gateway drains."""
+    """The reason for a connection without an open request that is closed because the gateway drains."""
     return Reason.DRAINED if has_sent_request else Reason.UNRESPONSIVE
 
 
 def reason_after_rejection(status: int) -> Reason:
-    """Of one whose request could not be accepted; `status` is that of the response."""
+    """The reason for a connection whose request was answered with the error `status`."""
     return Reason.SLOW_REQUEST if status == REQUEST_TIMEOUT_STATUS else Reason.BAD_REQUEST
 
 
 def reason_after_last_response(handler: RequestHandler, closing: bool, draining: bool) -> Reason:
-    """Of one that ended with a response, as its handler, the server's close or a drain required.
+    """The reason for a connection that closes after a response.
 
-    If none of them did, the connection ended as HTTP asks.
+    Without a cause in the handler, a closing server or a drain, the close was required by HTTP, for example
+    by the client's header `Connection: close`.
     """
     if handler.is_over_connection_limit:
         return Reason.TOO_MANY
--- a/query_gateway/http/h11_request.py
+++ b/query_gateway/http/h11_request.py
@@ -1,4 +1,4 @@
-"""Reads one request of any form with h11, within limits on its size and time."""
+"""Reads a request in any valid HTTP/1.1 form with h11, within limits on its size and duration."""
 
 from collections.abc import Generator
 from dataclasses import dataclass
@@ -14,7 +14,7 @@
 
 @dataclass(slots=True, frozen=True)
 class HttpRequest:
-    """One complete request; the path has no query string, header names are in lower case."""
+    """One complete request; the query string is removed, header names are in lower case."""
 
     method: str
     path: str
@@ -25,10 +25,10 @@
 def read_request(
     connection: h11.Connection, stream: Stream, deadline: float
 ) -> Generator[float | None, None, HttpRequest | Reason]:
-    """Read one complete request, or return why there is none.
+    """Read one complete request, or return the reason if the connection ends first.
 
-    Raises RequestError for one that is too large or not complete at the deadline (loop time), and h11's
-    RemoteProtocolError for bytes that are no HTTP.
+    Raises RequestError if the request is too large or incomplete at the deadline (loop time), and h11's
+    RemoteProtocolError if the bytes are not valid HTTP.
     """
     request: h11.Request | None = None
     body = bytearray()
@@ -53,7 +53,7 @@
 def _receive_data(
     connection: h11.Connection, stream: Stream, deadline: float
 ) -> Generator[float | None, None, Reason | None]:
-    """Pass on what was read, or wait for more; raises RequestError when the deadline is over."""
+    """Pass the bytes read so far to h11, or wait for more; raises RequestError after the deadline."""
     if stream.inbox:
         connection.receive_data(stream.take_inbox())
     elif stream.is_over:
@@ -71,11 +71,11 @@
 def _check_body_length(request: h11.Request) -> None:
     names = {name for name, _ in request.headers}
     if b"content-length" in names and b"transfer-encoding" in names:
-        # The client sent both headers. Two parsers on the way may then disagree on where the body ends, and
-        # one takes the rest of it for another request (request smuggling, RFC 9112 sections 6.1 and 11.2)
+        # With both headers, two parsers on the path may disagree on where the body ends, and one of them may
+        # parse the rest as another request (request smuggling, RFC 9112 sections 6.1 and 11.2)
         raise RequestError(400, "the body has two lengths")
     for name, value in request.headers:
-        if name == b"content-length" and int(value) > MAX_BODY_BYTES:  # h11 has checked that it is a number
+        if name == b"content-length" and int(value) > MAX_BODY_BYTES:  # h11 ensures that it is a number
             raise RequestError(413, "the statement is too long")
 
 
--- a/query_gateway/http/plain_request.py
+++ b/query_gateway/http/plain_request.py
@@ -1,8 +1,7 @@
-"""A fast parser for the one form that nearly all requests have.
+"""A fast path that parses the most common form of request with a regular expression instead of h11.
 
-One regular expression recognises the form, and the state machine of h11 is not run for it. Whatever differs
-from the form (another method, unusual or repeated headers, an incomplete body, more than one request) is left
-to h11.
+Nearly all requests have this form, and for them the cost of h11's state machine is avoided. All other input
+(another method, unusual or repeated headers, an incomplete body, more than one request) is left to h11.
 """
 
 import re
@@ -22,7 +21,7 @@
 
 
 def parse_plain_request(data: bytes | bytearray) -> PlainRequest | None:
-    """The request, if the bytes are exactly one complete request of the plain form."""
+    """Parse the bytes if they are exactly one complete request of the common form; else return None."""
     match = PLAIN_REQUEST.match(data)
     if match is None:
         return None
--- a/query_gateway/http/request_decoding.py
+++ b/query_gateway/http/request_decoding.py
@@ -1,4 +1,4 @@
-"""Decodes a POST's class, headers and body into a `ClientRequest`; knows no connection."""
+"""Decodes the class, headers and body of a POST into a `ClientRequest`, independently of the connection."""
 
 import re
 
@@ -6,7 +6,7 @@
 from query_gateway.forwarder.table_group import table_group
 from query_gateway.model.units import MS
 
-# Of the client's timeout, kept for the transfer of request and response on its HTTP connection
+# The part of the client's timeout that is reserved for the transfer of the request and the response
 RETURN_TRIP_RESERVE_NS = 15 * MS
 MAX_TTL_MS = 3_600_000
 MAX_TTL_DIGITS = 9
@@ -26,16 +26,19 @@
 
 
 class RequestError(Exception):
-    """A request that cannot be accepted: the HTTP status, and as its text what is wrong."""
+    """The request is invalid; carries the HTTP status and the error text of the response."""
 
     def __init__(self, status: int, text: str) -> None:
-        """`text` is sent to the client."""
+        """`text` is sent to the client as the description of the error."""
         super().__init__(text)
         self.status = status
 
 
 def hex_header(headers: dict[str, str], name: str, digits: int, required: bool) -> str | None:
-    """A header of exactly so many lower-case hex digits; raises RequestError for anything else."""
+    """Decode a header of exactly `digits` lower-case hex digits, None if it is optional and absent.
+
+    Raises RequestError if the header is required and absent, or has any other form.
+    """
     value = headers.get(name)
     if value is None and not required:
         return None
@@ -47,7 +50,7 @@
 
 
 def real_header(headers: dict[str, str], name: str, maximum: float) -> float | None:
-    """A header with a number from 0 to `maximum`, None if it is absent; raises RequestError."""
+    """Decode a header with a number from 0 to `maximum`, None if it is absent; raises RequestError."""
     if (value := headers.get(name)) is None:
         return None
     if not REAL_NUMBER.fullmatch(value):
@@ -59,7 +62,7 @@
 
 
 def _ttl_ns(headers: dict[str, str]) -> int:
-    """The time that the client waits, in nanoseconds."""
+    """The client's timeout in nanoseconds; raises RequestError."""
     ttl = headers.get(TTL_HEADER, "")
     if not ttl.isascii() or not ttl.isdigit() or len(ttl) > MAX_TTL_DIGITS or int(ttl) > MAX_TTL_MS:
         raise RequestError(400, f"header {TTL_HEADER} is missing or not a number of milliseconds")
@@ -78,9 +81,9 @@
 def decode_request(
     class_name: str, classes: RequestClasses, headers: dict[str, str], body: bytes, arrived_at: int
 ) -> ClientRequest:
-    """Decode one POST that had come at clock time `arrived_at` (nanoseconds); raises RequestError.
+    """Decode a POST that arrived at clock time `arrived_at` (nanoseconds); raises RequestError.
 
-    `classes` are those that requests may name; header names are in lower case.
+    `classes` are those that requests may address; the names in `headers` are in lower case.
     """
     if class_name not in classes:
         raise RequestError(404, f"class {class_name!r} is unknown")
--- a/query_gateway/http/request_handler.py
+++ b/query_gateway/http/request_handler.py
@@ -1,4 +1,4 @@
-"""One decoded request: checked, classified where statements are read, forwarded, and its answer awaited."""
+"""Handles a decoded request: checks and classifies it, passes it to the forwarder and awaits the answer."""
 
 from collections.abc import Callable, Generator
 from dataclasses import replace
@@ -17,47 +17,48 @@
 if TYPE_CHECKING:
     from query_gateway.parsing.service import Classification, ClassificationRequest, StatementService
 
-MAX_LOOP_LAG_SECONDS = 0.25  # above it new requests are rejected before the forwarder spends time on them
-MAX_DISCARDED_BYTES = 1_048_576  # beyond a full inbox that a client may send ahead of its answer
+MAX_LOOP_LAG_SECONDS = 0.25  # above it new requests are rejected before they cost the forwarder any time
+MAX_DISCARDED_BYTES = 1_048_576  # that a client may send before its answer, in addition to a full inbox
 
 
 class RequestContext(Protocol):
-    """What the handling of a request uses of the server."""
+    """The interface of the server to the request handler."""
 
     loop: Loop
     forwarder: Forwarder
-    statements: "StatementService | None"  # None where statements are not parsed
+    statements: "StatementService | None"  # None if the parsing of statements is off
 
     def draining_for(self, seconds: float = 0.0) -> bool:
-        """Whether draining began, and at least so many seconds ago."""
+        """Whether the server has been draining for at least this time."""
 
 
 def _has_left_after_answer() -> bool:
-    """Stands in for the client once it has its answer: nobody looks for it any more."""
+    """Replaces the check of the client connection once the answer has been given."""
     return True
 
 
 class PendingAnswer:
-    """The client's side of an exchange: holds the answer once it is there."""
+    """The client side of an exchange, as the forwarder's `Client`: stores the answer for the connection."""
 
     def __init__(self, wake: Callable[[], None], has_left: Callable[[], bool]) -> None:
-        """`wake` is called when the answer has come; `has_left` returns whether the client has closed."""
+        """`wake` is called once the answer is set; `has_left` returns whether the client has disconnected."""
         self.wake, self._has_left = wake, has_left
         self.answer: Answer | None = None
 
     def has_left(self) -> bool:
-        """Whether the client has closed its connection."""
+        """Whether the client has disconnected."""
         return self._has_left()
 
     def send_page(self, page: bytes, on_sent: Callable[[], None]) -> None:
-        """Never called: this front takes complete results."""
-        raise NotImplementedError("this front takes complete results")
+        """Never called: the engine client of this wire does not stream results."""
+        raise NotImplementedError("the HTTP front does not support streamed results")
 
     def send_answer(self, answer: Answer) -> None:
-        """Hold the answer and wake the connection that sends it."""
+        """Store the answer and wake the connection, which sends it."""
         self.answer = answer
-        # Exchange and attempts refer to each other and stay until the garbage collector runs. Without a
-        # reference to the connection from here it is freed at its end, and memory does not grow meanwhile
+        # The exchange and its attempts form a reference cycle that lives until the garbage collector runs.
+        # Without a reference from here the connection is freed as soon as it ends, so that memory does not
+        # grow between two runs of the collector
         self._has_left = _has_left_after_answer
         self.wake()
 
@@ -68,56 +69,56 @@
     def __init__(self, server: RequestContext, stream: Stream, wake: Callable[[], None]) -> None:
         """`wake` resumes the coroutine of the connection.
 
-        While it waits the handler reads ahead on `stream`; it neither writes to it nor closes it.
+        While it waits for an answer the handler reads from `stream`; it neither writes to it nor closes it.
         """
         self.server, self.stream, self.wake = server, stream, wake
-        self.discarded_bytes = 0  # sent ahead of an answer, beyond what the inbox holds
-        self.is_over_connection_limit = False  # its requests are rejected
-        self.has_open_request = False  # one has been read, and no response to it was sent
-        self._exchange: Exchange | None = None  # of that request
+        self.discarded_bytes = 0  # read from full inboxes while an answer was pending, and discarded
+        self.is_over_connection_limit = False  # every request on the connection is rejected
+        self.has_open_request = False  # a request has been read, and its response has not been sent
+        self._exchange: Exchange | None = None  # of the open request
 
     def handle(self, request: ClientRequest) -> Generator[float | None, None, Response | Reason]:
-        """The response, or why the connection ends without one; raises RequestError."""
+        """Return the response, or the reason if the connection ends without one; raises RequestError."""
         self._exchange = None
         self._check_id_is_free(request)
         pending = PendingAnswer(self.wake, self._client_has_left)
-        # A client that waited long to be accepted may have left already; an engine would run its request for
-        # nobody. What has arrived is read here, before anything is forwarded, and shows that it has closed
+        # A client that waited long for its connection to be accepted may have disconnected, and an engine
+        # would run the request in vain. Reading what has arrived detects this before the request is forwarded
         self.stream.read_available()
-        if reason := self._rejection_of_all():
+        if reason := self._early_rejection():
             self._reject(request, pending, reason)
         if self.server.statements and pending.answer is None:
             request = yield from self._classify(request, pending, self.server.statements)
-            self._check_id_is_free(request)  # another request may have come with its id meanwhile
+            self._check_id_is_free(request)  # a request with the same id may have arrived meanwhile
         if pending.answer is None:
             self._exchange = self.server.forwarder.accept(request, pending, "web")
         return (yield from self._await_answer(pending))
 
     def abandon(self) -> None:
-        """The client waits for the request's answer no longer."""
+        """Abandon the exchange, as the client no longer waits for its answer."""
         exchange, self._exchange = self._exchange, None
         if exchange:
             exchange.abandon()
 
     def _client_has_left(self) -> bool:
-        """Whether the client has closed; what has come since the last poll is read for that."""
+        """Whether the client has disconnected; first reads what has arrived since the last poll."""
         self.stream.read_available()
         return self.stream.is_over
 
     @property
     def has_sent_too_much(self) -> bool:
-        """Whether the client has sent more than `MAX_DISCARDED_BYTES` ahead of its answer."""
+        """Whether more than `MAX_DISCARDED_BYTES` have been discarded on this connection."""
         return self.discarded_bytes > MAX_DISCARDED_BYTES
 
     def _check_id_is_free(self, request: ClientRequest) -> None:
         if request.client_request_id in self.server.forwarder.open_client_request_ids:
             raise RequestError(409, "a request with this id is open")
 
-    def _rejection_of_all(self) -> EarlyRejection | None:
-        """Why every new request is rejected at once, if so.
+    def _early_rejection(self) -> EarlyRejection | None:
+        """The cause for which any new request is currently rejected, or None.
 
-        A loop that lags would answer all requests late if it accepted more. Clients that keep sending while
-        the gateway drains, or until the process ends, would never let their connections become idle.
+        If a lagging loop accepted more requests, it would answer all of them late. Clients that keep sending
+        while the gateway drains or the process stops would prevent their connections from becoming idle.
         """
         server = self.server
         if server.loop.lag() > MAX_LOOP_LAG_SECONDS:
@@ -129,7 +130,7 @@
         return EarlyRejection.CONNECTION_LIMIT if self.is_over_connection_limit else None
 
     def _reject(self, request: ClientRequest, pending: PendingAnswer, reason: EarlyRejection) -> None:
-        """Reject before the forwarder knows of the request."""
+        """Reject a request that the forwarder has not accepted."""
         forwarder = self.server.forwarder
         answer = forwarder.reject_unaccepted(request.client_request_id, request.class_name, reason)
         pending.send_answer(answer)
@@ -137,16 +138,17 @@
     def _classify(
         self, request: ClientRequest, pending: PendingAnswer, statements: "StatementService"
     ) -> Generator[float | None, None, ClientRequest]:
-        """Raise RequestError for a write under a class whose requests may run twice.
+        """Return the request with the fingerprint of its statement; its class and key do not change.
 
-        Otherwise the class and the key stay as the request names them; the shape of the statement is added.
+        Raises RequestError for a write under a class whose requests may run twice. If the statement cannot
+        be classified, or its shape is at its limit, the request is rejected through `pending`.
         """
         if request.class_name not in statements.classifier.idempotent_classes:
             return request
         results: list[Classification] = []
 
         def on_classified(result: "Classification") -> None:
-            """Keep the result and resume; it may come at once or after a full parse."""
+            """Store the result and resume; called within `classify` or later, after a full parse."""
             results.append(result)
             self.wake()
 
@@ -177,13 +179,14 @@
                 self.abandon()
                 return failure_response(413, "too much was sent ahead") if sent_too_much else Reason.ABANDONED
             yield None
-        self._exchange = None  # the exchange refers to this handler: a cycle, freed by the collector alone
+        self._exchange = None  # breaks a reference cycle, which only the garbage collector would free
         return response_to(pending.answer)
 
     def _discard_excess_input(self) -> bool:
-        """Empty a full inbox, as nothing is read behind it and a client that left would not be noticed.
+        """Discard a full inbox: reading pauses while it is full, which would hide a client's disconnect.
 
-        The connection then ends with its answer, or at once if the client has sent too much: True.
+        The connection then closes after its answer. Returns True if the client has exceeded
+        `MAX_DISCARDED_BYTES`, so that the connection is to be closed at once.
         """
         if self.stream.read_paused:
             self.discarded_bytes += len(self.stream.take_inbox())
--- a/query_gateway/http/responses.py
+++ b/query_gateway/http/responses.py
@@ -1,4 +1,4 @@
-"""Responses as status, JSON body and headers, and their encoding with and without h11."""
+"""Responses as a status, a JSON body and headers, and their encoding with or without h11."""
 
 import http
 import json
@@ -12,8 +12,8 @@
 ROW_END = "\n"
 JSON_HEADER = ("Content-Type", "application/json")
 CLOSE_HEADER = ("Connection", "close")
-# The platform's name of Retry-After, in milliseconds. Every rejection has it; 0 tells the client that it may
-# come back at once
+# The platform's counterpart of Retry-After, in milliseconds. Every rejection has it; 0 permits an immediate
+# retry
 RETRY_AFTER_HEADER = "X-Throttle-Ms"
 
 Headers = list[tuple[str, str]]
@@ -21,7 +21,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Response:
-    """What is sent for one request; `body` is encoded as JSON."""
+    """The response to one request; `body` is encoded as JSON."""
 
     status: int
     body: object
@@ -29,14 +29,14 @@
 
 
 def failure_response(status: int, failure: str) -> Response:
-    """A response without a result: the platform's JSON names the failure."""
+    """Create an error response in the platform's JSON form."""
     return Response(status, {"failure": failure})
 
 
 def decode_rows(pages: tuple[bytes, ...]) -> list[list[str]]:
-    """Rows of an engine's pages: columns separated by tabs, each row ended by a line feed.
+    """Decode result pages into rows: columns are separated by tabs, each row ends with a line feed.
 
-    Raises ValueError where a page ends within a row or is not UTF-8.
+    Raises ValueError if a page ends within a row or is not UTF-8.
     """
     rows: list[list[str]] = []
     for page in pages:
@@ -48,7 +48,7 @@
 
 
 def response_to(answer: Answer) -> Response:
-    """The response that carries the forwarder's final answer."""
+    """Convert the forwarder's final answer into a response."""
     if answer.verdict is Verdict.REJECTED:
         return Response(429, {"failure": "Overloaded"}, ((RETRY_AFTER_HEADER, str(answer.retry_after_ms)),))
     if answer.verdict is Verdict.FAILED:
@@ -69,7 +69,7 @@
 
 
 def encode_plain_response(response: Response, closing: bool) -> bytes:
-    """The response to a request that h11 did not read; `closing`: the connection ends with it."""
+    """Encode the response to a request that h11 has not parsed; `closing` adds `Connection: close`."""
     headers, body = _headers_and_body(response, closing)
     lines = "".join(f"{name}: {value}\r\n" for name, value in headers)
     phrase = http.HTTPStatus(response.status).phrase
@@ -79,9 +79,9 @@
 def encode_h11_response(
     connection: h11.Connection, response: Response, closing: bool, with_body: bool = True
 ) -> bytes:
-    """The response to the request that the h11 connection has read; its state moves on with it.
+    """Encode the response to the request that the h11 connection has parsed, and advance its state.
 
-    `with_body` is False for the response to a HEAD, which has the headers alone (RFC 9110 section 9.3.2).
+    `with_body` is False for the response to a HEAD, which has no body (RFC 9110 section 9.3.2).
     """
     headers, body = _headers_and_body(response, closing)
     data = connection.send(h11.Response(status_code=response.status, headers=headers)) or b""
--- a/query_gateway/http/routing.py
+++ b/query_gateway/http/routing.py
@@ -1,4 +1,4 @@
-"""Which request class a request addresses, by its path and method; answers those for the liveness path."""
+"""Routes requests by path and method: to a request class, or to the liveness path."""
 
 from query_gateway.http.h11_request import HttpRequest
 from query_gateway.http.request_decoding import RequestError
@@ -9,9 +9,10 @@
 
 
 def liveness_response(request: HttpRequest, is_ready: bool) -> Response | None:
-    """The response to a request for the liveness path, None for any other path.
+    """The response to a request for the liveness path, or None for any other path.
 
-    `is_ready`: whether the gateway accepts requests. Raises RequestError for an unsupported method.
+    `is_ready` is whether clients should send requests to this gateway. Raises RequestError for an
+    unsupported method.
     """
     if request.path != LIVENESS_PATH:
         return None
@@ -23,7 +24,7 @@
 def addressed_class_name(request: HttpRequest) -> str:
     """The name of the request class that a POST addresses; raises RequestError for any other request.
 
-    Whether the class exists is for the decoding to find out.
+    `decode_request` checks that the class exists.
     """
     prefix, _, class_name = request.path.rpartition("/")
     if prefix != SERVICE_PREFIX:
--- a/query_gateway/http/server.py
+++ b/query_gateway/http/server.py
@@ -1,4 +1,4 @@
-"""The HTTP server: the table of client connections, eviction at its limit, draining, and hot upgrades."""
+"""The HTTP server: client connections and their limit, eviction, draining and transfer in a hot upgrade."""
 
 import socket
 from dataclasses import dataclass
@@ -16,36 +16,36 @@
 if TYPE_CHECKING:
     from query_gateway.parsing.service import StatementService
 
-MAX_OVERFLOW_CONNECTIONS = 16  # beyond the limit; their requests are rejected
-MAX_EVICTION_CANDIDATES = 8  # connections of a table that are examined to find one to evict
+MAX_OVERFLOW_CONNECTIONS = 16  # accepted beyond the limit; their requests are rejected
+MAX_EVICTION_CANDIDATES = 8  # connections examined per table to find one to evict
 
 
 @dataclass(slots=True, frozen=True)
 class HttpServerOptions:
-    """What the composition root decides about the server."""
+    """The options of the server, which the composition root sets."""
 
     address: tuple[str, int]
-    classes: RequestClasses  # those that requests may name at the start
+    classes: RequestClasses  # the initial value of `HttpServer.classes`
     max_connections: int
     readiness: Readiness
-    shared: bool = False  # other processes may listen at the same address
+    shared: bool = False  # other processes may listen on the same address
     inherited_socket: socket.socket | None = None  # the predecessor's listening socket
     statements: "StatementService | None" = None  # rejects writes under classes whose requests may run twice
 
 
 class HttpServer:
-    """Accepts client connections; owns them and their listener. Later settings may replace `classes`."""
+    """Accepts client connections; owns them and their listener. A settings update may replace `classes`."""
 
     def __init__(self, loop: Loop, forwarder: Forwarder, options: HttpServerOptions) -> None:
-        """Listen; raises OSError if the address cannot be used."""
+        """Start to listen; raises OSError if the address cannot be used."""
         self.loop, self.forwarder, self.classes = loop, forwarder, options.classes
         self.statements = options.statements
         self.max_connections = options.max_connections
         self.readiness = options.readiness
         self.transfer: IdleTransfer | None = None  # set while idle connections are transferred
         self.connections: dict[HttpConnection, None] = {}
-        self.without_request: dict[HttpConnection, None] = {}  # no complete request came yet, oldest first
-        self.idle: dict[HttpConnection, None] = {}  # between two requests, longest idle first
+        self.awaiting_first_request: dict[HttpConnection, None] = {}  # no complete request yet; oldest first
+        self.idle: dict[HttpConnection, None] = {}  # between two requests; longest idle first
         self.closing = False
         self.draining_since: float | None = None  # loop time
         self.readiness.watchers.append(self._on_readiness_changed)
@@ -54,7 +54,7 @@
         )
 
     def draining_for(self, seconds: float = 0.0) -> bool:
-        """Whether draining began, and at least so many seconds ago."""
+        """Whether the server has been draining for at least this time."""
         return self.draining_since is not None and self.loop.now() >= self.draining_since + seconds
 
     def _on_readiness_changed(self) -> None:
@@ -69,12 +69,13 @@
             connection.task.wake()
 
     def add_connection(self, sock: socket.socket, peer: str, has_sent_request: bool = False) -> None:
-        """Serve a connection that was accepted here, or by the predecessor (`has_sent_request` of it).
+        """Serve a connection that was accepted here or transferred by the predecessor.
 
-        The limit keeps descriptors for connections to engines. At the limit the connection that has been
-        without a request or idle for longest is evicted, so that many clients that send nothing cannot keep
-        others out. Where all have open requests a few more are accepted, whose requests are rejected; those
-        beyond them are closed unread.
+        `has_sent_request` is set for a transferred connection that has had a complete request. The limit
+        reserves descriptors for connections to engines. At the limit the connection that has waited longest
+        for its first or next request is evicted, so that clients that send nothing cannot lock out others. If
+        every connection has an open request, `MAX_OVERFLOW_CONNECTIONS` more are accepted, whose requests are
+        rejected; any further ones are closed unread.
         """
         if len(self.connections) >= self.max_connections:
             self.evict()
@@ -87,7 +88,7 @@
         self.connections[connection] = None
 
     def evict(self) -> bool:
-        """End the connection that is needed least, if any may be ended; whether one was."""
+        """Close the connection that is least in use, if any may be evicted; return whether one was."""
         candidate = self._eviction_candidate()
         if candidate is None:
             return False
@@ -97,10 +98,10 @@
     def _eviction_candidate(self) -> HttpConnection | None:
         """The oldest without a byte, else the longest idle, else the oldest with an incomplete first request.
 
-        For the first two, what has arrived is read first: a connection on which a request has come is not
-        evicted as a silent one.
+        The first two cases read what has arrived before they judge a connection, so that one whose request
+        has arrived but has not been read is not evicted as inactive.
         """
-        for connection in islice(self.without_request, MAX_EVICTION_CANDIDATES):
+        for connection in islice(self.awaiting_first_request, MAX_EVICTION_CANDIDATES):
             connection.stream.read_available()
             if not connection.stream.arrivals.received:
                 return connection
@@ -108,23 +109,23 @@
             connection.stream.read_available()
             if not connection.stream.inbox:
                 return connection
-        begun = (connection for connection in self.without_request if not connection.stream.inbox)
-        return next(begun, None)
+        incomplete = (connection for connection in self.awaiting_first_request if not connection.stream.inbox)
+        return next(incomplete, None)
 
     def start_transfer(self, transfer: IdleTransfer | None) -> None:
-        """Transfer connections that are or become idle; with None close them, as in a plain shutdown."""
+        """Transfer connections once they are idle; with None close them instead, as in a plain shutdown."""
         self.transfer = transfer
         if transfer is None:
             self.closing = True
         self._wake_connections()
 
     def close(self) -> None:
-        """Accept what waits and then no more, and close connections without an open request."""
+        """Accept the pending connections, stop listening, and close connections without an open request."""
         self.closing = True
         self.listener.close()
         self._wake_connections()
 
     @property
     def is_idle(self) -> bool:
-        """Whether no connection is left."""
+        """Whether no connection is open."""
         return not self.connections
