--- a/query_gateway/planner/process.py
+++ b/query_gateway/planner/process.py
@@ -209,7 +209,7 @@
         try:
             actions = self.planner.decide()
         except Exception as error:
-            log("planner", f"decision module raised an error, planner process exits: {error!r}")
+            log("planner", f"a planner broke and ends: {error!r}")
             raise SystemExit(1) from error
         for action in actions:
             self._send_action(action)
