--- a/query_gateway/statements/limits.py
+++ b/query_gateway/statements/limits.py
@@ -2,7 +2,7 @@
 
     unlimited --harm--> limited to INITIAL_LIMIT --harm--> half as many, 1 at least
     limited --SUCCESSES_PER_STEP successes in a row--> one more --UNLIMITED_FROM reached--> unlimited
-    limited --FORGET_AFTER_NS without harm--> unlimited
+    limited --LIMIT_EXPIRY_NS without harm--> unlimited
 
 Harm is an attempt that spilled, ran many times longer than usual, or was the last of failures on several
 engines in a row. An engine may fail by itself, so its failures count once. The scheduler alone chooses
@@ -13,13 +13,13 @@
 from typing import NamedTuple
 
 SECOND_NS = 1_000_000_000
-ENGINES = 3  # different ones that a shape fails on in a row before it is limited
+FAILED_ENGINES_TO_LIMIT = 3  # different ones that a shape fails on in a row before it is limited
 RUNAWAY_FACTOR = 8.0  # times its usual run time
 MIN_RUNAWAY_NS = SECOND_NS  # a shorter attempt is no runaway
 INITIAL_LIMIT = 4  # at once, at first
 SUCCESSES_PER_STEP = 5  # attempts in a row that succeed, for one more at once
 UNLIMITED_FROM = 16  # at once: from here on it is unlimited again
-FORGET_AFTER_NS = 300 * SECOND_NS  # without harm until the limit is lifted
+LIMIT_EXPIRY_NS = 300 * SECOND_NS  # without harm until the limit is lifted
 MAX_RECORDS = 512  # shapes limited or watched
 
 
@@ -59,7 +59,7 @@
         record = self.records.get(fingerprint)
         if record is None or not record.max_concurrent:
             return ""
-        if now - record.last_harm_at > FORGET_AFTER_NS:
+        if now - record.last_harm_at > LIMIT_EXPIRY_NS:
             del self.records[fingerprint]
             return ""
         if self.running.get(fingerprint, 0) < record.max_concurrent:
@@ -107,7 +107,7 @@
         record = self._record(fingerprint)
         record.failed_engines.add(engine)
         record.successes = 0
-        if len(record.failed_engines) >= ENGINES:
+        if len(record.failed_engines) >= FAILED_ENGINES_TO_LIMIT:
             engines = len(record.failed_engines)
             record.failed_engines.clear()
             self._harm(fingerprint, now, f"failed on {engines} engines in a row")
--- a/query_gateway/statements/purity.py
+++ b/query_gateway/statements/purity.py
@@ -31,7 +31,7 @@
 """)
 
 # Names of functions and of what databases give several names; the operator's file adds its own
-FUNCTIONS = words("""
+PURE_FUNCTIONS = words("""
     abs acos acosd age any_value approx_count_distinct approx_distinct approx_percentile arg_max arg_min
     array array_agg array_append array_cat array_concat array_contains array_distinct array_join
     array_length array_lower array_max array_min array_position array_prepend array_remove array_sort
--- a/query_gateway/statements/reader.py
+++ b/query_gateway/statements/reader.py
@@ -45,7 +45,7 @@
         self.rules = rules
         self.dialect = "" if rules.dialect == "ansi" else rules.dialect
         pure = {name.casefold() for name in rules.pure}
-        self.pure = purity.FUNCTIONS | {name for name in pure if "." not in name}
+        self.pure = purity.PURE_FUNCTIONS | {name for name in pure if "." not in name}
         self.pure_in_loads = self.pure | purity.LOAD_FUNCTIONS
         self.qualified = {name for name in pure if "." in name}
 
--- a/query_gateway/statements/sketch.py
+++ b/query_gateway/statements/sketch.py
@@ -6,7 +6,7 @@
 
 
 class CountMin:
-    """Four rows of one-byte counters up to MAX_COUNT; after `sample` additions every counter is halved.
+    """Four rows of one-byte counters up to MAX_COUNT, halved after `halving_threshold` additions.
 
     Takes 4 bytes for each slot, however many keys it counts. Apart from the halving an estimate is never too
     low. Keys are digests of 16 bytes, which are evenly spread already, so their parts serve as the rows'
@@ -20,7 +20,7 @@
         self.width = 1 << max(4, (capacity - 1).bit_length())
         self.mask = self.width - 1
         self.rows = [bytearray(self.width) for _ in range(ROWS)]
-        self.sample = SAMPLE_PER_ITEM * capacity
+        self.halving_threshold = SAMPLE_PER_ITEM * capacity
         self.added = 0
 
     def add(self, key: bytes) -> None:
@@ -41,7 +41,7 @@
             if row3[slot3] == least:
                 row3[slot3] += 1
         self.added += 1
-        if self.added >= self.sample:
+        if self.added >= self.halving_threshold:
             self.added >>= 1
             self.rows = [row.translate(self._halved) for row in self.rows]
 
--- a/tests/test_statements_cache.py
+++ b/tests/test_statements_cache.py
@@ -97,7 +97,7 @@
             sketch.add(digest(n))
     assert all(sketch.count(digest(n)) >= n % 10 for n in range(200))
     assert sum(sketch.count(digest(n)) > n % 10 for n in range(200)) < 10
-    for n in range(sketch.sample):
+    for n in range(sketch.halving_threshold):
         sketch.add(digest(f"x{n}"))
     assert sketch.count(digest(9)) <= 5
 
--- a/tests/test_statements_costs.py
+++ b/tests/test_statements_costs.py
@@ -8,9 +8,9 @@
 from bench.statement_workloads import run_time
 from query_gateway.statements.costs import BUCKETS, MAX_TOTAL, MIN_OUTCOMES, CostEstimates, Histogram
 from query_gateway.statements.limits import (
-    ENGINES,
-    FORGET_AFTER_NS,
+    FAILED_ENGINES_TO_LIMIT,
     INITIAL_LIMIT,
+    LIMIT_EXPIRY_NS,
     SUCCESSES_PER_STEP,
     UNLIMITED_FROM,
     ShapeLimits,
@@ -164,7 +164,7 @@
     for engine in ("e2", "e3"):
         limits.attempt_failed(digest(1), engine, 0)
     assert taken(limits, 50) == INITIAL_LIMIT
-    assert f"failed on {ENGINES} engines" in limits.records[digest(1)].reason
+    assert f"failed on {FAILED_ENGINES_TO_LIMIT} engines" in limits.records[digest(1)].reason
 
 
 def test_a_run_that_ends_well_between_failures_clears_them() -> None:
@@ -186,7 +186,7 @@
 def test_harm_long_past_is_forgotten_and_the_table_is_bounded() -> None:
     limits = ShapeLimits(capacity=8)
     limits.attempt_spilled(digest(1), 0)
-    assert taken(limits, 50, FORGET_AFTER_NS + 1) == 50
+    assert taken(limits, 50, LIMIT_EXPIRY_NS + 1) == 50
     for n in range(100):
         limits.attempt_spilled(digest(n), n)
         limits.attempt_failed(digest(f"x{n}"), "e1", n)
--- a/tests/test_statements_postgres.py
+++ b/tests/test_statements_postgres.py
@@ -65,7 +65,7 @@
         visitor = Effects()
         visitor(raw)
         found += visitor.writes
-        known = purity.FUNCTIONS | SYNTAX
+        known = purity.PURE_FUNCTIONS | SYNTAX
         found += [call for call in visitor.calls if call.removeprefix("pg_catalog.") not in known]
     return found
 
