--- a/query_gateway/statements/cache.py
+++ b/query_gateway/statements/cache.py
@@ -1,9 +1,9 @@
-"""A bounded cache that a flood of entries used once cannot flush: W-TinyLFU.
+"""W-TinyLFU: a bounded cache that resists pollution by entries that are used only once.
 
-New entries come into a small window in least-recently-used order. An entry that leaves the window enters the
-main part only if it was seen more often, by a count-min sketch, than the entry that would be evicted for it.
-The main part has two segments in least-recently-used order: an entry on probation that is used again is
-protected.
+New entries enter a small window in least-recently-used order. An entry that leaves the window is admitted to
+the main part only if a count-min sketch has seen it more often than the entry that would be evicted for it.
+The main part has two segments in least-recently-used order: an entry on probation that is used again moves
+to the protected segment.
 """
 
 from typing import Generic, TypeVar
@@ -17,16 +17,16 @@
 class Cache(Generic[Value]):
     """At most `capacity` entries by digest.
 
-    Dicts keep their order, so the first key of each segment is the least recently used one.
+    Dicts keep insertion order, so the first key of each segment is the least recently used one.
     """
 
     def __init__(self, capacity: int, window_share: float = 0.01, protected_share: float = 0.8) -> None:
-        """`window_share` is of `capacity`, `protected_share` of the main part.
+        """`window_share` is a fraction of `capacity`, `protected_share` a fraction of the main part.
 
         Raises ValueError for a capacity below MIN_CAPACITY.
         """
         if capacity < MIN_CAPACITY:
-            raise ValueError(f"a cache needs a capacity of {MIN_CAPACITY} at least, not {capacity}")
+            raise ValueError(f"cache capacity must be at least {MIN_CAPACITY}, got {capacity}")
         self.capacity = capacity
         self.window_capacity = max(1, int(capacity * window_share))
         self.main_capacity = capacity - self.window_capacity
@@ -38,11 +38,11 @@
         self.hits = self.misses = 0
 
     def __len__(self) -> int:
-        """The number of entries in all segments."""
+        """Returns the number of entries in all segments."""
         return len(self.window) + len(self.probation) + len(self.protected)
 
     def get(self, digest: bytes) -> Value | None:
-        """The entry, which counts as a use; None if there is none."""
+        """Returns the entry and counts a use; None if there is none."""
         self.sketch.add(digest)
         if (found := self.protected.pop(digest, None)) is not None:
             self.protected[digest] = found
@@ -60,14 +60,14 @@
         return found
 
     def peek(self, digest: bytes) -> Value | None:
-        """The entry without counting it as a use; None if there is none."""
+        """Returns the entry without counting a use; None if there is none."""
         for segment in (self.protected, self.probation, self.window):
             if (found := segment.get(digest)) is not None:
                 return found
         return None
 
     def put(self, digest: bytes, value: Value) -> bytes | None:
-        """Add or replace an entry; returns the digest that was evicted for it, if one was."""
+        """Adds or replaces an entry; returns the digest that was evicted for it, if any."""
         for segment in (self.protected, self.probation, self.window):
             if digest in segment:
                 segment[digest] = value
@@ -78,7 +78,7 @@
         return self._evict_from_window()
 
     def _evict_from_window(self) -> bytes | None:
-        """Move the window's oldest entry to the main part, or evict one; returns the evicted digest."""
+        """Moves the window's oldest entry to the main part or evicts an entry; returns the evicted digest."""
         candidate = next(iter(self.window))
         value = self.window.pop(candidate)
         if len(self.probation) + len(self.protected) < self.main_capacity:
@@ -93,5 +93,5 @@
         return victim
 
     def clear(self) -> None:
-        """Remove all entries; how often they were seen stays counted."""
+        """Removes all entries; the frequency sketch is kept."""
         self.window, self.probation, self.protected = {}, {}, {}
--- a/query_gateway/statements/costs.py
+++ b/query_gateway/statements/costs.py
@@ -1,7 +1,8 @@
-"""Cost estimates, learned from outcomes: by shape, else by table group and class, else by class.
+"""Cost estimates learned from outcomes, with fallback from shape to table group and class, then to class.
 
-Each is a small histogram with buckets in equal ratios. Its counts are halved when their sum reaches
-MAX_TOTAL, so old outcomes fade, and a shape that becomes slow is followed within that number of outcomes.
+Each estimate is a small histogram with buckets of logarithmic width. Its counts are halved when their sum
+reaches MAX_TOTAL, so old outcomes lose weight, and the estimate follows a shape that becomes slow within that
+number of outcomes.
 """
 
 import math
@@ -10,29 +11,29 @@
 
 from query_gateway.statements.sketch import CountMin
 
-BUCKET_RATIO = 1.35  # between the bounds of a bucket
+BUCKET_RATIO = 1.35  # upper bound of a bucket divided by its lower bound
 FIRST_BOUND_NS = 1e5  # lower bound of the first bucket
-BUCKETS = 64  # the upper bound of the last one is 6 hours
-MAX_TOTAL = 48  # outcomes after which the counts halve
-MIN_OUTCOMES = 5  # until a histogram is used
-JUMP_LENGTH = 6  # outcomes in a row on one side, far from the estimate, after which earlier ones count less
-JUMP_FACTOR = 2.0  # times the estimate, or the estimate divided by it: far
-JUMP_DIVISOR = 8  # of the counts after such a jump
-MEMORY_QUANTILE = 0.8  # above the median: too little memory makes a query spill
+BUCKETS = 64  # the last one ends at 6 hours
+MAX_TOTAL = 48  # sum of the counts at which they are halved
+MIN_OUTCOMES = 5  # in a histogram before its estimate is used
+SHIFT_OUTCOMES = 6  # consecutive outliers on one side of the estimate before the counts are reduced
+OUTLIER_FACTOR = 2.0  # an outlier is above the estimate times this, or below the estimate divided by it
+SHIFT_DIVISOR = 8  # by which the counts are divided after a level shift
+MEMORY_QUANTILE = 0.8  # above the median, as a query with too little memory spills
 FINGERPRINT_BYTES = 16
 MAX_SNAPSHOT_ENTRIES = 2_048  # of each table
-MAX_CLASS_NAME_LENGTH = 200  # characters of a name from a snapshot; longer ones are cut
+MAX_CLASS_NAME_LENGTH = 200  # characters of a name in a snapshot; longer ones are truncated
 _LOG_RATIO = math.log(BUCKET_RATIO)
 _LOG_FIRST = math.log(FIRST_BOUND_NS)
-_halved = bytes(count >> 1 for count in range(256))
+_halving_table = bytes(count >> 1 for count in range(256))
 
-# Keys of the stored snapshot, which other versions read and write as well
+# Keys of the stored snapshot, which other versions of the gateway also read and write
 VERSION = 1
 VERSION_KEY, SHAPES_KEY, MEMORY_KEY, FALLBACKS_KEY = "version", "shapes", "needs", "coarse"
 
 
 class Histogram:
-    """Counts of values by bucket; old ones fade."""
+    """Counts of values by bucket, in which old values lose weight."""
 
     __slots__ = ("counts", "total", "streak")
 
@@ -40,34 +41,34 @@
         """`counts`: one byte for each bucket."""
         self.counts = bytearray(counts)
         self.total = sum(counts)
-        self.streak = 0  # outcomes in a row above (+) or below (-) the estimate by JUMP_FACTOR
+        self.streak = 0  # consecutive outliers above (+) or below (-) the estimate
 
     def add(self, value: float) -> None:
-        """Count a positive number in the histogram's unit (nanoseconds, or MB times FIRST_BOUND_NS)."""
+        """Adds a positive value in the histogram's unit (nanoseconds, or MB times FIRST_BOUND_NS)."""
         bucket = int((math.log(max(value, 1.0)) - _LOG_FIRST) / _LOG_RATIO)
-        self._follow_jump(value)
+        self._detect_level_shift(value)
         self.counts[min(BUCKETS - 1, max(0, bucket))] += 1
         self.total += 1
         if self.total >= MAX_TOTAL:
-            self.counts = self.counts.translate(_halved)
+            self.counts = self.counts.translate(_halving_table)
             self.total = sum(self.counts)
 
-    def _follow_jump(self, value: float) -> None:
-        """Reduce the counts once values have moved far from the estimate and stay there."""
-        usual = self.quantile(0.5)
-        if usual and value > usual * JUMP_FACTOR:
+    def _detect_level_shift(self, value: float) -> None:
+        """Reduces the counts after a level shift: SHIFT_OUTCOMES consecutive outliers on one side."""
+        median = self.quantile(0.5)
+        if median and value > median * OUTLIER_FACTOR:
             self.streak = max(1, self.streak + 1)
-        elif usual and value * JUMP_FACTOR < usual:
+        elif median and value * OUTLIER_FACTOR < median:
             self.streak = min(-1, self.streak - 1)
         else:
             self.streak = 0
-        if abs(self.streak) >= JUMP_LENGTH:  # a mix of slow and fast outcomes changes sides earlier
-            self.counts = bytearray(count // JUMP_DIVISOR for count in self.counts)
+        if abs(self.streak) >= SHIFT_OUTCOMES:  # a mix of slow and fast outcomes resets the streak first
+            self.counts = bytearray(count // SHIFT_DIVISOR for count in self.counts)
             self.total = sum(self.counts)
             self.streak = 0
 
     def quantile(self, share: float) -> float:
-        """The value below which that share lies, interpolated within its bucket; 0.0 without outcomes."""
+        """Returns the quantile, interpolated within its bucket; 0.0 if there are no outcomes."""
         if not self.total:
             return 0.0
         remaining = share * self.total
@@ -78,17 +79,17 @@
         return math.exp(_LOG_FIRST + _LOG_RATIO * BUCKETS)
 
 
-FallbackKey = tuple[str, int | None]  # class name; table group, None: of the whole class
+FallbackKey = tuple[str, int | None]  # class name and table group; None: the whole class
 
 
 class CostEstimates:
     """Estimates of run time and memory for `capacity` shapes and `max_groups` pairs of class and table group.
 
-    A full table drops the least recently used shape, unless the new one was seen less often.
+    A full table evicts the least recently used shape, unless the new one was seen less often.
     """
 
     def __init__(self, capacity: int = 10_000, max_groups: int = 1_024) -> None:
-        """Begin without estimates."""
+        """Starts without estimates; `capacity` and `max_groups` bound the tables."""
         self.capacity, self.max_groups = capacity, max_groups
         self.shapes: dict[bytes, Histogram] = {}
         self.memory: dict[bytes, Histogram] = {}
@@ -103,7 +104,7 @@
         run_time_ns: int,
         memory_mb: float = 0.0,
     ) -> None:
-        """An attempt has succeeded after `run_time_ns` of work."""
+        """Records a successful attempt that took `run_time_ns` of work."""
         self.seen.add(fingerprint)
         if histogram := self._histogram_of(self.shapes, fingerprint):
             histogram.add(run_time_ns)
@@ -117,21 +118,21 @@
             del self.fallbacks[next(iter(self.fallbacks))]
 
     def _histogram_of(self, table: dict[bytes, Histogram], fingerprint: bytes) -> Histogram | None:
-        """The shape's histogram, new if there is none; None if a full table's oldest shape is seen more."""
+        """Returns or creates the histogram; None if a full table's oldest shape was seen more often."""
         if histogram := table.pop(fingerprint, None):
             table[fingerprint] = histogram
             return histogram
         if len(table) >= self.capacity:
             oldest = next(iter(table))
             if self.seen.count(oldest) > self.seen.count(fingerprint):
-                table[oldest] = table.pop(oldest)  # to the end: the next shape is compared with another one
+                table[oldest] = table.pop(oldest)  # to the end: the next new shape competes with another
                 return None
             del table[oldest]
         table[fingerprint] = Histogram()
         return table[fingerprint]
 
     def cost_ns(self, fingerprint: bytes, class_name: str, table_group: int | None) -> int | None:
-        """The usual run time; None if there are too few outcomes of its shape, group and class."""
+        """Returns the median run time; None if shape, group and class all have too few outcomes."""
         candidates = (
             self.shapes.get(fingerprint),
             self.fallbacks.get((class_name, table_group)),
@@ -143,16 +144,16 @@
         return None
 
     def memory_mb(self, fingerprint: bytes) -> float:
-        """Memory that most of its queries needed; 0.0 if there are too few outcomes."""
+        """Returns the memory at MEMORY_QUANTILE of the shape; 0.0 if there are too few outcomes."""
         histogram = self.memory.get(fingerprint)
         if histogram is None or histogram.total < MIN_OUTCOMES:
             return 0.0
         return histogram.quantile(MEMORY_QUANTILE) / FIRST_BOUND_NS
 
-    # ---- for a restart or a successor
+    # ---- snapshots for a restart or a successor
 
     def snapshot(self, max_entries: int = MAX_SNAPSHOT_ENTRIES) -> dict[str, Any]:
-        """The most recently used shapes as JSON values; `max_entries` of each table."""
+        """Returns the most recently used entries as JSON values; at most `max_entries` of each table."""
         fallbacks = [
             [class_name, table_group, bytes(histogram.counts).hex()]
             for (class_name, table_group), histogram in list(self.fallbacks.items())[-max_entries:]
@@ -165,7 +166,7 @@
         }
 
     def restore(self, raw: Any) -> bool:
-        """Replace the estimates by a snapshot's. Returns False and changes nothing if any part is invalid."""
+        """Replaces the estimates by a snapshot's. Returns False, without changes, if any part is invalid."""
         try:
             if raw[VERSION_KEY] != VERSION:
                 return False
@@ -181,8 +182,8 @@
 
 
 def _encode_table(table: dict[bytes, Histogram], max_entries: int) -> dict[str, str]:
-    latest = list(table.items())[-max_entries:]
-    return {fingerprint.hex(): bytes(histogram.counts).hex() for fingerprint, histogram in latest}
+    most_recent = list(table.items())[-max_entries:]
+    return {fingerprint.hex(): bytes(histogram.counts).hex() for fingerprint, histogram in most_recent}
 
 
 def _decode_table(raw: Mapping[str, str], max_entries: int) -> dict[bytes, Histogram]:
@@ -190,7 +191,7 @@
     for name, counts in list(raw.items())[-max_entries:]:
         fingerprint = bytes.fromhex(name)
         if len(fingerprint) != FINGERPRINT_BYTES:
-            raise ValueError(f"a fingerprint has {FINGERPRINT_BYTES} bytes, not {len(fingerprint)}")
+            raise ValueError(f"fingerprint must have {FINGERPRINT_BYTES} bytes, got {len(fingerprint)}")
         table[fingerprint] = _decode_histogram(counts)
     return table
 
@@ -199,9 +200,9 @@
     fallbacks: dict[FallbackKey, Histogram] = {}
     for class_name, table_group, counts in raw:
         if not isinstance(class_name, str):
-            raise ValueError(f"a class name is a text, not {class_name!r}")
+            raise ValueError(f"class name must be a string, got {class_name!r}")
         if table_group is not None and type(table_group) is not int:
-            raise ValueError(f"a table group is a whole number, not {table_group!r}")
+            raise ValueError(f"table group must be an integer, got {table_group!r}")
         fallbacks[class_name[:MAX_CLASS_NAME_LENGTH], table_group] = _decode_histogram(counts)
     return fallbacks
 
@@ -209,5 +210,5 @@
 def _decode_histogram(raw: str) -> Histogram:
     counts = bytes.fromhex(raw)
     if len(counts) != BUCKETS or sum(counts) > MAX_TOTAL:
-        raise ValueError(f"a histogram has {BUCKETS} counts of {MAX_TOTAL} in all at most")
+        raise ValueError(f"histogram must have {BUCKETS} counts with a sum of at most {MAX_TOTAL}")
     return Histogram(counts)
--- a/query_gateway/statements/limits.py
+++ b/query_gateway/statements/limits.py
@@ -1,65 +1,65 @@
-"""How many queries of a shape may run at once after it has done harm.
+"""Concurrency limits on query shapes that caused incidents.
 
-    unlimited --harm--> limited to INITIAL_LIMIT --harm--> half as many, 1 at least
-    limited --SUCCESSES_PER_STEP successes in a row--> one more --UNLIMITED_FROM reached--> unlimited
-    limited --LIMIT_EXPIRY_NS without harm--> unlimited
+    unlimited --incident--> limited to INITIAL_LIMIT --incident--> limit halved, at least 1
+    limited --SUCCESSES_PER_STEP consecutive successes--> limit + 1 --UNLIMITED_FROM reached--> unlimited
+    limited --LIMIT_EXPIRY_NS without an incident--> unlimited
 
-Harm is an attempt that spilled, ran many times longer than usual, or was the last of failures on several
-engines in a row. An engine may fail by itself, so its failures count once. The scheduler alone chooses
-engines.
+An incident is an attempt that spilled, ran many times longer than usual, or was the last of consecutive
+failures on several engines. An engine may fail for reasons of its own, so repeated failures on one engine
+count once. Only the scheduler chooses engines.
 """
 
 from dataclasses import dataclass, field
 from typing import NamedTuple
 
 SECOND_NS = 1_000_000_000
-FAILED_ENGINES_TO_LIMIT = 3  # different ones that a shape fails on in a row before it is limited
-RUNAWAY_FACTOR = 8.0  # times its usual run time
-MIN_RUNAWAY_NS = SECOND_NS  # a shorter attempt is no runaway
-INITIAL_LIMIT = 4  # at once, at first
-SUCCESSES_PER_STEP = 5  # attempts in a row that succeed, for one more at once
-UNLIMITED_FROM = 16  # at once: from here on it is unlimited again
-LIMIT_EXPIRY_NS = 300 * SECOND_NS  # without harm until the limit is lifted
-MAX_RECORDS = 512  # shapes limited or watched
+FAILED_ENGINES_TO_LIMIT = 3  # distinct engines with a failure since the shape's last success
+RUNAWAY_FACTOR = 8.0  # multiple of the usual run time
+MIN_RUNAWAY_RUN_TIME_NS = SECOND_NS  # shorter attempts are never runaways
+INITIAL_LIMIT = 4  # concurrent queries
+SUCCESSES_PER_STEP = 5  # consecutive successes that raise the limit by one
+UNLIMITED_FROM = 16  # concurrent queries: the limit is removed when it reaches this
+LIMIT_EXPIRY_NS = 300 * SECOND_NS  # without an incident until the limit is removed
+MAX_RECORDS = 512  # shapes with a limit or with recent failures
 
 
 @dataclass(slots=True)
 class ShapeRecord:
-    """What is remembered of a shape that failed or did harm."""
+    """State of a shape that had a failure or an incident."""
 
-    failed_engines: set[str] = field(default_factory=set)  # since its last success
+    failed_engines: set[str] = field(default_factory=set)  # since the last success
     max_concurrent: int = 0  # 0: unlimited
-    successes: int = 0  # in a row
-    last_harm_at: int = 0  # clock time in nanoseconds
+    successes: int = 0  # consecutive
+    last_incident_at: int = 0  # clock time in nanoseconds
     reason: str = ""
 
 
 class EvictionOrder(NamedTuple):
-    """Records of shapes that are not limited are dropped first, then those whose harm is oldest."""
+    """Sort key: records without a limit are evicted first, then those with the oldest incident."""
 
     is_limited: bool
-    last_harm_at: int
+    last_incident_at: int
 
 
 class ShapeLimits:
     """Limits by fingerprint, for at most `capacity` shapes.
 
-    A full table drops the record of the shape whose harm is oldest. Times are clock times in nanoseconds.
+    A full table evicts by `EvictionOrder`. Times are clock times in nanoseconds.
     """
 
     def __init__(self, capacity: int = MAX_RECORDS) -> None:
-        """`capacity`: records at most."""
+        """`capacity`: maximum number of records."""
         self.capacity = capacity
         self.records: dict[bytes, ShapeRecord] = {}
         self.running: dict[bytes, int] = {}  # open queries by fingerprint
         self.rejected_count = 0
 
     def rejection_reason(self, fingerprint: bytes, now: int) -> str:
-        """Why one more may not be accepted; empty if it may."""
+        """Why another query of the shape is rejected; empty if it is accepted."""
         record = self.records.get(fingerprint)
         if record is None or not record.max_concurrent:
             return ""
-        if now - record.last_harm_at > LIMIT_EXPIRY_NS:
+        if now - record.last_incident_at > LIMIT_EXPIRY_NS:
             del self.records[fingerprint]
             return ""
         if self.running.get(fingerprint, 0) < record.max_concurrent:
@@ -68,11 +68,11 @@
         return f"{record.max_concurrent} of this shape run already: {record.reason}"
 
     def query_started(self, fingerprint: bytes) -> None:
-        """A query was accepted."""
+        """Counts an accepted query as running."""
         self.running[fingerprint] = self.running.get(fingerprint, 0) + 1
 
     def query_ended(self, fingerprint: bytes) -> None:
-        """A query that was started has its answer."""
+        """Counts a started query as answered."""
         still_running = self.running.get(fingerprint, 0) - 1
         if still_running > 0:
             self.running[fingerprint] = still_running
@@ -82,9 +82,11 @@
     # ---- outcomes of attempts
 
     def attempt_succeeded(self, fingerprint: bytes, run_time_ns: int, usual_ns: int | None, now: int) -> None:
-        """`usual_ns`: the estimate before this attempt; None if there was none."""
-        if usual_ns and run_time_ns > RUNAWAY_FACTOR * usual_ns and run_time_ns > MIN_RUNAWAY_NS:
-            self._harm(fingerprint, now, f"one ran {run_time_ns / usual_ns:.0f} times as long as usual")
+        """Records a success. `usual_ns`: the estimate before this attempt, None if there was none."""
+        if usual_ns and run_time_ns > RUNAWAY_FACTOR * usual_ns and run_time_ns > MIN_RUNAWAY_RUN_TIME_NS:
+            self._record_incident(
+                fingerprint, now, f"one ran {run_time_ns / usual_ns:.0f} times as long as usual"
+            )
             return
         record = self.records.get(fingerprint)
         if record is None:
@@ -99,25 +101,25 @@
             del self.records[fingerprint]
 
     def attempt_spilled(self, fingerprint: bytes, now: int) -> None:
-        """An attempt needed more memory than its engine had."""
-        self._harm(fingerprint, now, "one spilled")
+        """Records an attempt that needed more memory than its engine had."""
+        self._record_incident(fingerprint, now, "one spilled")
 
     def attempt_failed(self, fingerprint: bytes, engine: str, now: int) -> None:
-        """An attempt failed in a way that the statement itself may have caused."""
-        record = self._record(fingerprint)
+        """Records a failure that the statement itself may have caused."""
+        record = self._get_or_create_record(fingerprint)
         record.failed_engines.add(engine)
         record.successes = 0
         if len(record.failed_engines) >= FAILED_ENGINES_TO_LIMIT:
             engines = len(record.failed_engines)
             record.failed_engines.clear()
-            self._harm(fingerprint, now, f"failed on {engines} engines in a row")
+            self._record_incident(fingerprint, now, f"failed on {engines} engines in a row")
 
-    def _harm(self, fingerprint: bytes, now: int, reason: str) -> None:
-        record = self._record(fingerprint)
+    def _record_incident(self, fingerprint: bytes, now: int, reason: str) -> None:
+        record = self._get_or_create_record(fingerprint)
         record.max_concurrent = max(1, record.max_concurrent // 2) if record.max_concurrent else INITIAL_LIMIT
-        record.successes, record.last_harm_at, record.reason = 0, now, reason
+        record.successes, record.last_incident_at, record.reason = 0, now, reason
 
-    def _record(self, fingerprint: bytes) -> ShapeRecord:
+    def _get_or_create_record(self, fingerprint: bytes) -> ShapeRecord:
         record = self.records.get(fingerprint)
         if record is None:
             if len(self.records) >= self.capacity:
@@ -127,9 +129,9 @@
 
     def _eviction_order(self, fingerprint: bytes) -> EvictionOrder:
         record = self.records[fingerprint]
-        return EvictionOrder(record.max_concurrent > 0, record.last_harm_at)
+        return EvictionOrder(record.max_concurrent > 0, record.last_incident_at)
 
     @property
     def limited_count(self) -> int:
-        """How many shapes are limited now."""
+        """Number of shapes that are currently limited."""
         return sum(1 for record in self.records.values() if record.max_concurrent)
