--- a/query_gateway/statements/__init__.py
+++ b/query_gateway/statements/__init__.py
@@ -1,6 +1,6 @@
-"""Bare SQL: whether it writes, its class, its key, its cost and how many of its shape may run at once.
+"""SQL statements: read or write, request class, key, estimated cost and concurrency limit of the shape.
 
-Owns the shapes seen, what was learned of each and the limits on those that did harm. Free of I/O: callers
-pass the time, and `query_gateway.parsing` runs the full parses. Imported by the fronts only where an
-operator's file has the table `statements`.
+Owns the cached shapes, the learned state of each and the limits on shapes that overloaded engines. Performs
+no I/O: callers pass the time, and `query_gateway.parsing` runs the full parses. The fronts import it only if
+the operator's file has the table `statements`.
 """
--- a/query_gateway/statements/classifier.py
+++ b/query_gateway/statements/classifier.py
@@ -1,6 +1,6 @@
-"""From a statement to the decision about it.
+"""Classifies statements: request class, key, and whether the statement is accepted.
 
-The parse result of a shape is cached; a statement of a new shape needs a parse, which the caller runs.
+Parse results are cached by shape. A statement of a new shape needs a parse, which the caller runs.
 """
 
 from collections.abc import Collection, Sequence
@@ -15,27 +15,27 @@
 from query_gateway.statements.messages import Decision, ParseResult, Rules
 from query_gateway.statements.normalizer import NormalizedStatement, normalize
 
-MAX_SHAPES = 10_000  # cached
-MAX_DISTINCT_RESULTS = 1_024  # kept apart from the cache
+MAX_SHAPES = 10_000  # in the cache
+MAX_DISTINCT_RESULTS = 1_024  # parse results shared by shapes, held separately from the cache
 
 
 @dataclass(slots=True, frozen=True)
 class CachedStatement:
-    """What is cached for a normalized statement."""
+    """The cache entry of a normalized statement."""
 
     parse_result: ParseResult
     table_group: int | None
 
 
 class Classifier:
-    """Owns the rules, the shapes seen, their costs and their limits."""
+    """Owns the rules, the cached shapes, their cost estimates and their concurrency limits."""
 
     def __init__(
         self, rules: Rules, idempotent_classes: Collection[str] | None = None, capacity: int = MAX_SHAPES
     ) -> None:
-        """`idempotent_classes`: names of classes whose requests may be run twice; None: those of reads.
+        """`idempotent_classes`: names of classes whose requests may run twice; None: the classes of reads.
 
-        `capacity`: shapes that are cached.
+        `capacity`: maximum number of cached shapes.
         """
         self.rules = rules
         if idempotent_classes is None:
@@ -44,23 +44,23 @@
         self.shapes: Cache[CachedStatement] = Cache(capacity)
         self.costs = CostEstimates(capacity)
         self.limits = ShapeLimits()
-        # Thousands of shapes share few results; one object for equal results keeps the memory small
+        # Thousands of shapes share few distinct results; storing each result once saves memory
         self._distinct_results: dict[ParseResult, ParseResult] = {}
 
     def normalize(self, text: str) -> NormalizedStatement:
-        """Raises UnsupportedStatementError."""
+        """Normalizes a statement within the bounds of the rules. Raises UnsupportedStatementError."""
         return normalize(text, self.rules.sort_rows, self.rules.most_length)
 
     def cached(self, statement: NormalizedStatement) -> CachedStatement | None:
-        """The cached parse result, which counts as a use; None: the statement has to be parsed."""
+        """Returns the cache entry and counts a use; None: the statement must be parsed."""
         return self.shapes.get(statement.fingerprint)
 
     def learn(self, statement: NormalizedStatement, parse_result: ParseResult) -> CachedStatement:
-        """Cache a parse result."""
+        """Caches the parse result of a statement's shape."""
         if len(self._distinct_results) > MAX_DISTINCT_RESULTS:
             self._distinct_results.clear()
-        shared = self._distinct_results.setdefault(parse_result, parse_result)
-        cached = CachedStatement(shared, table_group(" ".join(statement.tokens)))
+        shared_result = self._distinct_results.setdefault(parse_result, parse_result)
+        cached = CachedStatement(shared_result, table_group(" ".join(statement.tokens)))
         self.shapes.put(statement.fingerprint, cached)
         return cached
 
@@ -72,10 +72,10 @@
         requested_key: str | None = None,
         parameters: Sequence[object] = (),
     ) -> Decision:
-        """The decision about one text.
+        """Decides one statement.
 
-        `requested_class` and `requested_key`: as its client names them, if it does. `parameters`: the values
-        bound to the parameters of the text.
+        `requested_class` and `requested_key`: those that the client names, if any. `parameters`: the values
+        bound to the statement's parameters.
         """
         parse_result, rules = cached.parse_result, self.rules
         if not parse_result.is_write:
@@ -104,8 +104,8 @@
         if class_name is None or class_name in self.idempotent_classes:
             return _rejected(f"no class is set for writes: {description}")
         if parse_result.key_rule_index < 0:
-            key_counts = parse_result.lacks_key_rule or not rules.keys
-            if requested_class and requested_class == class_name and requested_key and key_counts:
+            accepts_requested_key = parse_result.lacks_key_rule or not rules.keys
+            if requested_class and requested_class == class_name and requested_key and accepts_requested_key:
                 return Decision(class_name, True, False, requested_key, parse_result.reason, True)
             return _rejected(parse_result.reason or "no key can be found")
         return self._decide_keyed_write(parse_result, statement, class_name, parameters)
@@ -117,17 +117,17 @@
         class_name: str,
         parameters: Sequence[object],
     ) -> Decision:
-        from query_gateway.statements.values import key_of
+        from query_gateway.statements.values import compute_key
 
         key_rule = self.rules.keys[parse_result.key_rule_index]
         try:
-            key = key_of(key_rule, parse_result.key_references, statement.literals, parameters)
+            key = compute_key(key_rule, parse_result.key_references, statement.literals, parameters)
         except UndeterminedKeyError as error:
             return _rejected(str(error))
         return Decision(class_name, True, False, key, parse_result.verb, True)
 
     def update_rules(self, rules: Rules, idempotent_classes: Collection[str]) -> None:
-        """Use new rules from now on. Results of parses by the old rules are dropped; cost estimates stay."""
+        """Replaces the rules and drops the parse results of the old ones; cost estimates are kept."""
         self.idempotent_classes = frozenset(idempotent_classes)
         if rules != self.rules:
             self.rules = rules
@@ -135,7 +135,7 @@
             self._distinct_results.clear()
 
     def figures(self) -> dict[str, float]:
-        """Figures of the second address, by their names there without the prefix."""
+        """Figures for the admin server, by metric name without the prefix."""
         return {
             "statement_hits_total": self.shapes.hits,
             "statement_misses_total": self.shapes.misses,
@@ -150,7 +150,7 @@
 
 
 def rejected_decision(error: UnsupportedStatementError) -> Decision:
-    """The decision about a text that is unsupported."""
+    """The decision about an unsupported statement."""
     return _rejected(str(error))
 
 
@@ -161,7 +161,7 @@
     costs: CostEstimates,
     was_cached: bool,
 ) -> dict[str, Any]:
-    """What `query-gateway statements classify` prints for one statement."""
+    """The output of `query-gateway statements classify` for one statement."""
     cost_ns = None
     if cached and statement and decision.class_name:
         cost_ns = costs.cost_ns(statement.fingerprint, decision.class_name, cached.table_group)
--- a/query_gateway/statements/errors.py
+++ b/query_gateway/statements/errors.py
@@ -1,12 +1,12 @@
-"""The errors of this package. Their messages are reasons in words, which reach the client."""
+"""The exceptions of this package. Their messages are sent to the client as the reason of a rejection."""
 
 
 class StatementError(Exception):
-    """Something about a statement cannot be decided; the message is the reason."""
+    """Base class: a property of a statement cannot be determined; the message is the reason."""
 
 
 class UnsupportedStatementError(StatementError):
-    """A text that two lexers may read differently, or that is beyond the bounds."""
+    """A statement that two lexers may tokenize differently, or that exceeds a size limit."""
 
 
 class UnparsedStatementError(StatementError):
@@ -18,8 +18,8 @@
 
 
 class UndeterminedKeyError(StatementError):
-    """A load, or a value in it, for which no key can be given."""
+    """A load, or a value in it, for which no key can be determined."""
 
 
 class NoKeyRuleError(UndeterminedKeyError):
-    """No rule covers the table that is written."""
+    """No key rule covers the table that is written."""
--- a/query_gateway/statements/keys.py
+++ b/query_gateway/statements/keys.py
@@ -1,8 +1,8 @@
-"""Which rows a load may touch: where the value of its key stands in the tree.
+"""Determines the key of a load from its tree: which literals give the key column's value.
 
-A load is keyed only if every row that it may insert, change or remove certainly has one value in the rule's
-column. Otherwise UndeterminedKeyError is raised; its message is a reason that reaches the client. Trees are
-those of sqlglot.
+A load gets a key only if every row that it may insert, change or remove is certain to have one value in the
+rule's column. Otherwise UndeterminedKeyError is raised; its message is sent to the client as the reason.
+Trees are those of sqlglot.
 """
 
 import re
@@ -16,25 +16,25 @@
 from query_gateway.statements.messages import KeyRule, LiteralReference
 from query_gateway.statements.normalizer import FIRST_NUMBER
 
-INTEGERS, TEXTS = ("INT", "BIGINT"), ("TEXT", "VARCHAR")
+INTEGER_TYPES, TEXT_TYPES = ("INT", "BIGINT"), ("TEXT", "VARCHAR")
 MAX_SHOWN_NAME = 80  # characters of a table's name in a reason
 STRING_SLOT, PARAMETER_SLOT = re.compile(r"s(\d+)"), re.compile(r"p(\d+)")
-SourceColumns = dict[str, list[LiteralReference]]  # by qualified name, columns that hold only literals
+SourceColumns = dict[str, list[LiteralReference]]  # columns that hold only literals, by qualified name
 
 
-# ---- rules by table
+# ---- key rules of tables
 
 
 def qualified_name(table: Any) -> tuple[str, ...]:
-    """A table's name with what qualifies it, without case; quoted and plain names are one here."""
+    """Returns a table's qualified name, case-folded; quoted and unquoted names are equal here."""
     parts = [table.args.get("catalog"), table.args.get("db"), table.this]
     return tuple(part.name.casefold() for part in parts if part)
 
 
 def key_rule_index(table: Any, rules: Sequence[KeyRule]) -> int:
-    """The index of a table's rule. A name without its schema matches a rule for any schema, and the reverse.
+    """Returns the index of a table's rule. A name without a schema matches any schema, and vice versa.
 
-    A rule with a single key for a table takes precedence over rules by column. Raises NoKeyRuleError if no
+    A rule with a single key for the table takes precedence over rules by column. Raises NoKeyRuleError if no
     rule matches and UndeterminedKeyError if several do.
     """
     name = qualified_name(table)
@@ -58,7 +58,7 @@
 
 
 def literal_reference(node: Any) -> LiteralReference | None:
-    """The reference to a literal with a sign or a cast that keeps its value; None for any other node."""
+    """The reference to a literal, optionally with a sign or a value-preserving cast; None for other nodes."""
     negative, cast = False, ""
     while True:
         if isinstance(node, (exp.Paren, exp.Alias)):
@@ -79,17 +79,17 @@
 
 
 def _cast_kind(data_type: Any) -> str:
-    """`integer` or `text`; empty for a type that may change the value."""
+    """`integer` or `text`; empty for a type whose cast may change the value."""
     if not isinstance(data_type, exp.DataType) or data_type.expressions:
         return ""
     name = data_type.this.name if hasattr(data_type.this, "name") else str(data_type.this)
-    if name in INTEGERS:
+    if name in INTEGER_TYPES:
         return "integer"
-    return "text" if name in TEXTS else ""
+    return "text" if name in TEXT_TYPES else ""
 
 
 def _slot_of(node: Any) -> int:
-    """The slot that a literal of the canonical text holds; -1 for any other node."""
+    """The slot that a literal of the canonical text encodes; -1 for any other node."""
     if isinstance(node, exp.Literal) and not node.is_string:
         return int(node.this) - FIRST_NUMBER if node.this.isdigit() else -1
     found = None
@@ -100,17 +100,17 @@
     return int(found[1]) if found else -1
 
 
-def is_column(node: Any, column: str) -> bool:
-    """Whether a node may be the column, in any spelling: used where the column must not be touched."""
+def may_be_column(node: Any, column: str) -> bool:
+    """Whether a node may be the column, in any spelling; for checks that the column is not changed."""
     return isinstance(node, (exp.Column, exp.Identifier)) and node.name.casefold() == column.casefold()
 
 
 class TargetScope(NamedTuple):
-    """How predicates may qualify the columns of a load's target: by its alias, else by its name."""
+    """The qualifiers of the target's columns in the predicates of a load: its alias, else its name."""
 
     name: str
     schema: str  # empty if the target has an alias
-    other_sources: frozenset[str]  # names of the other tables that its predicates may refer to
+    other_sources: frozenset[str]  # names of other tables that the predicates may refer to
 
 
 def _target_scope(tree: Any, target: Any) -> TargetScope:
@@ -121,30 +121,30 @@
             if isinstance(source, exp.Expression):
                 tables = source.find_all(exp.Table, exp.Subquery)
                 other_sources |= {table.alias_or_name.casefold() for table in tables}
-                # VALUES and similar sources are no tables and may have no name
+                # VALUES and similar sources are not tables and may be unnamed
                 other_sources.add(source.alias_or_name.casefold())
     schema = "" if target.alias else target.db.casefold()
     return TargetScope((target.alias or target.name).casefold(), schema, frozenset(other_sources))
 
 
-def _is_certainly_column(node: Any, column: str, scope: TargetScope) -> bool:
-    """Whether a node is certainly that column of the target."""
+def _is_target_column(node: Any, column: str, scope: TargetScope) -> bool:
+    """Whether a node is certain to be that column of the target."""
     if not isinstance(node, exp.Column):
         return False
     name = node.this
     if not isinstance(name, exp.Identifier):
         return False
-    is_same = name.name == column if name.quoted else name.name.casefold() == column.casefold()
+    is_same_name = name.name == column if name.quoted else name.name.casefold() == column.casefold()
     if not node.table:
-        return is_same and not scope.other_sources
+        return is_same_name and not scope.other_sources
     schema = node.args.get("db")
     if schema is not None and schema.name.casefold() != scope.schema:
         return False
-    return is_same and node.table.casefold() == scope.name and scope.name not in scope.other_sources
+    return is_same_name and node.table.casefold() == scope.name and scope.name not in scope.other_sources
 
 
 def conjuncts(node: Any) -> Iterator[Any]:
-    """The predicates that must all hold, from the last to the first."""
+    """Yields the conjuncts of a predicate, from the last to the first."""
     stack = [node]
     while stack:
         part = stack.pop()
@@ -156,38 +156,40 @@
             yield part
 
 
-def _selected(
+def _predicate_references(
     predicate: Any, column: str, scope: TargetScope, source: SourceColumns
 ) -> list[LiteralReference]:
-    """The references of one conjunct that fixes the column; further conjuncts only narrow the rows."""
+    """The references of the first conjunct that fixes the column; others only narrow down the rows."""
     for part in conjuncts(predicate):
         references: list[LiteralReference] = []
         if isinstance(part, exp.EQ):
-            references = _equated(part, column, scope, source)
-        elif isinstance(part, exp.In) and _is_certainly_column(part.this, column, scope):
-            references = _listed(part)
+            references = _equality_references(part, column, scope, source)
+        elif isinstance(part, exp.In) and _is_target_column(part.this, column, scope):
+            references = _in_list_references(part)
         if references:
             return references
     raise UndeterminedKeyError(f"no predicate gives {column} one value")
 
 
-def _equated(equality: Any, column: str, scope: TargetScope, source: SourceColumns) -> list[LiteralReference]:
+def _equality_references(
+    equality: Any, column: str, scope: TargetScope, source: SourceColumns
+) -> list[LiteralReference]:
     sides = (equality.this, equality.expression)
     for side, opposite in (sides, sides[::-1]):
-        if _is_certainly_column(side, column, scope) and (references := _values(opposite, source)):
+        if _is_target_column(side, column, scope) and (references := _value_references(opposite, source)):
             return references
     return []
 
 
-def _listed(membership: Any) -> list[LiteralReference]:
-    """The literals of an IN; empty if it has any other member."""
+def _in_list_references(membership: Any) -> list[LiteralReference]:
+    """The literals of an IN list; empty if it has any other member."""
     if membership.args.get("query") or membership.args.get("unnest"):
         return []
-    return _all_literals(membership.expressions)
+    return _literal_references(membership.expressions)
 
 
-def _all_literals(nodes: Iterable[Any]) -> list[LiteralReference]:
-    """The references of all nodes; empty if one of them is no literal."""
+def _literal_references(nodes: Iterable[Any]) -> list[LiteralReference]:
+    """The references of all nodes; empty if any node is not a literal."""
     references = []
     for node in nodes:
         reference = literal_reference(node)
@@ -197,8 +199,8 @@
     return references
 
 
-def _values(node: Any, source: SourceColumns) -> list[LiteralReference]:
-    """The values of an expression: a literal, or a column of the source whose every row holds one."""
+def _value_references(node: Any, source: SourceColumns) -> list[LiteralReference]:
+    """The references of an expression: a literal, or a source column that holds only literals."""
     if reference := literal_reference(node):
         return [reference]
     if isinstance(node, exp.Column) and node.table:
@@ -207,29 +209,29 @@
 
 
 def _source_columns(source: Any) -> SourceColumns:
-    """The columns of a MERGE's source that hold only literals, by qualified name."""
+    """The columns of a MERGE source that hold only literals, by qualified name."""
     alias = source.args.get("alias")
     if alias is None or not alias.name:
         return {}
     source_rows = _source_rows(source, [column.name for column in alias.args.get("columns") or ()])
-    folded = [name.casefold() for name in source_rows.names]
+    folded_names = [name.casefold() for name in source_rows.names]
     columns: SourceColumns = {}
-    for index, name in enumerate(folded):
-        references = _all_literals(row[index] if index < len(row) else None for row in source_rows.rows)
-        if references and folded.count(name) == 1:
+    for index, name in enumerate(folded_names):
+        references = _literal_references(row[index] if index < len(row) else None for row in source_rows.rows)
+        if references and folded_names.count(name) == 1:
             columns[f"{alias.name.casefold()}.{name}"] = references
     return columns
 
 
 class SourceRows(NamedTuple):
-    """The names of a source's columns and its rows, as nodes of the tree."""
+    """The column names and the rows of a source; the rows as nodes of the tree."""
 
     names: list[str]
     rows: list[list[Any]]
 
 
 def _source_rows(source: Any, names: list[str]) -> SourceRows:
-    """The rows of VALUES or of a plain SELECT; no rows for any other source."""
+    """The rows of VALUES or of a simple SELECT; no rows for any other source."""
     if isinstance(source, exp.Subquery):
         source = source.this
     if isinstance(source, exp.Values):
@@ -241,15 +243,17 @@
     return SourceRows(names, [])
 
 
-def _assigned(assignments: Iterable[Any], column: str, source: SourceColumns) -> list[LiteralReference]:
-    """The references of the values that are assigned to the column, all of which must be literals."""
+def _assignment_references(
+    assignments: Iterable[Any], column: str, source: SourceColumns
+) -> list[LiteralReference]:
+    """The references of all values assigned to the column, each of which must be a literal."""
     references: list[LiteralReference] = []
     for assignment in assignments:
         is_plain = isinstance(assignment, exp.EQ)
         if not is_plain or not isinstance(assignment.this, (exp.Column, exp.Identifier)):
             raise UndeterminedKeyError("an assignment that is no plain column = value")
-        if is_column(assignment.this, column):
-            values = _values(assignment.expression, source)
+        if may_be_column(assignment.this, column):
+            values = _value_references(assignment.expression, source)
             if not values:
                 raise UndeterminedKeyError(f"{column} is set to what the text does not tell")
             references += values
@@ -259,23 +263,23 @@
 # ---- inserts
 
 
-def _inserted(tree: Any, column: str) -> list[LiteralReference]:
+def _insert_references(tree: Any, column: str) -> list[LiteralReference]:
     schema = tree.this
     if not isinstance(schema, exp.Schema) or not schema.expressions:
         raise UndeterminedKeyError("an insert without its list of columns")
-    index = _inserted_index(schema, column)
+    index = _key_column_index(schema, column)
     references = [
-        _inserted_value(row, index, len(schema.expressions), column)
-        for row in _inserted_rows(tree.expression)
+        _insert_value_reference(row, index, len(schema.expressions), column)
+        for row in _insert_rows(tree.expression)
     ]
     conflict = tree.args.get("conflict")
     if conflict is not None:
-        references += _on_conflict(conflict, column)
+        references += _conflict_references(conflict, column)
     return references
 
 
-def _inserted_index(schema: Any, column: str) -> int:
-    """The position of the column among those that are inserted."""
+def _key_column_index(schema: Any, column: str) -> int:
+    """The position of the key column in the insert's list of columns."""
     names = [node.name.casefold() for node in schema.expressions]
     if names.count(column.casefold()) != 1:
         raise UndeterminedKeyError(f"the insert does not give {column}")
@@ -286,8 +290,8 @@
     return index
 
 
-def _inserted_rows(query: Any) -> Iterator[list[Any]]:
-    """The rows of VALUES and of SELECTs, also of a UNION of them."""
+def _insert_rows(query: Any) -> Iterator[list[Any]]:
+    """Yields the rows of VALUES and SELECTs, also within a UNION."""
     stack = [query]
     while stack:
         part = stack.pop()
@@ -303,10 +307,10 @@
             raise UndeterminedKeyError("an insert of rows that the text does not tell")
 
 
-def _inserted_value(row: list[Any], index: int, width: int, column: str) -> LiteralReference:
+def _insert_value_reference(row: list[Any], index: int, width: int, column: str) -> LiteralReference:
     reference = literal_reference(row[index]) if len(row) == width else None
-    # A star before the value stands for several columns, so the value goes to another one than its position
-    # shows; the load would get a wrong key. Such a row has no reference.
+    # A star before the value expands to several columns, so the value belongs to another column than its
+    # position shows, and the load would get a wrong key. Such a row has no reference.
     if any(isinstance(node, exp.Star) or node.find(exp.Star) for node in row[: index + 1] if node):
         reference = None
     if reference is None:
@@ -314,50 +318,52 @@
     return reference
 
 
-def _on_conflict(conflict: Any, column: str) -> list[LiteralReference]:
+def _conflict_references(conflict: Any, column: str) -> list[LiteralReference]:
     action = conflict.args.get("action")
     if action is not None and "NOTHING" in action.name.upper() and not conflict.expressions:
         return []
-    # A conflict on another column changes the row that is there, whose key is not known; it would run beside
-    # loads of that key. Only a conflict on the key's own column keeps the key.
+    # A conflict on another column changes the existing row, whose key is unknown, so the load could run
+    # concurrently with loads of that key. Only a conflict on the key column preserves the key.
     conflict_keys = conflict.args.get("conflict_keys") or ()
     columns = [node.this if isinstance(node, exp.Ordered) else node for node in conflict_keys]
-    if conflict.args.get("duplicate") or not any(is_column(node, column) for node in columns):
+    if conflict.args.get("duplicate") or not any(may_be_column(node, column) for node in columns):
         raise UndeterminedKeyError(f"a conflict on something other than {column} may change any row")
-    return _assigned(conflict.expressions, column, {})
+    return _assignment_references(conflict.expressions, column, {})
 
 
 # ---- merges
 
 
-def _merged(tree: Any, column: str) -> list[LiteralReference]:
+def _merge_references(tree: Any, column: str) -> list[LiteralReference]:
     source = _source_columns(tree.args["using"])
-    references = _selected(tree.args.get("on"), column, _target_scope(tree, target_of(tree)), source)
+    references = _predicate_references(
+        tree.args.get("on"), column, _target_scope(tree, target_of(tree)), source
+    )
     whens = tree.args.get("whens")
     for when in whens.expressions if whens else ():
-        references += _merge_branch(when, column, source)
+        references += _merge_branch_references(when, column, source)
     return references
 
 
-def _merge_branch(when: Any, column: str, source: SourceColumns) -> list[LiteralReference]:
+def _merge_branch_references(when: Any, column: str, source: SourceColumns) -> list[LiteralReference]:
     then = when.args.get("then")
     if when.args.get("source") and not when.args.get("matched"):
         raise UndeterminedKeyError("WHEN NOT MATCHED BY SOURCE touches rows that no predicate picks")
     if isinstance(then, exp.Update):
-        return _assigned(then.expressions, column, source)
+        return _assignment_references(then.expressions, column, source)
     if isinstance(then, exp.Insert):
-        return _merge_insert(then, column, source)
+        return _merge_insert_references(then, column, source)
     if isinstance(then, exp.Var) and then.name.upper() in ("DELETE", "DO NOTHING"):
         return []
     raise UndeterminedKeyError("a merge with a branch that is not known")
 
 
-def _merge_insert(insert: Any, column: str, source: SourceColumns) -> list[LiteralReference]:
+def _merge_insert_references(insert: Any, column: str, source: SourceColumns) -> list[LiteralReference]:
     names = [node.name.casefold() for node in insert.this.expressions] if insert.this else []
     values = insert.expression.expressions if insert.expression else []
     if names.count(column.casefold()) != 1 or len(values) != len(names):
         raise UndeterminedKeyError(f"the merge inserts rows without telling {column}")
-    references = _values(values[names.index(column.casefold())], source)
+    references = _value_references(values[names.index(column.casefold())], source)
     if not references:
         raise UndeterminedKeyError(f"the merge gives {column} a value that the text does not tell")
     return references
@@ -367,7 +373,7 @@
 
 
 def target_of(tree: Any) -> Any:
-    """The one table that a load writes. Raises UndeterminedKeyError."""
+    """Returns the only table that a load writes. Raises UndeterminedKeyError."""
     target = tree.this
     if isinstance(target, exp.Schema):
         target = target.this
@@ -379,19 +385,19 @@
 
 
 def key_references(tree: Any, rule: KeyRule) -> tuple[LiteralReference, ...]:
-    """Where the key's values stand in a load. Raises UndeterminedKeyError."""
+    """Returns the references to the key's values in a load. Raises UndeterminedKeyError."""
     if rule.has_single_key:
         return ()
     target, column = target_of(tree), rule.column
     if isinstance(tree, exp.Insert):
-        references = _inserted(tree, column)
+        references = _insert_references(tree, column)
     elif isinstance(tree, exp.Merge):
-        references = _merged(tree, column)
+        references = _merge_references(tree, column)
     else:
         where_clause = tree.args.get("where")
         if where_clause is None:
             raise UndeterminedKeyError("all rows of the table are touched")
-        references = _selected(where_clause.this, column, _target_scope(tree, target), {})
+        references = _predicate_references(where_clause.this, column, _target_scope(tree, target), {})
         if isinstance(tree, exp.Update):
-            references += _assigned(tree.expressions, column, {})
+            references += _assignment_references(tree.expressions, column, {})
     return tuple(dict.fromkeys(references))
--- a/query_gateway/statements/lexer.py
+++ b/query_gateway/statements/lexer.py
@@ -1,8 +1,8 @@
-"""Split a statement into tokens that every supported dialect splits alike; any other text is unsupported.
+"""Splits a statement into tokens on which all supported dialects agree; any other text is unsupported.
 
-A text counts as a read only if no engine's lexer can find other words in it than this one does. So
-backslashes in quotes, `#`, dollar quotes, executable and nested comments, `--` without a space after it,
-unusual white space and unquoted letters outside ASCII are all rejected here.
+A statement may be classified as a read only if no engine's lexer can find other words in it than this one.
+Therefore backslashes in quotes, `#`, dollar quotes, executable and nested comments, `--` without a space
+after it, unusual white space and unquoted non-ASCII letters are all rejected here.
 """
 
 import re
@@ -11,15 +11,15 @@
 
 MAX_LENGTH = 16_384  # characters of a statement
 MAX_TOKENS = 2_000
-MAX_DEPTH = 32  # parentheses, brackets and CASEs within each other
+MAX_DEPTH = 32  # levels of nested parentheses, brackets and CASE expressions
 
-SPACE = r"[ \t\r\n]*+"
+WHITESPACE = r"[ \t\r\n]*+"
 COMMENT = r"""(?:
     --(?=[ \t\r\n]|\Z)[^\n\r\x00-\x08\x0b-\x1f\x7f\x85\u2028\u2029]*+(?:\r?\n|\Z)
   | /\*(?![A-Za-z]*!|\+)(?:[^*/\x00]++|\*(?!/)|/(?!\*))*+\*/
 )"""
-SKIP = rf"{SPACE}(?:{COMMENT}{SPACE})*+"
-ATOM = r"""
+SKIPPED = rf"{WHITESPACE}(?:{COMMENT}{WHITESPACE})*+"
+TOKEN_PATTERN = r"""
     [A-Za-z_]\w*+(?!')
   | [(),;\[\]] | \.(?!\d)
   | \d++(?:\.\d*+)?(?:[eE][+-]?\d++)?(?![\w.$])
@@ -29,38 +29,40 @@
   | (?<![\w'"`$&])`(?:[^`\\\x00-\x1f]|``)++`(?!\w)
   | (?<![\w'"`$])\$\d++(?![\w$])
 """
-FLAGS = re.VERBOSE | re.DOTALL | re.ASCII
-# The last alternative matches the remaining text, so unsupported text is always the last token
-TOKEN = re.compile(f"{SKIP}({ATOM} | .++ | \\Z)", FLAGS)
-SUPPORTED = re.compile(ATOM, FLAGS)
-# The same without comments, for texts that have neither "--" nor "/*": nearly all, and matched faster
-NO_COMMENT = r"(?!--|/\*)"
-assert NO_COMMENT in ATOM
-UNCOMMENTED_TOKEN = re.compile(f"{SPACE}({ATOM.replace(NO_COMMENT, '')} | .++ | \\Z)", FLAGS)
-
-# Runs of operator characters that mean the same in every dialect; any other run may be an operator that a
-# user has defined, or be split otherwise by another lexer
+REGEX_FLAGS = re.VERBOSE | re.DOTALL | re.ASCII
+# The last alternative matches all remaining text, so unsupported text is always the last token
+TOKEN = re.compile(f"{SKIPPED}({TOKEN_PATTERN} | .++ | \\Z)", REGEX_FLAGS)
+SUPPORTED_TOKEN = re.compile(TOKEN_PATTERN, REGEX_FLAGS)
+# Variant without comments, faster, for statements that contain neither "--" nor "/*", which is nearly all
+NOT_A_COMMENT = r"(?!--|/\*)"
+assert NOT_A_COMMENT in TOKEN_PATTERN
+UNCOMMENTED_TOKEN = re.compile(
+    f"{WHITESPACE}({TOKEN_PATTERN.replace(NOT_A_COMMENT, '')} | .++ | \\Z)", REGEX_FLAGS
+)
+
+# Runs of operator characters that mean the same in every dialect. Any other run may be a user-defined
+# operator, or another lexer may split it differently.
 _COMMON_OPERATORS = "= < > <= >= <> != || :: -> ->> + - * / % ^ & | ~ << >> => :"
-_BEFORE_PARAMETER = "= < > <= >= <> != + - * / || =>"
+_OPERATORS_BEFORE_PARAMETER = "= < > <= >= <> != + - * / || =>"
 OPERATORS: dict[str, tuple[str, ...]] = {op: (op,) for op in _COMMON_OPERATORS.split()}
 OPERATORS |= {
     f"{op}{prefix}": (op, prefix) for op in ["=", "<", ">", "<=", ">=", "<>", "!="] for prefix in "+-"
 }
-OPERATORS |= {f"{op}{mark}": (op, mark) for op in _BEFORE_PARAMETER.split() for mark in "?:"}
+OPERATORS |= {f"{op}{marker}": (op, marker) for op in _OPERATORS_BEFORE_PARAMETER.split() for marker in "?:"}
 OPERATORS |= {"?": ("?",), "*-": ("*", "-"), "/-": ("/", "-"), "+-": ("+", "-"), "?::": ("?", "::")}
 OPERATORS |= {"-?": ("-", "?"), "-:": ("-", ":"), "!~": ("!~",), "<=>": ("<=>",)}
-MARKS = frozenset("(),.;[]")
+PUNCTUATION = frozenset("(),.;[]")
 
 
 def tokenize(text: str, max_length: int = MAX_LENGTH) -> list[str]:
-    """The tokens as written, without comments and white space; `max_length` in characters.
+    """Returns the tokens as written, without comments and white space; `max_length` in characters.
 
     Raises UnsupportedStatementError.
     """
     if len(text) > max_length:
         raise UnsupportedStatementError(f"longer than {max_length} characters")
-    commented = "--" in text or "/*" in text
-    tokens: list[str] = (TOKEN if commented else UNCOMMENTED_TOKEN).findall(text)
+    may_have_comments = "--" in text or "/*" in text
+    tokens: list[str] = (TOKEN if may_have_comments else UNCOMMENTED_TOKEN).findall(text)
     while tokens and not tokens[-1]:
         tokens.pop()
     if not tokens:
@@ -68,7 +70,7 @@
     if len(tokens) > MAX_TOKENS:
         raise UnsupportedStatementError(f"more than {MAX_TOKENS} tokens")
     start = len(text) - len(tokens[-1])
-    if text.endswith(tokens[-1]) and not SUPPORTED.fullmatch(text, start):
+    if text.endswith(tokens[-1]) and not SUPPORTED_TOKEN.fullmatch(text, start):
         raise UnsupportedStatementError(unsupported_reason(tokens[-1]))
     return tokens
 
@@ -76,13 +78,13 @@
 def check_depth(text: str, tokens: list[str]) -> None:
     """Raises UnsupportedStatementError for a statement that nests deeper than MAX_DEPTH.
 
-    The parser recurses at each level, so deep nesting exhausts its stack, which shows as a failed parse or a
-    lost parser process. The depth is checked here, before any statement is sent to a parser.
+    The parser recurses at each level, so deep nesting exhausts its stack, and the parse fails or the parser
+    process dies. The depth is therefore checked before any statement is sent to a parser.
     """
     if len(tokens) <= MAX_DEPTH:
         return
     if text.count("(") + text.count("[") + text.count("case") + text.count("CASE") <= MAX_DEPTH // 2:
-        return  # as for nearly all texts; brackets within quotes are counted too, which only costs time
+        return  # nearly all statements; brackets within quotes count too, which only costs the full check
     depth = 0
     for token in tokens:
         keyword = token.lower() if len(token) < 5 else ""
@@ -94,8 +96,8 @@
             depth -= 1
 
 
-# By the start of the first unsupported token; the first entry that matches counts
-_REASONS_BY_START = (
+# By the prefix of the first unsupported token; the first matching entry applies
+_REASONS_BY_PREFIX = (
     (("--",), "a -- without a space after it: a comment to some, an operator to others"),
     (("/*",), "a comment that nests, is never closed or may be executed"),
     (("'", '"', "`"), "a quote that is not closed, holds a backslash or meets another word"),
@@ -104,9 +106,9 @@
 
 
 def unsupported_reason(remainder: str) -> str:
-    """Why a text is unsupported; `remainder` begins with its first unsupported token."""
-    for starts, reason in _REASONS_BY_START:
-        if remainder.startswith(starts):
+    """Why a statement is unsupported; `remainder` starts with its first unsupported token."""
+    for prefixes, reason in _REASONS_BY_PREFIX:
+        if remainder.startswith(prefixes):
             return reason
     if not remainder[0].isascii():
         return "a letter outside ASCII that is not quoted"
--- a/query_gateway/statements/normalizer.py
+++ b/query_gateway/statements/normalizer.py
@@ -1,12 +1,12 @@
-"""Normalized statements: a statement's tokens with the literals replaced, and those literals in order.
+"""Normalizes statements: the tokens with literals replaced by placeholders, and the literals in order.
 
-Two texts normalize to one statement only if they differ in literals, in the length of lists of literals, in
-rows of VALUES of one form, in white space, comments or the case of unquoted words. Two kinds of numbers are
-kept, as they are no values: numbers of columns after BY, and whether a number after LIMIT is above
+Two texts normalize to one statement only if they differ in literals, the length of lists of literals, the
+number of VALUES rows of one pattern, white space, comments or the case of unquoted words. Two kinds of
+numbers stay, because they are not values: column ordinals after BY, and whether a number after LIMIT is above
 `sort_rows`, on which a rule depends.
 
-The parser reads the normalized statement, never the text (`NormalizedStatement.canonical`), so a decision
-cannot depend on what was replaced. Every statement passes here, so the code is written for speed.
+The parser reads only the normalized statement (`NormalizedStatement.canonical`), never the original text, so
+a decision cannot depend on what was replaced. The code is optimized for speed: every statement passes it.
 """
 
 from hashlib import blake2b
@@ -14,53 +14,56 @@
 
 from query_gateway.statements.errors import UnsupportedStatementError
 from query_gateway.statements.lexer import (
-    MARKS,
     MAX_LENGTH,
     OPERATORS,
+    PUNCTUATION,
     check_depth,
     tokenize,
     unsupported_reason,
 )
 
 DIGITS = frozenset("0123456789")
-NUMBER, STRING, PARAMETER = "#", "$", "?"  # in place of a literal; no token of a text looks like these
+NUMBER, STRING, PARAMETER = "#", "$", "?"  # placeholders for literals; no other normalized token equals one
 SLOTS = frozenset((NUMBER, STRING, PARAMETER))
-FIRST_NUMBER = 7_000_000  # the parser reads the number of slot n as FIRST_NUMBER + n
-ROW_LIMIT_WORDS = frozenset(("limit", "first", "next", "top"))  # before a number of rows
+FIRST_NUMBER = 7_000_000  # the number in slot n is FIRST_NUMBER + n in the canonical text
+ROW_LIMIT_WORDS = frozenset(("limit", "first", "next", "top"))  # keywords before a number of rows
 BY_LIST_TERMINATORS = frozenset((
     "by", "having", "limit", "offset", "fetch", "order", "group", "window", "union", "except", "intersect",
     "select", "qualify", "rows", "range", "for", "from", "where",
 ))  # fmt: skip
-CONSTANT_WORDS = frozenset(("null", "true", "false", "default"))  # values of a row, but no literals
+CONSTANT_WORDS = frozenset(("null", "true", "false", "default"))  # values of a row, but not literals
 FINGERPRINT_BYTES = 16
-# Tokens with their normalized form; words are added as they come, and all words are dropped at this number
+# Bounds of the cache from tokens to their normalized form. Words are added on first use; when the cache is
+# full, all words are dropped.
 MAX_CACHED_TOKENS = 8_192
 MAX_CACHED_TOKEN_LENGTH = 40  # characters
-_FIXED_TOKENS = {mark: mark for mark in MARKS} | {op: one[0] for op, one in OPERATORS.items() if one == (op,)}
-for _special in ("?", ":", ";"):
-    _FIXED_TOKENS.pop(_special, None)
+_FIXED_TOKENS = {mark: mark for mark in PUNCTUATION} | {
+    op: one[0] for op, one in OPERATORS.items() if one == (op,)
+}
+for _context_dependent in ("?", ":", ";"):
+    _FIXED_TOKENS.pop(_context_dependent, None)
 _cached_tokens: dict[str, str] = dict(_FIXED_TOKENS)
 
-SEPARATOR = "\0"  # between the pieces of an operator run; no token holds it
-UNNUMBERED = "?"  # the literal of a positional parameter until all are known
+SEPARATOR = "\0"  # between the pieces of an operator run; never part of a token
+UNNUMBERED = "?"  # the literal of a positional parameter before numbering
 
-Literal = str | list[str]  # as written; of a list or of rows of VALUES, one for each
+Literal = str | list[str]  # as written; a list for an IN list or a column of VALUES rows
 
 
 class NormalizedStatement(NamedTuple):
-    """The tokens that all texts of one shape share, and the literals of one of them."""
+    """The tokens shared by all statements of one shape, and the literals of one such statement."""
 
-    fingerprint: bytes  # FINGERPRINT_BYTES long, over the tokens
+    fingerprint: bytes  # digest of the tokens, FINGERPRINT_BYTES long
     tokens: list[str]
     literals: list[Literal]  # by slot
 
     @property
     def name(self) -> str:
-        """The fingerprint in hexadecimal, as it is printed."""
+        """The fingerprint in hexadecimal, for display."""
         return self.fingerprint.hex()
 
     def canonical(self) -> str:
-        """The text that is parsed: each literal replaced by one that holds its slot."""
+        """Returns the text to parse, in which each literal is replaced by one that encodes its slot."""
         parts, slot = [], 0
         for token in self.tokens:
             if token in SLOTS:
@@ -78,7 +81,7 @@
 
 
 def normalize(text: str, sort_rows: int = 1_000, max_length: int = MAX_LENGTH) -> NormalizedStatement:
-    """The normalized form of one statement; closing semicolons are left out.
+    """Normalizes one statement; trailing semicolons are removed.
 
     Raises UnsupportedStatementError.
     """
@@ -89,19 +92,19 @@
         raise UnsupportedStatementError("empty")
     check_depth(text, tokens)
     literals: list[Literal] = []
-    out = _fold(tokens, sort_rows, literals)
+    out = _replace_literals(tokens, sort_rows, literals)
     fingerprint = blake2b(" ".join(out).encode(), digest_size=FINGERPRINT_BYTES).digest()
     return NormalizedStatement(fingerprint, out, literals)
 
 
-def _fold(tokens: list[str], sort_rows: int, literals: list[Literal]) -> list[str]:
-    """The tokens with the literals replaced, which are appended to `literals`.
+def _replace_literals(tokens: list[str], sort_rows: int, literals: list[Literal]) -> list[str]:
+    """Replaces the literals among the tokens and appends them to `literals`.
 
-    `map` looks all tokens up at C speed; only tokens that are not cached are visited one by one. An empty
-    text in `out` stands for a token that is left out.
+    `map` looks up all tokens at C speed, so only tokens that are not cached are visited one by one. An empty
+    string in `out` stands for a removed token.
     """
     out: list[str | None] = list(map(_cached_tokens.get, tokens))
-    needs_split = False  # a token is left out, or an element holds several pieces
+    needs_split = False  # a token is removed, or an element holds several pieces
     index, append = out.index, literals.append
     position = -1
     while True:
@@ -118,9 +121,9 @@
             append(token)
             out[position] = STRING
         elif initial.isalpha() or initial == "_":
-            needs_split = _fold_word(tokens, position, out, literals, sort_rows) or needs_split
+            needs_split = _normalize_word(tokens, position, out, literals, sort_rows) or needs_split
         else:
-            needs_split = _fold_symbol(tokens, position, out, literals) or needs_split
+            needs_split = _normalize_symbol(tokens, position, out, literals) or needs_split
     if UNNUMBERED in literals:
         _number_parameters(literals)
     if needs_split:
@@ -128,20 +131,20 @@
     return out  # type: ignore[return-value]  # no element is None any more
 
 
-def _fold_word(
+def _normalize_word(
     tokens: list[str], position: int, out: list[str | None], literals: list[Literal], sort_rows: int
 ) -> bool:
-    """An unquoted word, with the literals that it governs; returns whether tokens are left out."""
+    """Normalizes an unquoted word and the literals that depend on it; returns whether tokens are removed."""
     token = tokens[position]
-    if token[-1] == "'":  # e'...' and n'...': without a backslash the same as '...'
+    if token[-1] == "'":  # without backslashes, e'...' and n'...' are equal to '...'
         literals.append(token[1:])
         out[position] = STRING
         return False
     normalized = out[position] = token.lower()
     if normalized == "values":
-        return _fold_rows(tokens, position + 1, out, literals)
+        return _collapse_rows(tokens, position + 1, out, literals)
     if normalized == "in":
-        return _fold_members(tokens, position + 1, out, literals)
+        return _collapse_in_list(tokens, position + 1, out, literals)
     if normalized == "by":
         _keep_ordinals(tokens, position + 1, out)
     elif normalized in ROW_LIMIT_WORDS:
@@ -152,15 +155,17 @@
 
 
 def _cache_token(token: str, normalized: str) -> None:
-    # Clients that send ever new names would fill the memory; the words in use are soon cached again
+    # Bounded, as clients that keep sending new names would exhaust memory; words in use are soon cached again
     if len(_cached_tokens) >= MAX_CACHED_TOKENS:
         _cached_tokens.clear()
         _cached_tokens.update(_FIXED_TOKENS)
     _cached_tokens[token] = normalized
 
 
-def _fold_symbol(tokens: list[str], position: int, out: list[str | None], literals: list[Literal]) -> bool:
-    """A quoted name, a parameter or a run of operators; returns whether it holds several pieces."""
+def _normalize_symbol(
+    tokens: list[str], position: int, out: list[str | None], literals: list[Literal]
+) -> bool:
+    """Normalizes a quoted name, parameter or operator run; returns whether it holds several pieces."""
     token = tokens[position]
     initial = token[0]
     if initial in '"`':
@@ -190,7 +195,7 @@
 
 
 def _number_parameters(literals: list[Literal]) -> None:
-    """Positional parameters are numbered from 0 in the order of the text."""
+    """Numbers positional parameters from 0 in the order of the text."""
     number = 0
     for slot, literal in enumerate(literals):
         if literal == UNNUMBERED:
@@ -199,7 +204,7 @@
 
 
 def _keep_ordinals(tokens: list[str], start: int, out: list[str | None]) -> None:
-    """Keep the numbers that stand for a column: items of their own in the list after BY."""
+    """Keeps column ordinals: numbers that are complete items of the list after BY."""
     depth = 0
     previous = "by"
     for position in range(start, len(tokens)):
@@ -220,7 +225,7 @@
 
 
 def _classify_row_limits(tokens: list[str], position: int, out: list[str | None], sort_rows: int) -> None:
-    """After LIMIT and similar words only whether a number is within `sort_rows` matters."""
+    """Replaces numbers after LIMIT and similar words: only whether they are within `sort_rows` matters."""
     while position < len(tokens) and tokens[position][0].isdigit():
         out[position] = "1" if float(tokens[position]) <= sort_rows else str(sort_rows + 1)
         if position + 1 >= len(tokens) or tokens[position + 1] != ",":
@@ -228,8 +233,8 @@
         position += 2
 
 
-def _fold_members(tokens: list[str], start: int, out: list[str | None], literals: list[Literal]) -> bool:
-    """Fold a list of literals of one kind in parentheses: IN (1, 2, 3) is IN (1)."""
+def _collapse_in_list(tokens: list[str], start: int, out: list[str | None], literals: list[Literal]) -> bool:
+    """Collapses an IN list of literals of one kind: IN (1, 2, 3) becomes IN (1)."""
     if start >= len(tokens) or tokens[start] != "(":
         return False
     list_kind, values = "", []
@@ -247,16 +252,16 @@
     return False
 
 
-class _Row(NamedTuple):
-    """One row of VALUES that holds plain literals alone."""
+class _LiteralRow(NamedTuple):
+    """One row of VALUES that contains only plain literals and constants."""
 
     literals: list[str]
-    form: list[str]  # its tokens with the literals replaced
-    end: int  # the position after it
+    pattern: list[str]  # its tokens with placeholders for the literals
+    end: int  # the position after the row
 
 
-def _fold_rows(tokens: list[str], start: int, out: list[str | None], literals: list[Literal]) -> bool:
-    """Fold rows of VALUES that have one form: (1, 'a'), (2, 'b') is one row with two literals each."""
+def _collapse_rows(tokens: list[str], start: int, out: list[str | None], literals: list[Literal]) -> bool:
+    """Collapses VALUES rows of one pattern: (1, 'a'), (2, 'b') becomes one row with two literals per slot."""
     first_row = _read_row(tokens, start)
     if first_row is None:
         return False
@@ -264,40 +269,40 @@
     end = first_row.end
     while end < len(tokens) and tokens[end] == ",":
         row = _read_row(tokens, end + 1)
-        if row is None or row.form != first_row.form:
+        if row is None or row.pattern != first_row.pattern:
             break
         for slot, value in zip(slots, row.literals, strict=True):
             slot.append(value)
         end = row.end
-    out[start:end] = [*first_row.form, *[""] * (end - start - len(first_row.form))]
+    out[start:end] = [*first_row.pattern, *[""] * (end - start - len(first_row.pattern))]
     literals.extend(slots)
     return True
 
 
-def _read_row(tokens: list[str], start: int) -> _Row | None:
-    """The row that starts there; None if it holds more than plain literals."""
+def _read_row(tokens: list[str], start: int) -> _LiteralRow | None:
+    """Reads the row at `start`; None if it contains more than plain literals and constants."""
     if start >= len(tokens) or tokens[start] != "(":
         return None
     values: list[str] = []
-    form = ["("]
+    pattern = ["("]
     for position in range(start + 1, len(tokens)):
         token = tokens[position]
         if kind := _literal_kind(token):
             values.append(token)
-            form.append(kind)
+            pattern.append(kind)
         elif token in (",", "-"):
-            form.append(token)
+            pattern.append(token)
         elif token == ")":
-            return _Row(values, [*form, ")"], position + 1)
+            return _LiteralRow(values, [*pattern, ")"], position + 1)
         elif (constant := token.lower()) in CONSTANT_WORDS:
-            form.append(constant)
+            pattern.append(constant)
         else:
             break
     return None
 
 
 def _literal_kind(token: str) -> str:
-    """NUMBER or STRING; empty for anything else. Parameters depend on their position, so they do not fold."""
+    """NUMBER or STRING; empty for other tokens. Parameters depend on their position and are not collapsed."""
     initial = token[0]
     if initial.isdigit():
         return NUMBER
--- a/query_gateway/statements/purity.py
+++ b/query_gateway/statements/purity.py
@@ -1,17 +1,16 @@
-"""Node kinds and functions that are known to write nothing, by their names in sqlglot and in SQL.
+"""Allowlists of node types (by sqlglot name) and functions (by SQL name) without side effects.
 
-The lists are closed: a node or function that is not on them counts as a write. Pure means here that running
-it twice changes nothing stored, neither in the session nor outside; `random()` and `now()` are pure in that
-sense, `nextval` is not.
+A node or function that is not listed makes its statement a write. A function is pure here if running it twice
+changes no stored or session state; `random()` and `now()` are pure in this sense, `nextval` is not.
 """
 
 
 def words(text: str) -> frozenset[str]:
-    """The words of a text, separated by white space."""
+    """Splits a string at white space."""
     return frozenset(text.split())
 
 
-NODES = words("""
+READ_NODES = words("""
     Select Union Except Intersect Subquery Values Tuple From Join Where Group Having Order Ordered Limit
     Offset Fetch LimitOptions With CTE Table TableAlias Alias Aliases Column Identifier Star Literal
     Boolean Null Paren Distinct And Or Not Xor EQ NEQ GT GTE LT LTE NullSafeEQ NullSafeNEQ Is In Between
@@ -30,7 +29,7 @@
     Insert Update Delete Merge Whens When Schema OnConflict Returning
 """)
 
-# Names of functions and of what databases give several names; the operator's file adds its own
+# Function names, with the aliases of each database; the operator's file can add more
 PURE_FUNCTIONS = words("""
     abs acos acosd age any_value approx_count_distinct approx_distinct approx_percentile arg_max arg_min
     array array_agg array_append array_cat array_concat array_contains array_distinct array_join
@@ -74,37 +73,37 @@
     from_base64 to_base64 to_unixtime at_timezone lengthb
 """)
 
-# In a load these change only a counter that no key depends on
-LOAD_FUNCTIONS = words("""
+# Also allowed in loads: they change only a counter that no key depends on
+PURE_LOAD_FUNCTIONS = words("""
     nextval currval lastval uuid_generate_v4 last_insert_rowid newid sysdate
 """)
 
-# Names that write wherever they stand, even without parentheses or as a row's attribute, and words of
-# statements that write. Checked beside the tree, so that one that the parser overlooks still counts as a
-# write
-HARMFUL_NAMES = words("""
+# Functions with side effects, matched by name anywhere, even without parentheses or as an attribute of a row,
+# and keywords of statements that write. They are checked against the tokens in addition to the tree, so that
+# one that the parser overlooks still makes the statement a write.
+SIDE_EFFECT_NAMES = words("""
     nextval setval currval lastval pg_sleep dblink dblink_exec lo_import lo_export lo_unlink pg_notify
     set_config pg_terminate_backend pg_cancel_backend pg_reload_conf query_to_xml sleep benchmark
     get_lock release_lock load_file sys_exec sys_eval last_insert_id setseed pg_advisory_lock
     pg_advisory_xact_lock pg_try_advisory_lock pg_logical_emit_message pg_switch_wal pg_read_file
     txid_current
 """)
-HARMFUL_WORDS = words("""
+WRITE_KEYWORDS = words("""
     insert update delete merge into truncate drop alter create grant revoke outfile dumpfile lock
     sql_calc_found_rows high_priority
 """)
 
-# Words that begin statements of other kinds. As names they are harmless, so they count only where a query
-# could begin and another word follows
-STARTERS = words("""
+# First keywords of other statements. They are also valid names, so they are matched only where a query could
+# start and another word follows.
+STATEMENT_KEYWORDS = words("""
     call execute exec do set reset use begin commit rollback savepoint start copy show describe desc handler
     import export load unload kill prepare deallocate listen notify unlisten vacuum reindex cluster refresh
     analyze checkpoint discard declare fetch move close comment attach detach install pragma summarize pivot
     flush optimize rename table explain replace security reassign abort end release upsert put get
 """)
 
-# Words that call no function though an opening parenthesis follows
-NO_CALLS = words("""
+# Words that may precede an opening parenthesis without being a function call
+NON_FUNCTION_WORDS = words("""
     in values and or not on using as from join select where when then else case over filter group within
     by any some all exists union except intersect distinct having limit between like ilike is lateral
     interval with recursive materialized table offset fetch cross inner outer left right full natural
--- a/query_gateway/statements/reader.py
+++ b/query_gateway/statements/reader.py
@@ -1,8 +1,8 @@
-"""The full parse of a normalized statement: a read only if every node of its tree is known to write nothing.
+"""Fully parses a normalized statement: it is a read only if every node of its tree is free of side effects.
 
-Three checks, each of which makes a statement a write by itself: words and names that write, wherever they
-stand; functions called, by name; and the kinds of the tree's nodes. A statement that does not parse is
-rejected. The messages of errors are reasons that reach the client.
+Each of three checks can make a statement a write: keywords and names that write, at any position; names of
+called functions; and the types of the tree's nodes. A statement that does not parse is rejected. The messages
+of errors are sent to the client as reasons.
 """
 
 import logging
@@ -29,41 +29,41 @@
     analyze verbose extended formatted costs buffers timing summary format json text off on true false ,
     ( )
 """)
-DML = ("Insert", "Update", "Delete", "Merge")
-READ_STARTS = frozenset(("select", "with", "values", "from", "("))
-QUERIES = (exp.Select, exp.SetOperation, exp.Subquery, exp.Values)
+DML_NODE_TYPES = ("Insert", "Update", "Delete", "Merge")
+READ_START_TOKENS = frozenset(("select", "with", "values", "from", "("))
+QUERY_TYPES = (exp.Select, exp.SetOperation, exp.Subquery, exp.Values)
 QUOTES = '"`'
 MAX_SHOWN_NAME = 60  # characters of a function's name in a reason
-MAX_SHOWN_WORD = 20
+MAX_SHOWN_WORD = 20  # characters of a statement's first word in a reason
 
 
 class Reader:
-    """Parses normalized statements by one set of rules. Keeps no state between statements."""
+    """Parses normalized statements by one set of rules; stateless between statements."""
 
     def __init__(self, rules: Rules) -> None:
-        """Uses the dialect, the additional pure functions, the key rules and the bounds of reports."""
+        """Uses the rules' dialect, additional pure functions, key rules and criteria for reports."""
         self.rules = rules
         self.dialect = "" if rules.dialect == "ansi" else rules.dialect
         pure = {name.casefold() for name in rules.pure}
-        self.pure = purity.PURE_FUNCTIONS | {name for name in pure if "." not in name}
-        self.pure_in_loads = self.pure | purity.LOAD_FUNCTIONS
-        self.qualified = {name for name in pure if "." in name}
+        self.pure_functions = purity.PURE_FUNCTIONS | {name for name in pure if "." not in name}
+        self.pure_functions_in_loads = self.pure_functions | purity.PURE_LOAD_FUNCTIONS
+        self.qualified_pure_functions = {name for name in pure if "." in name}
 
     def read(self, statement: NormalizedStatement, text: str | None = None) -> ParseResult:
-        """`text`: what is parsed in place of the statement's canonical text, to compare the two."""
+        """Parses a statement. `text` replaces its canonical text, to compare the results of the two."""
         tokens = statement.tokens
         try:
             if tokens[0] == "explain":
-                return self._read_explain(statement)
+                return self._parse_explain(statement)
             tree = self._parse(statement.canonical() if text is None else text)
-            return self._read_tree(tree, tokens)
+            return self._classify_tree(tree, tokens)
         except UnparsedStatementError as error:
             return ParseResult(True, reason=str(error), is_parsed=False)
         except NotReadOnlyError as error:
             return ParseResult(True, reason=str(error))
 
     def _parse(self, text: str) -> Any:
-        """The one tree of the text. Raises UnparsedStatementError."""
+        """Returns the only tree of the text. Raises UnparsedStatementError."""
         try:
             trees = sqlglot.parse(text, read=self.dialect)
         except SqlglotError:
@@ -74,23 +74,23 @@
             raise UnparsedStatementError("more than one statement")
         return trees[0]
 
-    def _read_tree(self, tree: Any, tokens: list[str]) -> ParseResult:
-        """Raises NotReadOnlyError."""
+    def _classify_tree(self, tree: Any, tokens: list[str]) -> ParseResult:
+        """Classifies a parsed statement. Raises NotReadOnlyError."""
         kind = type(tree).__name__
-        if kind in DML:
-            return self._read_load(tree, kind.lower(), tokens)
-        # sqlglot parses statements that it does not know, such as DO 'x', as an expression. One that writes
-        # would then count as a read. Only a query that begins with a word of a query is taken for one.
-        if tokens[0] not in READ_STARTS or not isinstance(tree, QUERIES):
+        if kind in DML_NODE_TYPES:
+            return self._parse_load(tree, kind.lower(), tokens)
+        # sqlglot parses unknown statements, such as DO 'x', as expressions, so one that writes would be taken
+        # for a read. Therefore a read must be a query that starts with a keyword of a query.
+        if tokens[0] not in READ_START_TOKENS or not isinstance(tree, QUERY_TYPES):
             shown_word = tokens[0].strip(QUOTES)[:MAX_SHOWN_WORD].upper()
             raise NotReadOnlyError(f"{shown_word} begins no known read")
-        self._prove(tree, tokens, False)
+        self._require_no_side_effects(tree, tokens, False)
         return ParseResult(False, self._is_report(tree))
 
-    def _read_explain(self, statement: NormalizedStatement) -> ParseResult:
-        """EXPLAIN of a write counts as that write: with ANALYZE it runs.
+    def _parse_explain(self, statement: NormalizedStatement) -> ParseResult:
+        """Parses the explained statement; EXPLAIN of a write is rejected, because with ANALYZE it runs.
 
-        The parser does not take an EXPLAIN apart, so its options are skipped here. Raises
+        sqlglot does not parse the statement within an EXPLAIN, so the options are skipped here. Raises
         UnparsedStatementError.
         """
         tokens = statement.tokens
@@ -104,33 +104,35 @@
             raise UnparsedStatementError(f"an EXPLAIN of a write: {result.reason or result.verb}")
         return result
 
-    # ---- proof that nothing is written
+    # ---- check for side effects
 
-    def _prove(self, tree: Any, tokens: list[str], is_load: bool) -> None:
-        """Raises NotReadOnlyError. Of a load, what it may do beside its own write is proven."""
-        self._check_words(tree, tokens, is_load)
-        written = {token.strip(QUOTES).casefold() for token in tokens}
+    def _require_no_side_effects(self, tree: Any, tokens: list[str], is_load: bool) -> None:
+        """Raises NotReadOnlyError at possible side effects; of a load, at any beyond its own write."""
+        self._check_tokens(tree, tokens, is_load)
+        token_names = {token.strip(QUOTES).casefold() for token in tokens}
         for table in tree.find_all(exp.Table):
-            # sqlglot takes a text in quotes after FROM for a table's name, and some engines read the file of
-            # that name. The statement would count as a read of a table. A name that stands nowhere as a word
-            # is no table.
-            if isinstance(table.this, exp.Identifier) and table.name.casefold() not in written:
+            # sqlglot parses a string literal after FROM as a table name, but some engines read the file of
+            # that name, so the statement would be taken for a read of a table. A name that is not among the
+            # tokens is not a table.
+            if isinstance(table.this, exp.Identifier) and table.name.casefold() not in token_names:
                 raise NotReadOnlyError("a table that is no name")
         for node in tree.walk():
-            self._check_kind(node, is_load)
+            self._check_node(node, is_load)
 
-    def _check_kind(self, node: Any, is_load: bool) -> None:
+    def _check_node(self, node: Any, is_load: bool) -> None:
         name = type(node).__name__
         if isinstance(node, exp.Anonymous):
             if not isinstance(node.this, str) and not isinstance(node.this, exp.Identifier):
                 raise NotReadOnlyError("a function whose name is not plain")
             self._check_function(node, is_load)
-        elif name in purity.NODES or (is_load and name in purity.WRITE_NODES):
+        elif name in purity.READ_NODES or (is_load and name in purity.WRITE_NODES):
             _check_query_node(node)
-            _check_plain_node(node)
+            _check_name_node(node)
         elif not isinstance(node, exp.Func):
             raise NotReadOnlyError(f"{name.upper()} is not known to write nothing")
-        elif not any(sql_name.casefold() in self._pure_functions(is_load) for sql_name in node.sql_names()):
+        elif not any(
+            sql_name.casefold() in self._allowed_functions(is_load) for sql_name in node.sql_names()
+        ):
             raise NotReadOnlyError(f"function {node.sql_name()} is not known to write nothing")
 
     def _check_function(self, node: Any, is_load: bool) -> None:
@@ -144,18 +146,18 @@
             raise NotReadOnlyError(f"function {name[:MAX_SHOWN_NAME]} is not known to write nothing")
 
     def _is_pure(self, name: str, is_load: bool) -> bool:
-        """A qualified name counts only by its own entry, but for those of the databases themselves."""
+        """Whether a function is pure. A qualified name needs its own entry, except in `pg_catalog`."""
         owner, _, plain = name.rpartition(".")
         if not owner or owner == "pg_catalog":
-            return plain in self._pure_functions(is_load) or name in self.qualified
-        return name in self.qualified
+            return plain in self._allowed_functions(is_load) or name in self.qualified_pure_functions
+        return name in self.qualified_pure_functions
 
-    def _pure_functions(self, is_load: bool) -> frozenset[str]:
-        return self.pure_in_loads if is_load else self.pure
+    def _allowed_functions(self, is_load: bool) -> frozenset[str]:
+        return self.pure_functions_in_loads if is_load else self.pure_functions
 
-    def _check_words(self, tree: Any, tokens: list[str], is_load: bool) -> None:
-        """The tokens alone: words that write, and each name before a parenthesis."""
-        column_owners = _names_with_columns(tree, is_load)
+    def _check_tokens(self, tree: Any, tokens: list[str], is_load: bool) -> None:
+        """Checks the tokens alone: keywords and names that write, and each name before a parenthesis."""
+        names_with_columns = _names_with_column_list(tree, is_load)
         for position, token in enumerate(tokens):
             initial = token[0]
             is_quoted = initial in QUOTES
@@ -165,16 +167,16 @@
                 name = token
             else:
                 continue
-            if name in purity.HARMFUL_NAMES and not (is_load and name in purity.LOAD_FUNCTIONS):
+            if name in purity.SIDE_EFFECT_NAMES and not (is_load and name in purity.PURE_LOAD_FUNCTIONS):
                 raise NotReadOnlyError(f"{name} may write")
             if not is_quoted:
-                _check_unquoted_word(tokens, position, is_load)
-            is_call = tokens[position + 1 : position + 2] == ["("] and name not in column_owners
-            if is_call and (is_quoted or name not in purity.NO_CALLS):
+                _check_unquoted_keyword(tokens, position, is_load)
+            is_call = tokens[position + 1 : position + 2] == ["("] and name not in names_with_columns
+            if is_call and (is_quoted or name not in purity.NON_FUNCTION_WORDS):
                 self._check_call(tokens, position, name, is_load)
 
     def _check_call(self, tokens: list[str], position: int, name: str, is_load: bool) -> None:
-        """A name before a parenthesis has to be that of a pure function."""
+        """Raises NotReadOnlyError unless the name before a parenthesis is that of a pure function."""
         if position >= 2 and tokens[position - 1] == ".":
             owner = tokens[position - 2]
             owner = owner[1:-1] if owner[0] in QUOTES else owner
@@ -184,21 +186,21 @@
 
     # ---- loads
 
-    def _read_load(self, tree: Any, verb: str, tokens: list[str]) -> ParseResult:
+    def _parse_load(self, tree: Any, verb: str, tokens: list[str]) -> ParseResult:
         rules = self.rules.keys
-        is_proven = False
+        has_no_other_side_effects = False
         try:
             target = keys.target_of(tree)
             _check_single_write(tree, verb)
-            # A function that is not known may change rows of other keys, which would then run out of order
-            # with their own loads. A load is keyed only if its other parts are proven to write nothing.
-            self._prove(tree, tokens, True)
-            is_proven = True
+            # An unknown function may change rows of other keys, out of order with the loads of those keys. A
+            # load therefore gets a key only if its other parts are known to have no side effects.
+            self._require_no_side_effects(tree, tokens, True)
+            has_no_other_side_effects = True
             index = keys.key_rule_index(target, rules)
             references = keys.key_references(tree, rules[index])
             return ParseResult(True, key_rule_index=index, key_references=references, verb=verb)
         except NoKeyRuleError as error:
-            return ParseResult(True, reason=str(error), verb=verb, lacks_key_rule=is_proven)
+            return ParseResult(True, reason=str(error), verb=verb, lacks_key_rule=has_no_other_side_effects)
         except (UndeterminedKeyError, NotReadOnlyError) as error:
             return ParseResult(True, reason=str(error), verb=verb)
 
@@ -217,7 +219,7 @@
         return (sorts and not is_bounded) or (self.rules.unselective and (sorts or not is_bounded))
 
     def _is_complex(self, tree: Any) -> bool:
-        """Whether its windows, aggregates or joins make it a report, whatever rows it selects."""
+        """Whether windows, aggregates or joins make it a report, regardless of the rows that it selects."""
         rules = self.rules
         if rules.windows and tree.find(exp.Window):
             return True
@@ -227,7 +229,7 @@
 
 
 def _end_of_explain_options(tokens: list[str]) -> int:
-    """The position after EXPLAIN and its options, with or without parentheses."""
+    """Returns the position after EXPLAIN and its options, with or without parentheses."""
     start = 1
     while start < len(tokens) and tokens[start] in EXPLAIN_OPTIONS and tokens[start] != "(":
         start += 1
@@ -241,7 +243,7 @@
 
 
 def _check_query_node(node: Any) -> None:
-    """Raises NotReadOnlyError at a query that locks or stores, or at parentheses that hold none."""
+    """Raises NotReadOnlyError at a query that locks or stores rows, or at parentheses without a query."""
     if isinstance(node, exp.Select) and (node.args.get("into") or node.args.get("locks")):
         raise NotReadOnlyError("SELECT INTO or a locking clause")
     if isinstance(node, exp.Select) and not node.expressions:
@@ -249,14 +251,14 @@
     if not isinstance(node, (exp.CTE, exp.Exists, exp.Subquery)):
         return
     is_join = isinstance(node.this, exp.Table) and node.this.args.get("joins")
-    if not is_join and not isinstance(node.this, QUERIES):
-        # sqlglot parses (SAVEPOINT a) as an expression with an alias. A statement in parentheses that writes
-        # would then count as a read. Only a query, or a join of tables, may stand in parentheses.
+    if not is_join and not isinstance(node.this, QUERY_TYPES):
+        # sqlglot parses (SAVEPOINT a) as an expression with an alias, so a write in parentheses would be
+        # taken for a read. Therefore only a query or a join of tables is allowed in parentheses.
         raise NotReadOnlyError("something in parentheses that is no query")
 
 
-def _check_plain_node(node: Any) -> None:
-    """Raises NotReadOnlyError at names, types and tuples that may call code or hide a statement."""
+def _check_name_node(node: Any) -> None:
+    """Raises NotReadOnlyError at names, types and tuples that may call code or contain a statement."""
     if isinstance(node, exp.Table) and not isinstance(node.this, (exp.Identifier, exp.Func)):
         raise NotReadOnlyError("a table that is no name")
     if isinstance(node, exp.Tuple) and not node.expressions and not node.find_ancestor(exp.Group):
@@ -268,8 +270,8 @@
         raise NotReadOnlyError("a dotted name that is not plain")
 
 
-def _names_with_columns(tree: Any, is_load: bool) -> set[str]:
-    """Names that a list of columns follows in parentheses, so that they call nothing."""
+def _names_with_column_list(tree: Any, is_load: bool) -> set[str]:
+    """Names before a list of columns in parentheses, which are not function calls."""
     names = set()
     for alias in tree.find_all(exp.TableAlias):
         if alias.args.get("columns") and alias.this:
@@ -280,20 +282,20 @@
     return names
 
 
-def _check_unquoted_word(tokens: list[str], position: int, is_load: bool) -> None:
-    """Raises NotReadOnlyError at a word that writes, or that begins a statement of another kind."""
+def _check_unquoted_keyword(tokens: list[str], position: int, is_load: bool) -> None:
+    """Raises NotReadOnlyError at a keyword that writes, or that starts another kind of statement."""
     token = tokens[position]
     previous_token = tokens[position - 1] if position else ""
     next_token = tokens[position + 1] if position + 1 < len(tokens) else ""
-    if not is_load and token in purity.HARMFUL_WORDS and previous_token != "." and next_token != ".":
+    if not is_load and token in purity.WRITE_KEYWORDS and previous_token != "." and next_token != ".":
         raise NotReadOnlyError(f"{token.upper()} writes")
-    if previous_token == "(" and token in purity.STARTERS and next_token[:1].isalpha():
+    if previous_token == "(" and token in purity.STATEMENT_KEYWORDS and next_token[:1].isalpha():
         raise NotReadOnlyError(f"{token.upper()} begins no known read")
 
 
 def _check_single_write(tree: Any, verb: str) -> None:
-    """Raises UndeterminedKeyError at a load that changes more than the rows that it names."""
-    nested = (node for node in tree.walk() if node is not tree and type(node).__name__ in DML)
+    """Raises UndeterminedKeyError at a load that changes other rows than those that it names."""
+    nested = (node for node in tree.walk() if node is not tree and type(node).__name__ in DML_NODE_TYPES)
     if any(not isinstance(node.parent, exp.When) for node in nested):
         raise UndeterminedKeyError("it writes more than one table")
     if verb == "insert" and (tree.args.get("overwrite") or tree.args.get("alternative")):
@@ -315,14 +317,14 @@
 
 
 def _reads_tables(tree: Any) -> bool:
-    """Whether it reads a table that is not one of its own common table expressions."""
-    common = {cte.alias.casefold() for cte in tree.find_all(exp.CTE)}
+    """Whether it reads a table other than its own common table expressions."""
+    cte_names = {cte.alias.casefold() for cte in tree.find_all(exp.CTE)}
     tables = [table for table in tree.find_all(exp.Table) if isinstance(table.this, exp.Identifier)]
-    return any(table.name.casefold() not in common or table.args.get("db") for table in tables)
+    return any(table.name.casefold() not in cte_names or table.args.get("db") for table in tables)
 
 
 def _is_bounded(tree: Any, max_rows: int) -> bool:
-    """Whether a LIMIT up to `max_rows`, which the normalized statement has as 1, bounds its result."""
+    """Whether a LIMIT of at most `max_rows` bounds its result; such a limit is normalized to 1."""
     limit = tree.args.get("limit")
     if limit is None:
         return False
@@ -331,7 +333,7 @@
 
 
 def _is_selective(predicate: Any) -> bool:
-    """Whether a predicate selects rows: a column that equals one value, or is one of a list."""
+    """Whether a predicate restricts a column to one value or to a list of values."""
     return any(_is_selective_part(part) for part in keys.conjuncts(predicate))
 
 
--- a/query_gateway/statements/values.py
+++ b/query_gateway/statements/values.py
@@ -1,7 +1,7 @@
-"""The key of a load from the literals that its parse result refers to.
+"""Computes the key of a load from the literals that its parse result refers to.
 
-Two texts that mean one value get one key, so comparison is coarse: 42, '42', 042 and 42.0 are equal, and so
-are two spellings that any collation treats as equal. Where an engine might read another value,
+Two spellings of one value must give one key, so comparison is coarse: 42, '42', 042 and 42.0 are equal, and
+so are strings that any collation treats as equal. Where an engine might interpret a literal as another value,
 UndeterminedKeyError is raised.
 """
 
@@ -17,15 +17,15 @@
 
 DECIMAL = re.compile(r"[+-]?(\d{1,40}(\.\d*)?|\.\d{1,40})([eE][+-]?\d{1,2})?", re.ASCII)
 AMBIGUOUS_NUMBER = re.compile(r"[+-]?0[xXoObB][0-9a-fA-F_]+|[+-]?\d[\d_]*_[\d_]*", re.ASCII)
-KEY_BYTES = 8  # printed as twice as many hexadecimal digits
-INVISIBLE = "Cf"  # the Unicode category of format characters
-NOT_AN_INTEGER = "a key that is no whole number may be rounded"
+KEY_BYTES = 8  # size of the digest, printed as twice as many hexadecimal digits
+FORMAT_CATEGORY = "Cf"  # the Unicode category of format characters
+NOT_AN_INTEGER_REASON = "a key that is no whole number may be rounded"
 
 
 def normalize_value(raw: str, reference: LiteralReference, key_type: str) -> str:
-    """A literal's value in one spelling, for a key of `key_type` as in `KeyRule.type`.
+    """Returns the canonical spelling of a literal, for a key of `key_type` as in `KeyRule.type`.
 
-    Raises UndeterminedKeyError where an engine might read another value in it.
+    Raises UndeterminedKeyError if an engine might interpret the literal as another value.
     """
     is_text = raw.startswith("'")
     if reference.negative and (is_text or reference.cast == "text"):
@@ -35,56 +35,56 @@
     content = raw[1:-1].replace("''", "'") if is_text else raw
     content = unicodedata.normalize("NFKC", content).strip()
     if key_type == "text":
-        return _text_value(content, is_text, reference)
-    return _number_or_text_value(content, is_text, reference, key_type)
+        return _normalize_text(content, is_text, reference)
+    return _normalize_number_or_text(content, is_text, reference, key_type)
 
 
-def _text_value(content: str, is_text: bool, reference: LiteralReference) -> str:
+def _normalize_text(content: str, is_text: bool, reference: LiteralReference) -> str:
     if reference.cast == "integer" or not (is_text or reference.cast == "text"):
         raise UndeterminedKeyError("a number where the key is a text")
     if not is_text:
         if not DECIMAL.fullmatch(content):
-            raise UndeterminedKeyError(NOT_AN_INTEGER)
-        content = str(_integer(content))
-    return "t" + _without_collation(content)
+            raise UndeterminedKeyError(NOT_AN_INTEGER_REASON)
+        content = str(_parse_integer(content))
+    return "t" + _fold_collation(content)
 
 
-def _number_or_text_value(content: str, is_text: bool, reference: LiteralReference, key_type: str) -> str:
+def _normalize_number_or_text(content: str, is_text: bool, reference: LiteralReference, key_type: str) -> str:
     if DECIMAL.fullmatch(content):
-        number = _integer(content)
+        number = _parse_integer(content)
         return f"i{-number if reference.negative else number}"
     if key_type == "integer" or reference.cast == "integer" or reference.negative or not is_text:
         raise UndeterminedKeyError("a key that is no whole number")
     if AMBIGUOUS_NUMBER.fullmatch(content):
         raise UndeterminedKeyError("a number in a spelling that engines read differently")
-    return "t" + _without_collation(content)
+    return "t" + _fold_collation(content)
 
 
-def _integer(content: str) -> int:
+def _parse_integer(content: str) -> int:
     value = Decimal(content)
     if value != value.to_integral_value():
-        raise UndeterminedKeyError(NOT_AN_INTEGER)
+        raise UndeterminedKeyError(NOT_AN_INTEGER_REASON)
     return int(value)
 
 
-def _without_collation(text: str) -> str:
-    """One spelling of texts that any collation treats as equal: no case, accents or outer white space."""
+def _fold_collation(text: str) -> str:
+    """Folds strings that any collation treats as equal: removes case, accents and outer white space."""
     decomposed = unicodedata.normalize("NFKD", text.casefold())
-    plain = "".join(character for character in decomposed if _is_significant(character))
-    return unicodedata.normalize("NFKC", plain).casefold().strip()
+    folded = "".join(character for character in decomposed if _is_significant(character))
+    return unicodedata.normalize("NFKC", folded).casefold().strip()
 
 
 def _is_significant(character: str) -> bool:
-    return not unicodedata.combining(character) and unicodedata.category(character) != INVISIBLE
+    return not unicodedata.combining(character) and unicodedata.category(character) != FORMAT_CATEGORY
 
 
-def key_of(
+def compute_key(
     rule: KeyRule,
     references: Sequence[LiteralReference],
     literals: Sequence[Literal],
     parameters: Sequence[object] = (),
 ) -> str:
-    """The key, 16 hexadecimal digits, of one text of a shape. `parameters`: the values bound to them.
+    """Returns the key of one statement as 16 hexadecimal digits. `parameters`: the bound values.
 
     Raises UndeterminedKeyError.
     """
@@ -100,11 +100,11 @@
 
 
 def _resolve_parameter(raw: str, parameters: Sequence[object]) -> str:
-    """A literal, or the value bound to a parameter, written as a literal."""
+    """Returns a literal unchanged, and the value bound to a parameter as a literal."""
     if raw[0] not in "?$:":
         return raw
-    first_number = 1 if raw[0] == "$" else 0
-    position = int(raw[1:]) - first_number if raw[1:].isdigit() else -1
+    first_index = 1 if raw[0] == "$" else 0
+    position = int(raw[1:]) - first_index if raw[1:].isdigit() else -1
     if not 0 <= position < len(parameters):
         raise UndeterminedKeyError("the key is a parameter whose value is not told")
     value = parameters[position]
