--- a/tests/test_decisions.py
+++ b/tests/test_decisions.py
@@ -1,4 +1,4 @@
-"""The mechanism and each failure found, on scripted events."""
+"""The decisions of one scheduler on scripted events: admission, restarts, ejection, memory, quotas."""
 
 import math
 from dataclasses import replace
@@ -23,91 +23,95 @@
 from query_gateway.policy.fleet_estimator import FLEET_ESTIMATOR
 from query_gateway.policy.scheduler import Scheduler
 from query_gateway.policy.work_estimate import expected_work
-from tests.world import LOAD, MS, QUICK, REPORT, SEC, SITE, World, cancels, engine
+from tests.world import LOAD, MS, QUICK, REPORT, SEC, SITE, SchedulerHarness, cancellations, engine
 
-ONE = (engine("a"),)
-TWO = (engine("a"), engine("b"))
-MANY = tuple(engine(name) for name in "abcdef")
+ONE_ENGINE = (engine("a"),)
+TWO_ENGINES = (engine("a"), engine("b"))
+SIX_ENGINES = tuple(engine(name) for name in "abcdef")
 
 
-def _rejected(world: World) -> list[int]:
-    return [action.request_id for action in world.last_actions if isinstance(action, Reject)]
+def _rejected_ids(harness: SchedulerHarness) -> list[int]:
+    return [action.request_id for action in harness.last_actions if isinstance(action, Reject)]
 
 
-def fill(world: World, count: int = 200) -> None:
+def send_requests(harness: SchedulerHarness, count: int = 200) -> None:
     for _ in range(count):
-        world.send_request()
+        harness.send_request()
 
 
 def test_calm_queries_leave_at_once_and_spread() -> None:
-    world = World(engines=TWO)
-    for tables in range(4):
-        world.send_request(table_group=float(tables))
-    assert sorted(forward.endpoint for forward in world.sent) == ["a", "a", "b", "b"]
+    harness = SchedulerHarness(engines=TWO_ENGINES)
+    for table_group in range(4):
+        harness.send_request(table_group=float(table_group))
+    assert sorted(forward.endpoint for forward in harness.sent) == ["a", "a", "b", "b"]
 
 
 def test_overload_is_rejected_early_with_advice_when_to_return() -> None:
-    world = World(engines=ONE)
-    fill(world)
-    assert len(world.sent) < 40
-    refusal = next(action for action in world.last_actions if isinstance(action, Reject))
-    assert 0 < refusal.retry_after <= SITE.max_retry_after
+    harness = SchedulerHarness(engines=ONE_ENGINE)
+    send_requests(harness)
+    assert len(harness.sent) < 40
+    rejection = next(action for action in harness.last_actions if isinstance(action, Reject))
+    assert 0 < rejection.retry_after <= SITE.max_retry_after
 
 
 def test_no_advice_where_the_site_has_none() -> None:
-    world = World(replace(SITE, allows_retry_after=False), ONE)
-    fill(world)
-    assert [action.retry_after for action in world.last_actions if isinstance(action, Reject)] == [0]
+    harness = SchedulerHarness(replace(SITE, allows_retry_after=False), ONE_ENGINE)
+    send_requests(harness)
+    assert [action.retry_after for action in harness.last_actions if isinstance(action, Reject)] == [0]
 
 
 def test_queued_queries_leave_by_earliest_deadline() -> None:
-    world = World(engines=ONE)
-    while len(world.sent) == world.next_request_id:
-        world.send_request(1)
-    world.send_request(1, time_left=12 * SEC)
-    tight = world.send_request(1, time_left=5 * SEC)
-    assert tight.request_id not in {forward.request_id for forward in world.sent}
-    sent_before = len(world.sent)
-    for forward in list(world.sent):
-        world.end_attempt(forward.request_id, OutcomeCode.OK, duration=SEC)
-        if len(world.sent) > sent_before:
+    harness = SchedulerHarness(engines=ONE_ENGINE)
+    while len(harness.sent) == harness.next_request_id:
+        harness.send_request(1)
+    harness.send_request(1, time_left=12 * SEC)
+    urgent = harness.send_request(1, time_left=5 * SEC)
+    assert urgent.request_id not in {forward.request_id for forward in harness.sent}
+    sent_before = len(harness.sent)
+    for forward in list(harness.sent):
+        harness.end_attempt(forward.request_id, OutcomeCode.OK, duration=SEC)
+        if len(harness.sent) > sent_before:
             break
-    assert world.sent[sent_before].request_id == tight.request_id
+    assert harness.sent[sent_before].request_id == urgent.request_id
 
 
 def test_a_query_that_endangers_more_weight_than_its_own_is_rejected() -> None:
-    world = World(replace(SITE, classes=(replace(QUICK, latency_objective=2 * SEC), REPORT)), ONE)
-    scheduler = world.scheduler
-    while len(world.sent) == world.next_request_id:
-        world.send_request()
-    held = world.send_request()
-    query = scheduler.state.queries[held.request_id]
+    harness = SchedulerHarness(
+        replace(SITE, classes=(replace(QUICK, latency_objective=2 * SEC), REPORT)), ONE_ENGINE
+    )
+    scheduler = harness.scheduler
+    while len(harness.sent) == harness.next_request_id:
+        harness.send_request()
+    queued = harness.send_request()
+    query = scheduler.state.queries[queued.request_id]
     assert query.queued_at is not None
-    query.priority_weight, query.start_at = 50.0, query.due_at - query.run_time - 1.0  # it would just make it
-    small = world.send_request(time_left=SEC)
+    # It would start 1 ns before it becomes late
+    query.priority_weight, query.start_at = 50.0, query.due_at - query.run_time - 1.0
+    newcomer = harness.send_request(time_left=SEC)
     assert Reject in {
-        type(action) for action in world.last_actions if getattr(action, "request_id", 0) == small.request_id
+        type(action)
+        for action in harness.last_actions
+        if getattr(action, "request_id", 0) == newcomer.request_id
     }
 
 
 def test_nothing_more_is_queued_once_clients_find_no_place() -> None:
-    """All connections that clients may have are held by queued requests.
+    """If queued requests held all client connections, further clients could not connect and would time out.
 
-    Clients that come next find no connection and time out unanswered. The guard rejects what would be queued
-    while the open requests hold most of the connections, so that each client that connects gets an answer.
+    While open requests hold most of the connections, requests are rejected instead of queued.
     """
-    open_and_queued = {}
-    for places in (0, 40):
-        world = World(replace(SITE, max_client_connections=places), ONE)
-        while len(world.sent) == world.next_request_id:
-            world.send_request()
+    counts_by_limit = {}
+    for max_connections in (0, 40):
+        harness = SchedulerHarness(replace(SITE, max_client_connections=max_connections), ONE_ENGINE)
+        while len(harness.sent) == harness.next_request_id:
+            harness.send_request()
         for _ in range(60):
-            world.send_request()
-        open_and_queued[places] = (
-            len(world.scheduler.state.queries),
-            len(world.scheduler.state.workload.queue.entries),
+            harness.send_request()
+        counts_by_limit[max_connections] = (
+            len(harness.scheduler.state.queries),
+            len(harness.scheduler.state.workload.queue.entries),
         )
-    assert open_and_queued[0][0] > 40 >= open_and_queued[40][0] and open_and_queued[40][1] > 0
+    assert counts_by_limit[0][0] > 40 >= counts_by_limit[40][0] and counts_by_limit[40][1] > 0
 
 
 def test_controller_tightens_on_lateness_and_loosens_on_rejections() -> None:
@@ -131,201 +135,205 @@
 
 
 def test_marked_retries_do_not_swell_rejection_cost() -> None:
-    world = World(engines=())
-    world.send_request(time_left=1 * MS, is_retry=True)
-    assert world.scheduler.state.controller.costs.rejected.total == 0.0
+    harness = SchedulerHarness(engines=())
+    harness.send_request(time_left=1 * MS, is_retry=True)
+    assert harness.scheduler.state.controller.costs.rejected.total == 0.0
 
 
 def test_a_retry_whose_objective_has_passed_is_rejected_at_once() -> None:
-    world = World(engines=ONE)
-    first = world.send_request()
-    world.end_attempt(first.request_id, OutcomeCode.OK)
-    late = world.send_request(time_left=1 * SEC, is_retry=True)
-    assert isinstance(world.last_actions[0], Reject) and world.last_actions[0].request_id == late.request_id
+    harness = SchedulerHarness(engines=ONE_ENGINE)
+    first = harness.send_request()
+    harness.end_attempt(first.request_id, OutcomeCode.OK)
+    late_retry = harness.send_request(time_left=1 * SEC, is_retry=True)
+    assert (
+        isinstance(harness.last_actions[0], Reject)
+        and harness.last_actions[0].request_id == late_retry.request_id
+    )
 
 
 def test_an_attempt_without_notes_is_restarted_elsewhere_and_counts_no_threads() -> None:
-    world = World(
-        replace(SITE, classes=(replace(QUICK, latency_objective=60 * SEC, timeout=90 * SEC), REPORT)), TWO
+    harness = SchedulerHarness(
+        replace(SITE, classes=(replace(QUICK, latency_objective=60 * SEC, timeout=90 * SEC), REPORT)),
+        TWO_ENGINES,
     )
-    request = world.send_request()
-    here = world.sent[-1].endpoint
+    request = harness.send_request()
+    first_endpoint = harness.sent[-1].endpoint
     for _ in range(40):
-        world.notify(TimerFired(0), after=100 * MS)
-        if cancels(world.last_actions):
+        harness.notify(TimerFired(0), after=100 * MS)
+        if cancellations(harness.last_actions):
             break
-    assert cancels(world.last_actions) == [(request.request_id, 0)]
-    world.end_attempt(request.request_id, OutcomeCode.CANCELLED)
-    assert world.sent[-1].request_id == request.request_id and world.sent[-1].endpoint != here
-    assert world.scheduler.state.fleet.engines[here].workload.threads_in_use == ThreadsInUse()
+    assert cancellations(harness.last_actions) == [(request.request_id, 0)]
+    harness.end_attempt(request.request_id, OutcomeCode.CANCELLED)
+    assert harness.sent[-1].request_id == request.request_id and harness.sent[-1].endpoint != first_endpoint
+    assert harness.scheduler.state.fleet.engines[first_endpoint].workload.threads_in_use == ThreadsInUse()
 
 
 def test_a_wrong_plan_is_restarted_once_by_its_notes() -> None:
-    world = World(engines=TWO)
+    harness = SchedulerHarness(engines=TWO_ENGINES)
     for _ in range(20):
-        request = world.send_request(1)
-        world.end_attempt(request.request_id, OutcomeCode.OK, duration=SEC, after=SEC)
-    request = world.send_request(1)
-    world.notify(
-        ProgressNote(request.request_id, 0, world.sent[-1].endpoint, ProgressKind.PROGRESS, 0.05),
+        request = harness.send_request(1)
+        harness.end_attempt(request.request_id, OutcomeCode.OK, duration=SEC, after=SEC)
+    request = harness.send_request(1)
+    harness.notify(
+        ProgressNote(request.request_id, 0, harness.sent[-1].endpoint, ProgressKind.PROGRESS, 0.05),
         after=500 * MS,
     )
-    world.notify(TimerFired(0), after=MS)
-    assert cancels(world.last_actions) == [(request.request_id, 0)]
-    world.end_attempt(request.request_id, OutcomeCode.CANCELLED)
-    world.notify(
-        ProgressNote(request.request_id, 1, world.sent[-1].endpoint, ProgressKind.PROGRESS, 0.2),
+    harness.notify(TimerFired(0), after=MS)
+    assert cancellations(harness.last_actions) == [(request.request_id, 0)]
+    harness.end_attempt(request.request_id, OutcomeCode.CANCELLED)
+    harness.notify(
+        ProgressNote(request.request_id, 1, harness.sent[-1].endpoint, ProgressKind.PROGRESS, 0.2),
         after=500 * MS,
     )
-    world.notify(TimerFired(0), after=MS)
-    assert cancels(world.last_actions) == []
+    harness.notify(TimerFired(0), after=MS)
+    assert cancellations(harness.last_actions) == []
 
 
 def test_a_steady_attempt_is_left_running() -> None:
-    world = World(engines=TWO)
-    request = world.send_request(1)
-    world.notify(
-        ProgressNote(request.request_id, 0, world.sent[-1].endpoint, ProgressKind.PROGRESS, 0.5), after=SEC
+    harness = SchedulerHarness(engines=TWO_ENGINES)
+    request = harness.send_request(1)
+    harness.notify(
+        ProgressNote(request.request_id, 0, harness.sent[-1].endpoint, ProgressKind.PROGRESS, 0.5), after=SEC
     )
-    world.notify(TimerFired(0), after=MS)
-    assert cancels(world.last_actions) == []
+    harness.notify(TimerFired(0), after=MS)
+    assert cancellations(harness.last_actions) == []
 
 
 def test_no_retry_storm_when_everything_is_slow() -> None:
-    world = World(engines=MANY)
+    harness = SchedulerHarness(engines=SIX_ENGINES)
     for _ in range(200):
-        request = world.send_request()
-        world.end_attempt(request.request_id, OutcomeCode.OK, duration=200 * MS, after=20 * MS)
-    sent = len(world.sent)
-    slow = [world.send_request() for _ in range(60)]
+        request = harness.send_request()
+        harness.end_attempt(request.request_id, OutcomeCode.OK, duration=200 * MS, after=20 * MS)
+    sent_before = len(harness.sent)
+    slow_requests = [harness.send_request() for _ in range(60)]
     for _ in range(6):
-        world.notify(TimerFired(0), after=100 * MS)
-    open_ = {forward.request_id for forward in world.sent[sent:]} & {request.request_id for request in slow}
-    assert len(world.sent) - sent <= 1.2 * len(open_)
+        harness.notify(TimerFired(0), after=100 * MS)
+    open_ids = {forward.request_id for forward in harness.sent[sent_before:]} & {
+        request.request_id for request in slow_requests
+    }
+    assert len(harness.sent) - sent_before <= 1.2 * len(open_ids)
 
 
 def test_failed_connections_eject_an_engine_and_probation_brings_it_back_in_slow_start() -> None:
-    world = World(engines=TWO)
-    world.notify(after=SEC)
-    request = world.send_request()
-    dead = world.sent[-1].endpoint
-    world.end_attempt(request.request_id, OutcomeCode.CONNECT_FAILED)
+    harness = SchedulerHarness(engines=TWO_ENGINES)
+    harness.notify(after=SEC)
+    request = harness.send_request()
+    unreachable = harness.sent[-1].endpoint
+    harness.end_attempt(request.request_id, OutcomeCode.CONNECT_FAILED)
     for _ in range(5):
-        world.send_request()
-    assert all(forward.endpoint != dead for forward in world.sent[1:])
-    sent_before = len(world.sent)
-    world.notify(after=SEC)
+        harness.send_request()
+    assert all(forward.endpoint != unreachable for forward in harness.sent[1:])
+    sent_before = len(harness.sent)
+    harness.notify(after=SEC)
     for _ in range(5):
-        world.send_request()
-    back = [forward for forward in world.sent[sent_before:] if forward.endpoint == dead]
-    assert len(back) == 1
-    world.end_attempt(back[0].request_id, OutcomeCode.OK)
-    assert world.scheduler.state.fleet.engines[dead].started_at > 0
+        harness.send_request()
+    probation_sends = [forward for forward in harness.sent[sent_before:] if forward.endpoint == unreachable]
+    assert len(probation_sends) == 1
+    harness.end_attempt(probation_sends[0].request_id, OutcomeCode.OK)
+    assert harness.scheduler.state.fleet.engines[unreachable].started_at > 0
 
 
 def test_an_odd_connect_to_an_engine_just_heard_does_not_begin_slow_start() -> None:
-    """A connection to a healthy engine is refused once.
+    """A healthy engine that refuses one connection must not begin a slow start, which allows few requests.
 
-    Taken for unreachable, the engine would begin a slow start with its next answer and get few requests for
-    the length of it. The guard asks that nothing came from the engine for a while before.
+    It counts as unreachable only if nothing was received from it for some time before.
     """
-    world = World(engines=TWO)
-    request = world.send_request()
-    odd = world.sent[-1].endpoint
-    world.end_attempt(request.request_id, OutcomeCode.OK)
-    while world.sent[-1].endpoint != odd or request.request_id not in world.scheduler.state.queries:
-        request = world.send_request()
-        if world.sent[-1].endpoint != odd:
-            world.end_attempt(request.request_id, OutcomeCode.OK)
+    harness = SchedulerHarness(engines=TWO_ENGINES)
+    request = harness.send_request()
+    refusing = harness.sent[-1].endpoint
+    harness.end_attempt(request.request_id, OutcomeCode.OK)
+    while harness.sent[-1].endpoint != refusing or request.request_id not in harness.scheduler.state.queries:
+        request = harness.send_request()
+        if harness.sent[-1].endpoint != refusing:
+            harness.end_attempt(request.request_id, OutcomeCode.OK)
     for code in (OutcomeCode.CONNECT_FAILED, OutcomeCode.OK):
-        world.end_attempt(request.request_id, code)
-    world.notify(after=SEC)
-    while world.sent[-1].endpoint != odd:
-        request = world.send_request()
-        world.end_attempt(request.request_id, OutcomeCode.OK)
-    assert world.scheduler.state.fleet.engines[odd].started_at == 0
+        harness.end_attempt(request.request_id, code)
+    harness.notify(after=SEC)
+    while harness.sent[-1].endpoint != refusing:
+        request = harness.send_request()
+        harness.end_attempt(request.request_id, OutcomeCode.OK)
+    assert harness.scheduler.state.fleet.engines[refusing].started_at == 0
 
 
 def test_a_reset_ejects_no_engine_but_begins_probation() -> None:
-    """A single connection to a healthy engine breaks.
+    """A single connection reset must not eject a healthy engine, for half a second or more.
 
-    Ejected for that, the engine would be left out for half a second or more. The guard only begins probation:
-    one request at a time until an answer comes, and ejection if the connection of that request breaks, too.
+    It begins probation: one request at a time until an answer comes, and ejection if that request's
+    connection is reset, too.
     """
-    world = World(engines=TWO)
-    request = world.send_request()
-    engine_of = world.scheduler.state.fleet.engines[world.sent[-1].endpoint]
-    world.end_attempt(request.request_id, OutcomeCode.RESET)
-    assert engine_of.on_probation and engine_of.ejected_until == 0
-    request = world.send_request()
-    while world.sent[-1].endpoint != engine_of.info.name:
-        request = world.send_request()
+    harness = SchedulerHarness(engines=TWO_ENGINES)
+    request = harness.send_request()
+    engine_state = harness.scheduler.state.fleet.engines[harness.sent[-1].endpoint]
+    harness.end_attempt(request.request_id, OutcomeCode.RESET)
+    assert engine_state.on_probation and engine_state.ejected_until == 0
+    request = harness.send_request()
+    while harness.sent[-1].endpoint != engine_state.info.name:
+        request = harness.send_request()
     assert not capacity.has_capacity(
-        world.scheduler.state, engine_of, world.scheduler.state.queries[request.request_id]
-    )  # no second one beside it
-    world.end_attempt(request.request_id, OutcomeCode.OK)
-    assert not engine_of.on_probation
-    for code in (OutcomeCode.RESET, OutcomeCode.RESET):  # the second is the trial's
-        request = world.send_request()
-        while world.sent[-1].endpoint != engine_of.info.name:
-            request = world.send_request()
-        world.end_attempt(request.request_id, code)
-    assert engine_of.ejected_until > world.now
+        harness.scheduler.state, engine_state, harness.scheduler.state.queries[request.request_id]
+    )  # at most one in flight on probation
+    harness.end_attempt(request.request_id, OutcomeCode.OK)
+    assert not engine_state.on_probation
+    for code in (OutcomeCode.RESET, OutcomeCode.RESET):  # the second one during probation
+        request = harness.send_request()
+        while harness.sent[-1].endpoint != engine_state.info.name:
+            request = harness.send_request()
+        harness.end_attempt(request.request_id, code)
+    assert engine_state.ejected_until > harness.now
 
 
 @pytest.mark.parametrize("served", [False, True])
 def test_an_error_is_no_engines_fault_if_another_errs_too(served: bool) -> None:
-    """A client sends requests that no engine can serve.
+    """Requests that no engine can serve must not get the whole fleet ejected for their errors.
 
-    Counted against each engine, their errors would get the whole fleet ejected. The second engine that
-    answers the same request with an error clears the first; where another engine serves it, the first stays
-    to blame.
+    A second engine's error on the same request clears the first engine; if another engine serves the request,
+    the error still counts against the first.
     """
-    world = World(engines=TWO)
+    harness = SchedulerHarness(engines=TWO_ENGINES)
     for _ in range(6):
-        request = world.send_request()
-        world.end_attempt(request.request_id, OutcomeCode.ERROR)
-        while request.request_id in world.scheduler.state.queries:
-            world.end_attempt(request.request_id, OutcomeCode.OK if served else OutcomeCode.ERROR)
+        request = harness.send_request()
+        harness.end_attempt(request.request_id, OutcomeCode.ERROR)
+        while request.request_id in harness.scheduler.state.queries:
+            harness.end_attempt(request.request_id, OutcomeCode.OK if served else OutcomeCode.ERROR)
     assert (
-        any(engine_state.fault_rate > 0 for engine_state in world.scheduler.state.fleet.engines.values())
+        any(engine_state.fault_rate > 0 for engine_state in harness.scheduler.state.fleet.engines.values())
         is served
     )
 
 
 def test_what_was_sent_to_a_ejected_engine_is_not_restarted_for_that() -> None:
-    world = World(engines=(engine("a"),))
-    outliers.eject(world.scheduler.state, world.scheduler.state.fleet.engines["a"])
-    request = world.send_request()
-    assert world.sent[-1].request_id == request.request_id
-    assert not cancels(world.notify(TimerFired(0), after=100 * MS))
+    harness = SchedulerHarness(engines=(engine("a"),))
+    outliers.eject(harness.scheduler.state, harness.scheduler.state.fleet.engines["a"])
+    request = harness.send_request()
+    assert harness.sent[-1].request_id == request.request_id
+    assert not cancellations(harness.notify(TimerFired(0), after=100 * MS))
 
 
 def test_an_engine_that_was_removed_is_forgotten_once_nothing_is_in_flight() -> None:
-    world = World(engines=TWO)
-    request = world.send_request()
-    name = world.sent[-1].endpoint
-    world.notify(EndpointUpdate(EndpointUpdateKind.DELTA, (engine(name, EndpointState.REMOVED),)))
-    assert name in world.scheduler.state.fleet.engines
-    world.end_attempt(request.request_id, OutcomeCode.OK)
-    world.notify(after=SEC)
-    assert name not in world.scheduler.state.fleet.engines
+    harness = SchedulerHarness(engines=TWO_ENGINES)
+    request = harness.send_request()
+    name = harness.sent[-1].endpoint
+    harness.notify(EndpointUpdate(EndpointUpdateKind.DELTA, (engine(name, EndpointState.REMOVED),)))
+    assert name in harness.scheduler.state.fleet.engines
+    harness.end_attempt(request.request_id, OutcomeCode.OK)
+    harness.notify(after=SEC)
+    assert name not in harness.scheduler.state.fleet.engines
 
 
 def test_engines_are_not_all_ejected() -> None:
-    world = World(engines=TWO)
+    harness = SchedulerHarness(engines=TWO_ENGINES)
     for _ in range(6):
-        request = world.send_request()
-        if any(forward.request_id == request.request_id for forward in world.sent):
-            world.end_attempt(request.request_id, OutcomeCode.CONNECT_FAILED)
-    sent_before = len(world.sent)
-    world.send_request()
-    assert len(world.sent) > sent_before
+        request = harness.send_request()
+        if any(forward.request_id == request.request_id for forward in harness.sent):
+            harness.end_attempt(request.request_id, OutcomeCode.CONNECT_FAILED)
+    sent_before = len(harness.sent)
+    harness.send_request()
+    assert len(harness.sent) > sent_before
 
 
 def test_a_slow_engine_gets_less_and_a_common_slowdown_blames_none() -> None:
-    world = World(engines=TWO)
-    scheduler = world.scheduler
+    harness = SchedulerHarness(engines=TWO_ENGINES)
+    scheduler = harness.scheduler
     for name, log_slowdown in (("a", 0.0), ("b", 1.5)):
         for _ in range(20):
             FLEET_ESTIMATOR.record_slowdown(
@@ -334,7 +342,7 @@
                 scheduler.state.classes[0],
                 math.exp(log_slowdown),
             )
-    world.notify(TimerFired(0), after=200 * MS)
+    harness.notify(TimerFired(0), after=200 * MS)
     assert (
         scheduler.state.fleet.engines["b"].snapshot.penalty
         > 1.5 * scheduler.state.fleet.engines["a"].snapshot.penalty
@@ -343,42 +351,44 @@
         FLEET_ESTIMATOR.record_slowdown(
             scheduler.state, scheduler.state.fleet.engines["a"], scheduler.state.classes[0], math.exp(1.5)
         )
-    world.notify(TimerFired(0), after=200 * MS)
+    harness.notify(TimerFired(0), after=200 * MS)
     assert scheduler.state.fleet.engines["b"].snapshot.penalty == pytest.approx(1.0, abs=0.1)
 
 
 def test_memory_where_surplus_is_lost_follows_the_estimate_and_spills_raise_it() -> None:
-    for short in (MemoryShortage.WAIT, MemoryShortage.SHRINK):
-        world = World(replace(SITE, memory_shortage=short), ONE)
-        request = replace(world.request(1), estimated_memory_mb=1000.0)
-        first = next(action for action in world.notify(request) if isinstance(action, SetTerms))
-        assert 1000 <= first.memory_mb < 1500
-        world.notify(ProgressNote(request.request_id, 0, "a", ProgressKind.SPILLING, 2000.0))
-        again = replace(world.request(1), estimated_memory_mb=1000.0)
+    for shortage in (MemoryShortage.WAIT, MemoryShortage.SHRINK):
+        harness = SchedulerHarness(replace(SITE, memory_shortage=shortage), ONE_ENGINE)
+        request = replace(harness.new_request(1), estimated_memory_mb=1000.0)
+        first_terms = next(action for action in harness.notify(request) if isinstance(action, SetTerms))
+        assert 1000 <= first_terms.memory_mb < 1500
+        harness.notify(ProgressNote(request.request_id, 0, "a", ProgressKind.SPILLING, 2000.0))
+        second_request = replace(harness.new_request(1), estimated_memory_mb=1000.0)
         assert (
-            next(action for action in world.notify(again) if isinstance(action, SetTerms)).memory_mb
-            > first.memory_mb
+            next(
+                action for action in harness.notify(second_request) if isinstance(action, SetTerms)
+            ).memory_mb
+            > first_terms.memory_mb
         )
 
 
 def test_memory_where_only_use_counts_is_granted_in_full() -> None:
-    world = World(replace(SITE, memory_shortage=MemoryShortage.PAGE), ONE)
-    terms = next(action for action in world.notify(world.request(1)) if isinstance(action, SetTerms))
+    harness = SchedulerHarness(replace(SITE, memory_shortage=MemoryShortage.PAGE), ONE_ENGINE)
+    terms = next(action for action in harness.notify(harness.new_request(1)) if isinstance(action, SetTerms))
     assert terms.memory_mb == pytest.approx(0.4 * 16384, abs=1)
 
 
 def test_no_terms_where_the_site_heeds_none() -> None:
-    world = World(replace(SITE, takes_memory_grants=False, heeds_priorities=False), ONE)
-    world.send_request(1)
-    assert world.last_of(SetTerms) == [] and len(world.sent) == 1
+    harness = SchedulerHarness(replace(SITE, takes_memory_grants=False, heeds_priorities=False), ONE_ENGINE)
+    harness.send_request(1)
+    assert harness.last_actions_of(SetTerms) == [] and len(harness.sent) == 1
 
 
 def test_traffic_beyond_a_tenants_quota_is_of_little_weight() -> None:
-    world = World(replace(SITE, tenant_quotas=(5.0,)), MANY)
-    worths = [
-        world.scheduler.state.queries[world.send_request().request_id].priority_weight for _ in range(40)
+    harness = SchedulerHarness(replace(SITE, tenant_quotas=(5.0,)), SIX_ENGINES)
+    weights = [
+        harness.scheduler.state.queries[harness.send_request().request_id].priority_weight for _ in range(40)
     ]
-    assert worths[0] == 1.0 and worths[-1] == pytest.approx(0.1)
+    assert weights[0] == 1.0 and weights[-1] == pytest.approx(0.1)
 
 
 def test_an_estimate_counts_as_far_as_it_has_proved_itself() -> None:
@@ -387,14 +397,14 @@
     for i in range(50):
         request_class.log_work.add(math.log(1e8) + (i % 2), 1 / 80)
         request_class.estimate_error.add(math.log(2.0), 1 / 80)
-    world = World()
-    assert expected_work(request_class, world.request(estimated_work=100 * MS)) == pytest.approx(
+    harness = SchedulerHarness()
+    assert expected_work(request_class, harness.new_request(estimated_work=100 * MS)) == pytest.approx(
         2e8, rel=0.05
     )
 
 
 @pytest.mark.parametrize(
-    "off",
+    "overrides",
     [
         {"allows_cancellation": False},
         {"progress_interval": 0},
@@ -407,154 +417,156 @@
         {"marks_retry": False},
     ],
 )
-def test_every_switch_of_a_site_works_on_and_off(off: dict[str, bool]) -> None:
-    world = World(replace(SITE, **off), TWO)  # type: ignore[arg-type]
-    asked = [world.send_request(i % 3) for i in range(30)]
-    for forward in list(world.sent):
-        world.end_attempt(forward.request_id, OutcomeCode.OK, after=10 * MS)
+def test_every_switch_of_a_site_works_on_and_off(overrides: dict[str, bool]) -> None:
+    harness = SchedulerHarness(replace(SITE, **overrides), TWO_ENGINES)  # type: ignore[arg-type]
+    requests = [harness.send_request(i % 3) for i in range(30)]
+    for forward in list(harness.sent):
+        harness.end_attempt(forward.request_id, OutcomeCode.OK, after=10 * MS)
     for _ in range(300):
-        world.notify(TimerFired(0), after=100 * MS)
-        assert off.get("allows_cancellation", True) or not world.last_of(Cancel)
-        for forward in world.sent:
+        harness.notify(TimerFired(0), after=100 * MS)
+        assert overrides.get("allows_cancellation", True) or not harness.last_actions_of(Cancel)
+        for forward in harness.sent:
             if (
-                forward.request_id in world.scheduler.state.queries
-                and world.scheduler.state.queries[forward.request_id].in_flight
+                forward.request_id in harness.scheduler.state.queries
+                and harness.scheduler.state.queries[forward.request_id].in_flight
             ):
-                world.end_attempt(forward.request_id, OutcomeCode.OK)
-    assert not world.scheduler.state.queries
-    assert len(asked) == 30
+                harness.end_attempt(forward.request_id, OutcomeCode.OK)
+    assert not harness.scheduler.state.queries
+    assert len(requests) == 30
 
 
 def test_a_list_that_must_be_polled_is_watched_and_watched_again_after_a_failure() -> None:
-    world = World(replace(SITE, polls_endpoint_list=True), TWO)
-    assert world.last_of(WatchEndpoints) == [WatchEndpoints(True)]
-    world.notify(EndpointUpdate(EndpointUpdateKind.FAILED, ()))
-    assert world.last_of(WatchEndpoints) == []
-    world.notify(TimerFired(0), after=2 * SEC)
-    assert world.last_of(WatchEndpoints) == [WatchEndpoints(True)]
+    harness = SchedulerHarness(replace(SITE, polls_endpoint_list=True), TWO_ENGINES)
+    assert harness.last_actions_of(WatchEndpoints) == [WatchEndpoints(True)]
+    harness.notify(EndpointUpdate(EndpointUpdateKind.FAILED, ()))
+    assert harness.last_actions_of(WatchEndpoints) == []
+    harness.notify(TimerFired(0), after=2 * SEC)
+    assert harness.last_actions_of(WatchEndpoints) == [WatchEndpoints(True)]
 
 
 def test_without_engines_a_query_is_queued_then_rejected_not_kept_to_its_end() -> None:
-    world = World()
-    request = world.send_request()
-    assert not world.last_of(Reject)
-    while not world.last_of(Reject):
-        world.notify(TimerFired(0), after=100 * MS)
-        assert world.now < request.deadline - SEC
-    assert not world.last_of(Fail) and not world.last_of(Forward)
+    harness = SchedulerHarness()
+    request = harness.send_request()
+    assert not harness.last_actions_of(Reject)
+    while not harness.last_actions_of(Reject):
+        harness.notify(TimerFired(0), after=100 * MS)
+        assert harness.now < request.deadline - SEC
+    assert not harness.last_actions_of(Fail) and not harness.last_actions_of(Forward)
 
 
-IN_TURN = replace(SITE, classes=(QUICK, REPORT, replace(LOAD, ordered_by_key=True)))
+SITE_WITH_ORDERED_LOADS = replace(SITE, classes=(QUICK, REPORT, replace(LOAD, ordered_by_key=True)))
 
 
 def test_what_has_its_turn_is_not_held_by_a_concurrency_limit() -> None:
-    world = World(IN_TURN, ONE)
-    while len(world.sent) == world.next_request_id:
-        world.send_request(1)
-    load = world.send_request(2, key="k")
-    assert world.sent[-1].request_id == load.request_id
+    harness = SchedulerHarness(SITE_WITH_ORDERED_LOADS, ONE_ENGINE)
+    while len(harness.sent) == harness.next_request_id:
+        harness.send_request(1)
+    load = harness.send_request(2, key="k")
+    assert harness.sent[-1].request_id == load.request_id
 
 
-KEYED = replace(
+KEYED_LOAD = replace(
     LOAD, idempotency=Idempotency.KEYED, ordered_by_key=True, late_weight=0.5, deduplication_window=25 * SEC
 )
 
 
-def _with_key_held_up(late_value: float = 0.5) -> World:
+def _with_blocked_key(late_weight: float = 0.5) -> SchedulerHarness:
     """Three loads of a key: the first runs for 10 s, the second is late by then, the third came after 6 s."""
-    world = World(replace(SITE, classes=(QUICK, REPORT, replace(KEYED, late_weight=late_value))), TWO)
-    world.send_request(2, key="k")
-    world.send_request(2, key="k")
+    harness = SchedulerHarness(
+        replace(SITE, classes=(QUICK, REPORT, replace(KEYED_LOAD, late_weight=late_weight))), TWO_ENGINES
+    )
+    harness.send_request(2, key="k")
+    harness.send_request(2, key="k")
     for _ in range(100):
-        world.notify(TimerFired(0), after=100 * MS)
-        if world.now == 106 * SEC:
-            world.send_request(2, key="k")
-    return world
+        harness.notify(TimerFired(0), after=100 * MS)
+        if harness.now == 106 * SEC:
+            harness.send_request(2, key="k")
+    return harness
 
 
 def test_a_load_that_its_key_held_up_goes_late_where_nobody_behind_loses_by_it() -> None:
-    """A long load runs, and others of its key wait until they are late.
+    """Loads behind a long load of their key become late; all of them and their retries would be rejected.
 
-    All of them would be rejected as late, and so would each client's retry. A late one runs where its late
-    answer has a value and nothing behind it becomes late by that.
+    A late load runs if its late answer still has a value and no load behind it becomes late by that.
     """
-    world = _with_key_held_up()
-    assert [forward.request_id for forward in world.sent] == [
+    harness = _with_blocked_key()
+    assert [forward.request_id for forward in harness.sent] == [
         1
-    ] and world.now > world.scheduler.state.queries[2].due_at
-    world.notify(RequestAbandoned(3))
-    world.end_attempt(1, OutcomeCode.OK, duration=10 * SEC)
-    assert [forward.request_id for forward in world.sent] == [1, 2]
+    ] and harness.now > harness.scheduler.state.queries[2].due_at
+    harness.notify(RequestAbandoned(3))
+    harness.end_attempt(1, OutcomeCode.OK, duration=10 * SEC)
+    assert [forward.request_id for forward in harness.sent] == [1, 2]
 
 
 def test_a_late_load_is_rejected_as_its_turn_comes_where_one_behind_would_be_late_by_it() -> None:
-    world = _with_key_held_up()
-    world.end_attempt(1, OutcomeCode.OK, duration=10 * SEC)
-    assert _rejected(world) == [2] and [forward.request_id for forward in world.sent] == [1, 3]
+    harness = _with_blocked_key()
+    harness.end_attempt(1, OutcomeCode.OK, duration=10 * SEC)
+    assert _rejected_ids(harness) == [2] and [forward.request_id for forward in harness.sent] == [1, 3]
 
 
 def test_a_load_that_its_key_held_up_is_rejected_at_once_where_late_is_without_value() -> None:
-    world = _with_key_held_up(late_value=0.0)
-    assert 2 not in world.scheduler.state.queries
+    harness = _with_blocked_key(late_weight=0.0)
+    assert 2 not in harness.scheduler.state.queries
 
 
 def test_a_load_that_its_key_holds_up_is_rejected_before_its_client_gives_up() -> None:
-    world = _with_key_held_up()
-    request = world.scheduler.state.queries[2].request
-    while 2 in world.scheduler.state.queries:
-        world.notify(TimerFired(0), after=100 * MS)
-    assert _rejected(world) == [2] and world.now < request.deadline
+    harness = _with_blocked_key()
+    request = harness.scheduler.state.queries[2].request
+    while 2 in harness.scheduler.state.queries:
+        harness.notify(TimerFired(0), after=100 * MS)
+    assert _rejected_ids(harness) == [2] and harness.now < request.deadline
 
 
 def test_a_load_that_its_key_held_up_is_rejected_where_an_engine_is_saturated() -> None:
-    """A load that its key held up is late, and an engine is saturated.
+    """At a saturated engine, a late load would displace requests that can still be in time.
 
-    It would take the place of requests that can still be in time. The guard lets late loads run only while no
-    engine past slow start is saturated.
+    Late loads run only while no engine past slow start is saturated.
     """
-    world = _with_key_held_up()
+    harness = _with_blocked_key()
     for _ in range(40):
         FLEET_ESTIMATOR.record_slowdown(
-            world.scheduler.state,
-            world.scheduler.state.fleet.engines["a"],
-            world.scheduler.state.classes[0],
+            harness.scheduler.state,
+            harness.scheduler.state.fleet.engines["a"],
+            harness.scheduler.state.classes[0],
             3.0,
         )
-    world.notify(TimerFired(0), after=200 * MS)
-    assert _rejected(world) == [2]
+    harness.notify(TimerFired(0), after=200 * MS)
+    assert _rejected_ids(harness) == [2]
 
 
 def test_a_tenants_surplus_is_rejected_where_the_engine_is_saturated_and_admitted_where_not() -> None:
-    world = World(replace(SITE, tenant_quotas=(1.0,)), MANY)
-    calm = [world.send_request(table_group=float(i)) for i in range(8)]
-    assert world.scheduler.state.queries[calm[-1].request_id].priority_weight == pytest.approx(0.1)
-    assert len(world.sent) == len(calm)
-    for engine_state in world.scheduler.state.fleet.engines.values():
-        engine_state.reported_load, engine_state.reported_at = 1.0, world.now
-    world.scheduler.state.fleet.load_reports.add(1.0, world.now, SEC)
-    world.notify(TimerFired(0), after=200 * MS)
-    over = world.send_request()
-    assert _rejected(world) == [over.request_id]
+    harness = SchedulerHarness(replace(SITE, tenant_quotas=(1.0,)), SIX_ENGINES)
+    admitted = [harness.send_request(table_group=float(i)) for i in range(8)]
+    assert harness.scheduler.state.queries[admitted[-1].request_id].priority_weight == pytest.approx(0.1)
+    assert len(harness.sent) == len(admitted)
+    for engine_state in harness.scheduler.state.fleet.engines.values():
+        engine_state.reported_load, engine_state.reported_at = 1.0, harness.now
+    harness.scheduler.state.fleet.load_reports.add(1.0, harness.now, SEC)
+    harness.notify(TimerFired(0), after=200 * MS)
+    over_quota = harness.send_request()
+    assert _rejected_ids(harness) == [over_quota.request_id]
 
 
 def test_peers_gossip_their_share_of_a_tenants_traffic_and_fall_silent_when_down() -> None:
-    world = World(replace(SITE, tenant_quotas=(40.0,), allows_gossip=True, instance_count=2), MANY)
+    harness = SchedulerHarness(
+        replace(SITE, tenant_quotas=(40.0,), allows_gossip=True, instance_count=2), SIX_ENGINES
+    )
     for i in range(6):
-        world.send_request(table_group=float(i))
-    world.notify(TimerFired(0), after=SEC)
-    posts = [action for action in world.last_actions if isinstance(action, SendGossip)] or world.notify(
+        harness.send_request(table_group=float(i))
+    harness.notify(TimerFired(0), after=SEC)
+    gossip = [action for action in harness.last_actions if isinstance(action, SendGossip)] or harness.notify(
         TimerFired(0), after=SEC
     )
-    assert any(isinstance(action, SendGossip) for action in posts)
-    assert tenants.quota_share(world.scheduler.state, 0) == 1.0
-    world.notify(GossipMessage(1, "2"), GossipMessage(1, "not,ours"))
-    assert 0.5 < tenants.quota_share(world.scheduler.state, 0) < 1.0
-    world.notify(TimerFired(0), after=4 * SEC)
-    assert tenants.quota_share(world.scheduler.state, 0) == 1.0
+    assert any(isinstance(action, SendGossip) for action in gossip)
+    assert tenants.quota_share(harness.scheduler.state, 0) == 1.0
+    harness.notify(GossipMessage(1, "2"), GossipMessage(1, "not,ours"))
+    assert 0.5 < tenants.quota_share(harness.scheduler.state, 0) < 1.0
+    harness.notify(TimerFired(0), after=4 * SEC)
+    assert tenants.quota_share(harness.scheduler.state, 0) == 1.0
 
 
 @pytest.mark.parametrize(
-    "bad, name",
+    "overrides, setting_name",
     [
         ({"instance_count": 0}, "instances"),
         ({"max_attempts": 0}, "limits.max-attempts"),
@@ -562,21 +574,23 @@
         ({"retry_allowance": 1.0}, "rules.counted-over"),
     ],
 )
-def test_settings_that_contradict_themselves_name_the_setting(bad: dict[str, float], name: str) -> None:
-    with pytest.raises(ValueError, match=name):
-        Scheduler(replace(SITE, **bad), 1)  # type: ignore[arg-type]
+def test_settings_that_contradict_themselves_name_the_setting(
+    overrides: dict[str, float], setting_name: str
+) -> None:
+    with pytest.raises(ValueError, match=setting_name):
+        Scheduler(replace(SITE, **overrides), 1)  # type: ignore[arg-type]
 
 
 def test_events_about_what_is_unknown_or_ended_are_ignored() -> None:
-    world = World(engines=TWO)
-    request = world.send_request()
-    here = world.sent[-1].endpoint
-    world.end_attempt(request.request_id, OutcomeCode.OK)
+    harness = SchedulerHarness(engines=TWO_ENGINES)
+    request = harness.send_request()
+    endpoint = harness.sent[-1].endpoint
+    harness.end_attempt(request.request_id, OutcomeCode.OK)
     for event in (
-        AttemptOutcome(request.request_id, True, OutcomeCode.OK, MS, 0, here, None, None, ()),
+        AttemptOutcome(request.request_id, True, OutcomeCode.OK, MS, 0, endpoint, None, None, ()),
         AttemptOutcome(999, False, OutcomeCode.ERROR, MS, 0, "nowhere", None, None, ()),
-        ProgressNote(999, 0, here, ProgressKind.PROGRESS, 0.5),
+        ProgressNote(999, 0, endpoint, ProgressKind.PROGRESS, 0.5),
         RequestAbandoned(999),
         TimerFired(77),
     ):
-        assert world.notify(event, after=MS) == []
+        assert harness.notify(event, after=MS) == []
--- a/tests/test_model.py
+++ b/tests/test_model.py
@@ -1,4 +1,4 @@
-"""The parts of the model, each on its own: estimators, budgets, queues and forecasts."""
+"""Unit tests of the model: estimators, budgets, queues, forecasts and gossip."""
 
 import math
 from dataclasses import replace
@@ -26,17 +26,25 @@
 from query_gateway.policy import admission, key_ordering
 from query_gateway.policy.retry_budget import allows_retry, record_request
 from query_gateway.policy.unresponsive import IdleHazard, idle_hazard
-from tests.world import LOAD, MS, QUICK, SEC, SITE, World, engine
+from tests.world import LOAD, MS, QUICK, SEC, SITE, SchedulerHarness, engine
 
 NOW = 100 * SEC
 
 
 def query(
-    number: int, due: int = NOW + SEC, rules: ClassSettings = QUICK, key: str | None = None
+    number: int, due_at: int = NOW + SEC, class_settings: ClassSettings = QUICK, key: str | None = None
 ) -> QueryState:
-    request = World().request(key=key)
+    request = SchedulerHarness().new_request(key=key)
     return QueryState(
-        request, ClassState(rules, 0.0), NOW, 1.0, 1.0 * SEC, 1.0 * SEC, due, QueuePlace(due, number), 4
+        request,
+        ClassState(class_settings, 0.0),
+        NOW,
+        1.0,
+        1.0 * SEC,
+        1.0 * SEC,
+        due_at,
+        QueuePlace(due_at, number),
+        4,
     )
 
 
@@ -66,7 +74,7 @@
 
 def test_a_retry_budget_counts_what_lies_within_its_window() -> None:
     budget = RetryBudget()
-    assert allows_retry(budget, SITE, NOW)  # no limit at this site
+    assert allows_retry(budget, SITE, NOW)  # SITE sets no limit
     site = replace(SITE, retry_allowance=0.0, retries_per_request=0.5, retry_window=SEC)
     for _ in range(2):
         record_request(budget, site, NOW)
@@ -126,8 +134,12 @@
 
 
 def test_a_key_queue_lets_one_run_at_a_time_and_holds_a_key_in_quarantine() -> None:
-    rules = replace(LOAD, ordered_by_key=True)
-    queues, first, second = KeyQueues(), query(1, rules=rules, key="k"), query(2, rules=rules, key="k")
+    class_settings = replace(LOAD, ordered_by_key=True)
+    queues, first, second = (
+        KeyQueues(),
+        query(1, class_settings=class_settings, key="k"),
+        query(2, class_settings=class_settings, key="k"),
+    )
     for each in (first, second):
         queues.add("k", each)
     assert (
@@ -156,10 +168,12 @@
 
 
 def test_idle_time_counts_mean_runs_over_all_attempts_in_flight() -> None:
-    record, one = EngineState(engine("a"), 8, 0.0), query(1)
-    record.last_received_at = NOW - 3 * SEC
-    record.in_flight[AttemptKey(1, 0)] = AttemptState(one, 0, record, NOW - 2 * SEC, NOW, False)
-    assert idle_hazard(record, NOW) == IdleHazard(2.0, 2 * SEC)
+    engine_state, running_query = EngineState(engine("a"), 8, 0.0), query(1)
+    engine_state.last_received_at = NOW - 3 * SEC
+    engine_state.in_flight[AttemptKey(1, 0)] = AttemptState(
+        running_query, 0, engine_state, NOW - 2 * SEC, NOW, False
+    )
+    assert idle_hazard(engine_state, NOW) == IdleHazard(2.0, 2 * SEC)
 
 
 def test_remaining_time_follows_progress_or_else_age() -> None:
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -1,4 +1,4 @@
-"""The seven rules, one by one on scripted events, and all at once on arbitrary legal ones."""
+"""The seven rules of sending: each on scripted events, and all together on generated event sequences."""
 
 from dataclasses import replace
 
@@ -23,143 +23,151 @@
 )
 from query_gateway.model.settings import DeduplicationScope, Idempotency, Settings
 from query_gateway.policy.scheduler import Scheduler
-from tests.world import LOAD, MS, QUICK, REPORT, SEC, SITE, World, engine
+from tests.world import LOAD, MS, QUICK, REPORT, SEC, SITE, SchedulerHarness, engine
 
-TWO = (engine("a"), engine("b"))
+TWO_ENGINES = (engine("a"), engine("b"))
 NEVER_RAN = (OutcomeCode.FULL, OutcomeCode.CONNECT_FAILED, OutcomeCode.NOT_SENT)
 
 
 def test_one_answer_and_nothing_after_it() -> None:
-    world = World(engines=TWO)
-    request = world.send_request()
-    assert [forward.request_id for forward in world.sent] == [request.request_id]
-    assert world.end_attempt(request.request_id, OutcomeCode.OK) == []
-    world.notify(RequestAbandoned(request.request_id), TimerFired(0))
-    assert len(world.sent) == 1
+    harness = SchedulerHarness(engines=TWO_ENGINES)
+    request = harness.send_request()
+    assert [forward.request_id for forward in harness.sent] == [request.request_id]
+    assert harness.end_attempt(request.request_id, OutcomeCode.OK) == []
+    harness.notify(RequestAbandoned(request.request_id), TimerFired(0))
+    assert len(harness.sent) == 1
 
 
 def test_non_idempotent_that_may_have_run_is_failed_not_rejected_nor_retried() -> None:
-    world = World(engines=TWO)
-    request = world.send_request(2)
-    actions = world.end_attempt(request.request_id, OutcomeCode.RESET)
+    harness = SchedulerHarness(engines=TWO_ENGINES)
+    request = harness.send_request(2)
+    actions = harness.end_attempt(request.request_id, OutcomeCode.RESET)
     assert Fail(request.request_id) in actions
     assert not any(isinstance(action, Forward | Reject) for action in actions)
 
 
 @pytest.mark.parametrize("code", [OutcomeCode.FULL, OutcomeCode.CONNECT_FAILED])
 def test_non_idempotent_that_never_ran_goes_elsewhere(code: OutcomeCode) -> None:
-    world = World(engines=TWO)
-    request = world.send_request(2)
-    world.end_attempt(request.request_id, code)
-    assert [forward.request_id for forward in world.sent] == [request.request_id, request.request_id]
-    assert world.sent[0].endpoint != world.sent[1].endpoint
+    harness = SchedulerHarness(engines=TWO_ENGINES)
+    request = harness.send_request(2)
+    harness.end_attempt(request.request_id, code)
+    assert [forward.request_id for forward in harness.sent] == [request.request_id, request.request_id]
+    assert harness.sent[0].endpoint != harness.sent[1].endpoint
 
 
 @pytest.mark.parametrize("scope", [DeduplicationScope.ZONE, DeduplicationScope.CELL])
 def test_keyed_retries_stay_in_group_and_span(scope: DeduplicationScope) -> None:
-    keyed = replace(
+    keyed_class = replace(
         QUICK,
         idempotency=Idempotency.KEYED,
         deduplication_scope=scope,
         deduplication_window=600 * MS,
         latency_objective=4 * SEC,
     )
-    near = engine("a", zone=0, group=0)
-    world = World(replace(SITE, classes=(keyed,)), (near, engine("b", zone=1, group=1)))
+    first_group_engine = engine("a", zone=0, group=0)
+    harness = SchedulerHarness(
+        replace(SITE, classes=(keyed_class,)), (first_group_engine, engine("b", zone=1, group=1))
+    )
     for _ in range(6):
-        request = world.send_request()
-        first = world.sent[-1].endpoint
-        n = len(world.sent)
-        world.end_attempt(request.request_id, OutcomeCode.TIMEOUT)
-        assert all(forward.endpoint == first for forward in world.sent[n:])
-        if len(world.sent) > n:
-            world.end_attempt(request.request_id, OutcomeCode.TIMEOUT, after=700 * MS)
-            assert len(world.sent) == n + 1
-            assert Fail(request.request_id) in world.last_actions
+        request = harness.send_request()
+        first_endpoint = harness.sent[-1].endpoint
+        sent_before = len(harness.sent)
+        harness.end_attempt(request.request_id, OutcomeCode.TIMEOUT)
+        assert all(forward.endpoint == first_endpoint for forward in harness.sent[sent_before:])
+        if len(harness.sent) > sent_before:
+            harness.end_attempt(request.request_id, OutcomeCode.TIMEOUT, after=700 * MS)
+            assert len(harness.sent) == sent_before + 1
+            assert Fail(request.request_id) in harness.last_actions
 
 
 @pytest.mark.parametrize("state", [EndpointState.DRAINING, EndpointState.REMOVED])
 def test_nothing_goes_to_a_draining_or_removed_engine(state: EndpointState) -> None:
-    world = World(engines=TWO)
-    world.notify(EndpointUpdate(EndpointUpdateKind.DELTA, (engine("a", state),)))
+    harness = SchedulerHarness(engines=TWO_ENGINES)
+    harness.notify(EndpointUpdate(EndpointUpdateKind.DELTA, (engine("a", state),)))
     for _ in range(9):
-        world.send_request()
-    assert {forward.endpoint for forward in world.sent} == {"b"}
+        harness.send_request()
+    assert {forward.endpoint for forward in harness.sent} == {"b"}
 
 
 def test_engine_left_out_of_a_snapshot_gets_nothing() -> None:
-    world = World(engines=TWO)
-    world.notify(EndpointUpdate(EndpointUpdateKind.SNAPSHOT, (engine("b"),)))
+    harness = SchedulerHarness(engines=TWO_ENGINES)
+    harness.notify(EndpointUpdate(EndpointUpdateKind.SNAPSHOT, (engine("b"),)))
     for _ in range(9):
-        world.send_request()
-    assert {forward.endpoint for forward in world.sent} == {"b"}
+        harness.send_request()
+    assert {forward.endpoint for forward in harness.sent} == {"b"}
 
 
 @pytest.mark.parametrize("instances", [1, 3])
 def test_slow_starting_engine_gets_its_budget_shared_among_instances(instances: int) -> None:
-    world = World(replace(SITE, instance_count=instances), (engine("a"),))
+    harness = SchedulerHarness(replace(SITE, instance_count=instances), (engine("a"),))
     for _ in range(200):
-        world.scheduler.state.classes[0].work.add(200 * MS, 0.01)
-    world.notify(
-        EndpointUpdate(EndpointUpdateKind.DELTA, (engine("a", started_at=world.now + 3 * SEC),)),
+        harness.scheduler.state.classes[0].work.add(200 * MS, 0.01)
+    harness.notify(
+        EndpointUpdate(EndpointUpdateKind.DELTA, (engine("a", started_at=harness.now + 3 * SEC),)),
         after=4 * SEC,
     )
     for _ in range(60):
-        world.send_request()
-        world.notify(TimerFired(0), after=30 * MS)
-    assert len(world.sent) > 0
-    assert len(world.sent) * 200 * MS <= 8 * 0.85 * 0.3 * 2.0 * 2 * SEC / instances
+        harness.send_request()
+        harness.notify(TimerFired(0), after=30 * MS)
+    assert len(harness.sent) > 0
+    assert len(harness.sent) * 200 * MS <= 8 * 0.85 * 0.3 * 2.0 * 2 * SEC / instances
 
 
 def test_restarted_gateway_sends_nothing_to_a_slow_starting_engine_while_its_own_sends_may_count() -> None:
-    world = World(engines=(engine("a", started_at=99 * SEC), engine("b")))
+    harness = SchedulerHarness(engines=(engine("a", started_at=99 * SEC), engine("b")))
     for _ in range(5):
-        world.send_request()
-    assert {forward.endpoint for forward in world.sent} == {"b"}
+        harness.send_request()
+    assert {forward.endpoint for forward in harness.sent} == {"b"}
 
 
 def test_turns_of_a_key_come_one_at_a_time_and_wait_in_quarantine_after_doubt() -> None:
-    world = World(replace(SITE, classes=(QUICK, REPORT, replace(LOAD, ordered_by_key=True))), TWO)
+    harness = SchedulerHarness(
+        replace(SITE, classes=(QUICK, REPORT, replace(LOAD, ordered_by_key=True))), TWO_ENGINES
+    )
     first, second, other = (
-        world.send_request(2, key="k"),
-        world.send_request(2, key="k"),
-        world.send_request(2, key="other"),
+        harness.send_request(2, key="k"),
+        harness.send_request(2, key="k"),
+        harness.send_request(2, key="other"),
     )
-    assert [forward.request_id for forward in world.sent] == [first.request_id, other.request_id]
-    world.end_attempt(first.request_id, OutcomeCode.RESET, after=SEC)
-    world.notify(TimerFired(0), after=SITE.key_quarantine - MS)
-    assert second.request_id not in {forward.request_id for forward in world.sent}
-    world.notify(TimerFired(0), after=MS)
-    assert world.sent[-1].request_id == second.request_id
-
-
-@pytest.mark.parametrize("bound", [{"allowed_zones": (1,)}, {"allowed_kinds": (1,)}])
-def test_placement_holds_even_when_the_allowed_engine_is_down(bound: dict[str, tuple[int, ...]]) -> None:
-    quick = replace(QUICK, **bound)  # type: ignore[arg-type]
-    site = replace(SITE, classes=(quick,), cores_by_kind=(8, 8), memory_mb_by_kind=(16.0, 16.0))
-    world = World(site, (engine("a"), engine("b", zone=1, kind=1)))
-    request = world.send_request()
-    assert world.sent[-1].endpoint == "b"
-    world.end_attempt(request.request_id, OutcomeCode.CONNECT_FAILED)
-    world.send_request()
-    assert {forward.endpoint for forward in world.sent} == {"b"}
+    assert [forward.request_id for forward in harness.sent] == [first.request_id, other.request_id]
+    harness.end_attempt(first.request_id, OutcomeCode.RESET, after=SEC)
+    harness.notify(TimerFired(0), after=SITE.key_quarantine - MS)
+    assert second.request_id not in {forward.request_id for forward in harness.sent}
+    harness.notify(TimerFired(0), after=MS)
+    assert harness.sent[-1].request_id == second.request_id
+
+
+@pytest.mark.parametrize("restriction", [{"allowed_zones": (1,)}, {"allowed_kinds": (1,)}])
+def test_placement_holds_even_when_the_allowed_engine_is_down(
+    restriction: dict[str, tuple[int, ...]],
+) -> None:
+    restricted_class = replace(QUICK, **restriction)  # type: ignore[arg-type]
+    site = replace(SITE, classes=(restricted_class,), cores_by_kind=(8, 8), memory_mb_by_kind=(16.0, 16.0))
+    harness = SchedulerHarness(site, (engine("a"), engine("b", zone=1, kind=1)))
+    request = harness.send_request()
+    assert harness.sent[-1].endpoint == "b"
+    harness.end_attempt(request.request_id, OutcomeCode.CONNECT_FAILED)
+    harness.send_request()
+    assert {forward.endpoint for forward in harness.sent} == {"b"}
 
 
 def test_retries_stay_within_the_budget() -> None:
-    world = World(replace(SITE, retry_allowance=1.0, retries_per_request=0.0, retry_window=10 * SEC), TWO)
+    harness = SchedulerHarness(
+        replace(SITE, retry_allowance=1.0, retries_per_request=0.0, retry_window=10 * SEC), TWO_ENGINES
+    )
     for _ in range(5):
-        request = world.send_request()
-        if any(forward.request_id == request.request_id for forward in world.sent):
-            world.end_attempt(request.request_id, OutcomeCode.FULL)
+        request = harness.send_request()
+        if any(forward.request_id == request.request_id for forward in harness.sent):
+            harness.end_attempt(request.request_id, OutcomeCode.FULL)
     assert (
-        len({forward.request_id for forward in world.sent})
-        < len(world.sent)
-        <= len({forward.request_id for forward in world.sent}) + 1
+        len({forward.request_id for forward in harness.sent})
+        < len(harness.sent)
+        <= len({forward.request_id for forward in harness.sent}) + 1
     )
 
 
 class Referee:
-    """Checks actions against the seven rules, by the events that the scheduler was handed."""
+    """Oracle: checks the actions of a scheduler against the seven rules, from the events passed to it."""
 
     def __init__(self, site: Settings) -> None:
         self.site = site
@@ -186,11 +194,11 @@
             if isinstance(action, Reject | Fail):
                 assert action.request_id in self.requests and action.request_id not in self.ended
                 request = self.requests[action.request_id]
-                rules = self.site.classes[request.class_index]
+                class_settings = self.site.classes[request.class_index]
                 if isinstance(action, Reject) and action.request_id in self.may_have_run:
-                    assert rules.idempotency is Idempotency.IDEMPOTENT or (
-                        rules.idempotency is Idempotency.KEYED
-                        and rules.deduplication_scope is DeduplicationScope.ALL
+                    assert class_settings.idempotency is Idempotency.IDEMPOTENT or (
+                        class_settings.idempotency is Idempotency.KEYED
+                        and class_settings.deduplication_scope is DeduplicationScope.ALL
                     )
                 self.ended.add(action.request_id)
             elif isinstance(action, Forward):
@@ -200,39 +208,45 @@
 
     def check_forward(self, now: int, action: Forward) -> None:
         request = self.requests[action.request_id]
-        rules = self.site.classes[request.class_index]
+        class_settings = self.site.classes[request.class_index]
         info = self.endpoints[action.endpoint]
         assert action.request_id not in self.ended and now < request.deadline
         assert info.state is EndpointState.UP
-        assert rules.allowed_zones is None or info.zone in rules.allowed_zones
-        assert rules.allowed_kinds is None or info.kind in rules.allowed_kinds
+        assert class_settings.allowed_zones is None or info.zone in class_settings.allowed_zones
+        assert class_settings.allowed_kinds is None or info.kind in class_settings.allowed_kinds
         attempts = [request_id for request_id, _ in self.in_flight if request_id == action.request_id]
         assert not attempts or (
-            self.site.allows_hedging and rules.idempotency is not Idempotency.NON_IDEMPOTENT
+            self.site.allows_hedging and class_settings.idempotency is not Idempotency.NON_IDEMPOTENT
         )
-        if rules.idempotency is Idempotency.NON_IDEMPOTENT:
+        if class_settings.idempotency is Idempotency.NON_IDEMPOTENT:
             assert action.request_id not in self.may_have_run
-        if rules.idempotency is Idempotency.KEYED and action.request_id in self.first_executed:
-            since, first = self.first_executed[action.request_id]
-            assert now - since < rules.deduplication_window
-            assert rules.deduplication_scope is not DeduplicationScope.ZONE or info.zone == first.zone
-            assert rules.deduplication_scope is not DeduplicationScope.CELL or info.group == first.group
+        if class_settings.idempotency is Idempotency.KEYED and action.request_id in self.first_executed:
+            first_sent_at, first_info = self.first_executed[action.request_id]
+            assert now - first_sent_at < class_settings.deduplication_window
+            assert (
+                class_settings.deduplication_scope is not DeduplicationScope.ZONE
+                or info.zone == first_info.zone
+            )
+            assert (
+                class_settings.deduplication_scope is not DeduplicationScope.CELL
+                or info.group == first_info.group
+            )
         attempt_number = self.attempt_numbers.get(action.request_id, -1) + 1
         assert attempt_number < self.site.max_attempts
         if attempt_number and self.site.retry_allowance is not None:
-            since = now - self.site.retry_window
-            requests = sum(time > since for time in self.requests_at)
-            assert sum(time > since for time in self.retries_at) + 1 <= (
+            window_start = now - self.site.retry_window
+            requests = sum(time > window_start for time in self.requests_at)
+            assert sum(time > window_start for time in self.retries_at) + 1 <= (
                 self.site.retry_allowance + self.site.retries_per_request * requests
             )
         if attempt_number:
             self.retries_at.append(now)
-        if rules.ordered_by_key and request.key:
-            for earlier in self.arrival_order[: self.arrival_order.index(action.request_id)]:
-                before = self.requests[earlier]
-                if before.key == request.key and self.site.classes[before.class_index].ordered_by_key:
-                    assert earlier in self.ended and not any(
-                        request_id == earlier for request_id, _ in self.in_flight
+        if class_settings.ordered_by_key and request.key:
+            for earlier_id in self.arrival_order[: self.arrival_order.index(action.request_id)]:
+                earlier = self.requests[earlier_id]
+                if earlier.key == request.key and self.site.classes[earlier.class_index].ordered_by_key:
+                    assert earlier_id in self.ended and not any(
+                        request_id == earlier_id for request_id, _ in self.in_flight
                     )
             assert attempt_number or now >= self.quarantined_until.get(request.key, 0)
         self.attempt_numbers[action.request_id] = attempt_number
@@ -252,21 +266,21 @@
             self.ended.add(outcome.request_id)
 
 
-PLACES = st.sampled_from([None, (0,), (1,)])
-CLASS = st.builds(
+ALLOWED_INDICES = st.sampled_from([None, (0,), (1,)])
+CLASS_SETTINGS = st.builds(
     replace,
     st.sampled_from([QUICK, REPORT, LOAD]),
     idempotency=st.sampled_from(Idempotency),
     deduplication_scope=st.sampled_from(DeduplicationScope),
     deduplication_window=st.sampled_from([200 * MS, 5 * SEC]),
     ordered_by_key=st.booleans(),
-    allowed_zones=PLACES,
-    allowed_kinds=PLACES,
+    allowed_zones=ALLOWED_INDICES,
+    allowed_kinds=ALLOWED_INDICES,
 )
-SITES = st.builds(
+SITE_SETTINGS = st.builds(
     replace,
     st.just(replace(SITE, cores_by_kind=(8, 4), memory_mb_by_kind=(16384.0, 8192.0))),
-    classes=st.tuples(CLASS, CLASS),
+    classes=st.tuples(CLASS_SETTINGS, CLASS_SETTINGS),
     allows_hedging=st.booleans(),
     retry_allowance=st.sampled_from([None, 0.0, 2.0]),
     retries_per_request=st.sampled_from([0.0, 0.2]),
@@ -294,7 +308,7 @@
 
 
 @settings(max_examples=150, derandomize=True, deadline=None)
-@given(site=SITES, first=LISTED, data=st.data())
+@given(site=SITE_SETTINGS, first=LISTED, data=st.data())
 def test_no_legal_sequence_breaks_a_rule(
     site: Settings, first: list[EndpointInfo], data: st.DataObject
 ) -> None:
@@ -306,7 +320,7 @@
     referee.update_endpoints(start)
     referee.check(now, scheduler.handle(now, [start]))
     for step in range(data.draw(st.integers(1, 40))):
-        now += data.draw(st.sampled_from([0, 5 * MS, 150 * MS, 900 * MS, 4 * SEC]))  # it may stand or leap
+        now += data.draw(st.sampled_from([0, 5 * MS, 150 * MS, 900 * MS, 4 * SEC]))  # may pause or jump
         event: Event
         live = sorted(referee.in_flight)
         match data.draw(st.sampled_from("rrrrooooltngmp")):
@@ -352,14 +366,14 @@
         referee.check(now, scheduler.handle(now, [event]))
 
 
-@pytest.mark.parametrize("left", [120 * MS, 150 * MS, 294 * MS, 340 * MS])
-def test_a_queued_query_of_an_impatient_client_is_answered_before_the_client_leaves(left: int) -> None:
-    world = World(replace(SITE, classes=(QUICK, REPORT)), (engine("a"),))
-    world.scheduler.state.classes[0].work.add(15.0 * MS, 1.0)
-    world.notify(EndpointUpdate(EndpointUpdateKind.DELTA, (engine("a", EndpointState.DRAINING),)))
-    request = world.send_request(time_left=left)
-    answered = bool(world.last_of(Reject))
-    while not answered and world.now < request.deadline:  # the clock of a busy controller: a look each 115 ms
-        world.notify(TimerFired(0), after=115 * MS)
-        answered = bool(world.last_of(Reject))
-    assert answered and world.now <= request.deadline and not world.sent
+@pytest.mark.parametrize("time_left", [120 * MS, 150 * MS, 294 * MS, 340 * MS])
+def test_a_queued_query_of_an_impatient_client_is_answered_before_the_client_leaves(time_left: int) -> None:
+    harness = SchedulerHarness(replace(SITE, classes=(QUICK, REPORT)), (engine("a"),))
+    harness.scheduler.state.classes[0].work.add(15.0 * MS, 1.0)
+    harness.notify(EndpointUpdate(EndpointUpdateKind.DELTA, (engine("a", EndpointState.DRAINING),)))
+    request = harness.send_request(time_left=time_left)
+    answered = bool(harness.last_actions_of(Reject))
+    while not answered and harness.now < request.deadline:  # a busy gateway fires its timer every 115 ms
+        harness.notify(TimerFired(0), after=115 * MS)
+        answered = bool(harness.last_actions_of(Reject))
+    assert answered and harness.now <= request.deadline and not harness.sent
--- a/tests/world.py
+++ b/tests/world.py
@@ -1,4 +1,7 @@
-"""Scripted settings and events for the tests; it plays no engine, it only records what was sent."""
+"""Harness for scheduler tests: example settings, scripted events, and a record of the actions.
+
+Engines are not simulated: a test ends each attempt itself.
+"""
 
 from dataclasses import replace
 
@@ -75,7 +78,7 @@
 )
 
 
-def engine(  # noqa: PLR0913, PLR0917 - every field of an entry may matter to a test
+def engine(  # noqa: PLR0913, PLR0917 - tests set any field of an endpoint list entry
     name: str,
     state: EndpointState = EndpointState.UP,
     started_at: int = 0,
@@ -86,8 +89,8 @@
     return EndpointInfo(name, state, zone, kind, group, started_at, 1.0)
 
 
-class World:
-    """One gateway's scheduler with its clock; it notes what was sent."""
+class SchedulerHarness:
+    """The scheduler of one gateway on a test clock, with a record of the attempts it started."""
 
     def __init__(
         self, settings: Settings = SITE, engines: tuple[EndpointInfo, ...] = (), now: int = 100 * SEC
@@ -97,12 +100,12 @@
         self.now = now
         self.next_request_id = 0
         self.sent: list[Forward] = []
-        self.attempt_numbers: dict[int, int] = {}  # of the last attempt, by request
+        self.attempt_numbers: dict[int, int] = {}  # number of the last attempt, by request id
         self.last_actions: list[Action] = []
         self.notify(EndpointUpdate(EndpointUpdateKind.CACHED, engines))
 
     def notify(self, *events: Event, after: int = 0) -> list[Action]:
-        """Hand events to the scheduler, so many nanoseconds later; its actions."""
+        """Advance the clock by `after` nanoseconds, handle the events, and return the scheduler's actions."""
         self.now += after
         self.last_actions = self.scheduler.handle(self.now, list(events))
         for action in self.last_actions:
@@ -112,7 +115,7 @@
                 self.attempt_numbers[action.request_id] = number
         return self.last_actions
 
-    def request(  # noqa: PLR0913, PLR0917 - every field of a request may matter to a test
+    def new_request(  # noqa: PLR0913, PLR0917 - tests set any field of a request
         self,
         class_index: int = 0,
         key: str | None = None,
@@ -121,7 +124,7 @@
         is_retry: bool = False,
         estimated_work: int | None = None,
     ) -> Request:
-        """A new request, which is not sent yet; its client gives up after `time_left`."""
+        """Create a request without sending it; its client times out after `time_left` nanoseconds."""
         self.next_request_id += 1
         timeout = self.settings.classes[class_index].timeout if time_left is None else time_left
         deadline = self.now + timeout
@@ -130,8 +133,8 @@
         )
 
     def send_request(self, class_index: int = 0, **fields: object) -> Request:
-        """Send a new request."""
-        request = self.request(class_index, **fields)  # type: ignore[arg-type]
+        """Create a request and pass it to the scheduler."""
+        request = self.new_request(class_index, **fields)  # type: ignore[arg-type]
         self.notify(request)
         return request
 
@@ -143,7 +146,7 @@
         after: int = 0,
         final: bool | None = None,
     ) -> list[Action]:
-        """End the last attempt of a request; an OK answers the request unless `final` says otherwise."""
+        """End the last attempt of a request; by default, an OK outcome ends the request, too."""
         forward = next(forward for forward in reversed(self.sent) if forward.request_id == request_id)
         is_final = code is OutcomeCode.OK if final is None else final
         number = self.attempt_numbers[request_id]
@@ -152,11 +155,11 @@
             after=after,
         )
 
-    def last_of(self, kind: type) -> list[Action]:
-        """Those of the last actions that are of a kind."""
-        return [action for action in self.last_actions if isinstance(action, kind)]
+    def last_actions_of(self, action_type: type) -> list[Action]:
+        """The actions of one type from the last batch."""
+        return [action for action in self.last_actions if isinstance(action, action_type)]
 
 
-def cancels(actions: list[Action]) -> list[tuple[int, int]]:
-    """Request and attempt number of each cancellation."""
+def cancellations(actions: list[Action]) -> list[tuple[int, int]]:
+    """Request id and attempt number of each cancellation."""
     return [(action.request_id, action.attempt_number) for action in actions if isinstance(action, Cancel)]
