--- a/tests/test_adapter.py
+++ b/tests/test_adapter.py
@@ -1,4 +1,4 @@
-"""The adapter: a short dialogue through deploy's command, malformed input, and the house limits."""
+"""The simulator adapter: a dialogue through the deploy file's command, malformed input, the module list."""
 
 import io
 import subprocess
@@ -16,32 +16,36 @@
     "services.0.worth=1.0 rules.cold=1000 rules.start-capacity=0.3 "
     "family-info.cpu-of-kind=8 family-info.memory-by-kind-mb=16384.0 novel.key=x"
 )
-LIST = "table 0 1\nentry 1 U 0 - 0 engine.a 0\ntargets 0 restored 1 0\n"
-START = f"sync 1000\nconfigure 0 7 {SETTINGS}\n{LIST}end\n"
-ASK = "sync 2000\narrival 0 42 - - 3 0 0 5000002000 0 0\nend\n"
-DONE = "sync 3000\ncompleted 0 42 1 pass 900 0 engine.a 0 -\nend\n"
+ENDPOINT_LIST = "table 0 1\nentry 1 U 0 - 0 engine.a 0\ntargets 0 restored 1 0\n"
+CONFIGURE_BATCH = f"sync 1000\nconfigure 0 7 {SETTINGS}\n{ENDPOINT_LIST}end\n"
+ARRIVAL_BATCH = "sync 2000\narrival 0 42 - - 3 0 0 5000002000 0 0\nend\n"
+COMPLETION_BATCH = "sync 3000\ncompleted 0 42 1 pass 900 0 engine.a 0 -\nend\n"
 
 
 def test_the_deployed_command_holds_a_dialogue() -> None:
     deploy = tomllib.loads((ROOT / "deploy/balancer.toml").read_text())
-    done = subprocess.run(
-        ["/bin/sh", "-c", deploy["sim"]], input=START + ASK + DONE, capture_output=True, text=True, cwd=ROOT
+    process = subprocess.run(
+        ["/bin/sh", "-c", deploy["sim"]],
+        input=CONFIGURE_BATCH + ARRIVAL_BATCH + COMPLETION_BATCH,
+        capture_output=True,
+        text=True,
+        cwd=ROOT,
     )
-    assert (done.returncode, done.stderr) == (0, "")
-    assert done.stdout == "ok\nplace 0 42 0 engine.a\ntimer 0 100000000 0\nok\nok\n"
+    assert (process.returncode, process.stderr) == (0, "")
+    assert process.stdout == "ok\nplace 0 42 0 engine.a\ntimer 0 100000000 0\nok\nok\n"
 
 
-def hold_dialogue(text: str) -> tuple[int, str, str]:
+def run_adapter(text: str) -> tuple[int, str, str]:
     out, err = io.StringIO(), io.StringIO()
     return run(io.StringIO(text), out, err), out.getvalue(), err.getvalue()
 
 
 def test_end_of_input_is_a_clean_exit() -> None:
-    assert hold_dialogue("") == (0, "", "")
+    assert run_adapter("") == (0, "", "")
 
 
 @pytest.mark.parametrize(
-    "bad",
+    "malformed_line",
     [
         "hello 0 1",
         "arrival 0 x - - 3 0 0 5000002000 0 0",
@@ -54,14 +58,14 @@
         "configure 1 7 instances=0",
     ],
 )
-def test_a_malformed_line_is_named_on_standard_error(bad: str) -> None:
-    code, out, err = hold_dialogue(START + f"sync 2000\n{bad}\nend\n")
+def test_a_malformed_line_is_named_on_standard_error(malformed_line: str) -> None:
+    code, out, err = run_adapter(CONFIGURE_BATCH + f"sync 2000\n{malformed_line}\nend\n")
     assert code != 0 and out == "ok\n"
-    assert err.startswith("line 8: ") and bad in err and err.count("\n") == 1
+    assert err.startswith("line 8: ") and malformed_line in err and err.count("\n") == 1
 
 
 def test_contradicting_settings_are_named() -> None:
-    code, _, err = hold_dialogue(START.replace("instances=1", "instances=0"))
+    code, _, err = run_adapter(CONFIGURE_BATCH.replace("instances=1", "instances=0"))
     assert code != 0 and "instances" in err
 
 
--- a/tests/test_engine_attempts.py
+++ b/tests/test_engine_attempts.py
@@ -1,22 +1,22 @@
-"""The attempts on one engine's connection, and until when its next byte must come; no socket."""
+"""The attempts on one engine connection, and the time by which its next byte is due; without sockets."""
 
 import pytest
 
 from query_gateway.engine_protocol.attempt_table import AttemptTable
 from query_gateway.engine_protocol.liveness import STALL_TIMEOUT_SECONDS, ConnectionLiveness
 from query_gateway.forwarder.messages import AttemptHandle, ClientRequest
-from tests.test_exchange import World
+from tests.test_exchange import ForwarderHarness
 
-ATTEMPT_ID, OTHER_ID = "a" * 16, "b" * 16
+ATTEMPT_ID, OTHER_ATTEMPT_ID = "a" * 16, "b" * 16
 PROGRESS_WAIT_S = 10.0
 
 
 def attempt_with_id(client_request_id: str) -> AttemptHandle:
-    world = World()
+    harness = ForwarderHarness()
     request = ClientRequest(
         client_request_id, 0, "lookup", b"x", 5_000_000_000, False, None, None, None, 0.0, None
     )
-    exchange = world.forwarder.accept(request, world.client, "web")
+    exchange = harness.forwarder.accept(request, harness.client, "web")
     return exchange.engine_side.next_attempt(exchange, "a")
 
 
@@ -29,11 +29,11 @@
 
 
 def test_next_byte_is_due_soon_while_pages_are_due_and_else_with_the_next_progress_report() -> None:
-    attempts, liveness = table_with_written_attempts(ATTEMPT_ID, OTHER_ID), ConnectionLiveness(2.0)
+    attempts, liveness = table_with_written_attempts(ATTEMPT_ID, OTHER_ATTEMPT_ID), ConnectionLiveness(2.0)
     assert liveness.deadline(attempts, within_frame=False, progress_wait=PROGRESS_WAIT_S) == 12.0
-    attempts.note_response(attempts.open[OTHER_ID], 3.0)
+    attempts.note_response(attempts.open[OTHER_ATTEMPT_ID], 3.0)
     assert liveness.deadline(attempts, False, PROGRESS_WAIT_S) == 3.0 + STALL_TIMEOUT_SECONDS
-    attempts.remove(OTHER_ID, may_respond=False)
+    attempts.remove(OTHER_ATTEMPT_ID, may_respond=False)
     assert liveness.deadline(attempts, False, PROGRESS_WAIT_S) == 12.0
     attempts.remove(ATTEMPT_ID, may_respond=False)
     assert liveness.deadline(attempts, False, PROGRESS_WAIT_S) is None
@@ -58,9 +58,8 @@
     assert not attempts.is_unused(ATTEMPT_ID)
     assert attempts.withdraw(ATTEMPT_ID) and attempts.is_unused(ATTEMPT_ID)
     attempts.add(attempt_with_id(ATTEMPT_ID), now=2.0)
-    assert not attempts.cancel(ATTEMPT_ID) and attempts.is_unused(
-        ATTEMPT_ID
-    )  # unwritten: no STOP, no response
+    # An unwritten attempt needs no STOP and gets no response
+    assert not attempts.cancel(ATTEMPT_ID) and attempts.is_unused(ATTEMPT_ID)
     attempts = table_with_written_attempts(ATTEMPT_ID)
     assert not attempts.withdraw(ATTEMPT_ID)
     assert attempts.cancel(ATTEMPT_ID) and not attempts.is_unused(ATTEMPT_ID)
--- a/tests/test_exchange.py
+++ b/tests/test_exchange.py
@@ -1,4 +1,4 @@
-"""The forwarder on a clock of its own: one attempt in flight at a time, and answers that wait for nothing."""
+"""Exchanges of a forwarder on a test clock: one attempt in flight at a time, and answers without delay."""
 
 from collections.abc import Callable
 
@@ -52,8 +52,8 @@
         self.answers.append(answer)
 
 
-class World:
-    """A forwarder with one planner, one engine client and two endpoints, and an open request for "lookup"."""
+class ForwarderHarness:
+    """A forwarder with one planner, one engine client, two endpoints, and an open request for "lookup"."""
 
     def __init__(self) -> None:
         self.now = 0
@@ -100,46 +100,49 @@
 
 
 def test_a_cancelled_attempt_counts_as_ended_when_its_cancellation_has_arrived() -> None:
-    """A planner cancels an attempt and forwards the next one to another engine at once."""
-    world = World()
-    world.forwarder.apply(Forward(world.request_id, "a", 0))
-    world.forwarder.apply(Cancel(world.request_id, 0))
-    assert world.engine_client.calls == [("start", "a"), ("cancel", "a")] and world.outcome_codes() == []
-    world.forwarder.apply(Forward(world.request_id, "b", 0))  # too early: it is not sent
-    assert world.outcome_codes() == [OutcomeCode.NOT_SENT] and len(world.engine_client.calls) == 2
-    world.pass_time(CANCEL_PROPAGATION_NS)
-    assert world.outcome_codes() == [OutcomeCode.NOT_SENT, OutcomeCode.CANCELLED]
-    world.forwarder.apply(Forward(world.request_id, "b", 0))
-    assert world.engine_client.calls[-1] == ("start", "b")
+    """A planner that forwards again right after a cancellation must not cause two attempts at the same time.
+
+    The next attempt could overtake the cancellation, so it is not sent before that has arrived.
+    """
+    harness = ForwarderHarness()
+    harness.forwarder.apply(Forward(harness.request_id, "a", 0))
+    harness.forwarder.apply(Cancel(harness.request_id, 0))
+    assert harness.engine_client.calls == [("start", "a"), ("cancel", "a")] and harness.outcome_codes() == []
+    harness.forwarder.apply(Forward(harness.request_id, "b", 0))  # refused: the cancellation has not arrived
+    assert harness.outcome_codes() == [OutcomeCode.NOT_SENT] and len(harness.engine_client.calls) == 2
+    harness.pass_time(CANCEL_PROPAGATION_NS)
+    assert harness.outcome_codes() == [OutcomeCode.NOT_SENT, OutcomeCode.CANCELLED]
+    harness.forwarder.apply(Forward(harness.request_id, "b", 0))
+    assert harness.engine_client.calls[-1] == ("start", "b")
 
 
 def test_a_rejection_is_sent_at_once_while_an_attempt_is_in_flight() -> None:
-    """A planner rejects a request whose cancelled attempt still counts as in flight."""
-    world = World()
-    world.forwarder.apply(Forward(world.request_id, "a", 0))
-    world.forwarder.apply(Cancel(world.request_id, 0))
-    world.forwarder.apply(Reject(world.request_id, 7))
-    assert world.client.answers == [Answer(Verdict.REJECTED, retry_after_ns=7)]
-    world.pass_time(CANCEL_PROPAGATION_NS)
-    world.forwarder.apply(Reject(world.request_id, 7))
-    assert len(world.client.answers) == 1 and not world.forwarder.exchanges
+    """A rejection must not wait until a cancelled attempt no longer counts as in flight."""
+    harness = ForwarderHarness()
+    harness.forwarder.apply(Forward(harness.request_id, "a", 0))
+    harness.forwarder.apply(Cancel(harness.request_id, 0))
+    harness.forwarder.apply(Reject(harness.request_id, 7))
+    assert harness.client.answers == [Answer(Verdict.REJECTED, retry_after_ns=7)]
+    harness.pass_time(CANCEL_PROPAGATION_NS)
+    harness.forwarder.apply(Reject(harness.request_id, 7))
+    assert len(harness.client.answers) == 1 and not harness.forwarder.exchanges
 
 
 def test_a_deadline_that_the_planner_ignores_still_ends_in_one_answer() -> None:
-    """The deadline of a request passes and its planner decides nothing."""
-    world = World()
-    world.forwarder.apply(Forward(world.request_id, "a", 0))
-    world.pass_time(5_000_000_000)
-    assert world.outcome_codes() == [OutcomeCode.TIMEOUT] and world.client.answers == []
-    world.pass_time(5_010_000_000)
-    verdicts = [answer.verdict for answer in world.client.answers]
-    assert verdicts == [Verdict.FAILED] and not world.forwarder.exchanges
+    """A planner that decides nothing by the deadline must not leave the client without an answer."""
+    harness = ForwarderHarness()
+    harness.forwarder.apply(Forward(harness.request_id, "a", 0))
+    harness.pass_time(5_000_000_000)
+    assert harness.outcome_codes() == [OutcomeCode.TIMEOUT] and harness.client.answers == []
+    harness.pass_time(5_010_000_000)
+    verdicts = [answer.verdict for answer in harness.client.answers]
+    assert verdicts == [Verdict.FAILED] and not harness.forwarder.exchanges
 
 
 def test_requests_that_come_as_their_key_quarantine_ends_keep_their_order() -> None:
-    """A request of a key comes when the key quarantine has ended and its timer has not run yet."""
-    world = World()
-    forwarder = world.forwarder
+    """A request that arrives between the end of a key quarantine and its timer must not overtake others."""
+    harness = ForwarderHarness()
+    forwarder = harness.forwarder
 
     def restart_planner() -> None:
         forwarder.on_planner_lost(0)
@@ -147,78 +150,88 @@
 
     def accept_load(digit: str) -> int:
         request = ClientRequest(digit * 16, 2, "load", b"x", 9_000_000_000, False, "k", "u", None, 0.0, None)
-        return world.accept(request, RecordingClient())
+        return harness.accept(request, RecordingClient())
 
     restart_planner()
     first, second = accept_load("2"), accept_load("3")
-    world.now = forwarder.key_quarantine.ends_at[0]  # it has ended, and the timers have not been called yet
+    # The quarantine has ended, and its timer has not run yet
+    harness.now = forwarder.key_quarantine.ends_at[0]
     third = accept_load("4")
-    world.pass_time(world.now)
-    assert world.keyed_requests() == [first, second, third]
+    harness.pass_time(harness.now)
+    assert harness.keyed_requests() == [first, second, third]
     restart_planner()
     accept_load("5")
-    world.now += 1
-    restart_planner()  # once more, while others wait
+    harness.now += 1
+    restart_planner()  # again, while a request waits
     last = accept_load("6")
-    world.pass_time(forwarder.key_quarantine.ends_at[0] - 1)
-    assert world.keyed_requests() == [first, second, third]
-    world.pass_time(forwarder.key_quarantine.ends_at[0])
-    assert world.keyed_requests() == [first, second, third, last]
+    harness.pass_time(forwarder.key_quarantine.ends_at[0] - 1)
+    assert harness.keyed_requests() == [first, second, third]
+    harness.pass_time(forwarder.key_quarantine.ends_at[0])
+    assert harness.keyed_requests() == [first, second, third, last]
 
 
-class StandingWatermark:
-    """Nothing that came after clock time 0 is known to have been read."""
+class StalledWatermark:
+    """A watermark that stays at clock time 0: later arrivals never count as read."""
 
     read_through = 0
 
     def await_progress(self, is_awaited: bool) -> None: ...
 
 
-@pytest.mark.parametrize("held_by", ["quarantine", "order"])
-def test_a_load_that_was_held_up_to_its_deadline_is_rejected(held_by: str) -> None:
-    """Nothing of it ran and no planner knew of it: its client may send it again."""
-    world = World()
-    world.forwarder.keep_arrival_order(StandingWatermark())
-    received_at = 1 if held_by == "order" else 0
+@pytest.mark.parametrize("delayed_by", ["quarantine", "order"])
+def test_a_load_that_was_held_up_to_its_deadline_is_rejected(delayed_by: str) -> None:
+    """A load that waits until its deadline must be rejected, not failed.
+
+    Nothing of it ran and no planner knew of it, so its client may send it again.
+    """
+    harness = ForwarderHarness()
+    harness.forwarder.keep_arrival_order(StalledWatermark())
+    received_at = 1 if delayed_by == "order" else 0
     deadline = 100_000_000
-    if held_by == "quarantine":
-        world.forwarder.on_planner_lost(0)
-        world.forwarder.on_planner_connected(0)
-        assert world.forwarder.key_quarantine.ends_at[0] > deadline + PLANNER_GRACE_NS
+    if delayed_by == "quarantine":
+        harness.forwarder.on_planner_lost(0)
+        harness.forwarder.on_planner_connected(0)
+        assert harness.forwarder.key_quarantine.ends_at[0] > deadline + PLANNER_GRACE_NS
     request = ClientRequest(
         "2" * 16, 2, "load", b"x", deadline, False, "k", "u", None, 0.0, None, received_at
     )
     client = RecordingClient()
-    world.accept(request, client)
+    harness.accept(request, client)
     for now in (deadline, deadline + PLANNER_GRACE_NS):
         assert not client.answers
-        world.pass_time(now)
-    assert client.answers == [Answer(Verdict.REJECTED)] and not world.keyed_requests()
+        harness.pass_time(now)
+    assert client.answers == [Answer(Verdict.REJECTED)] and not harness.keyed_requests()
 
 
 def test_a_retry_is_not_sent_once_engines_have_forgotten_the_first_attempt() -> None:
-    """A suspended planner process forwards a retry when its deduplication window is over."""
-    world = World()
+    """A planner process that was suspended may forward a retry after the deduplication window.
+
+    Engines no longer recognize it as a duplicate then, and the load could run twice.
+    """
+    harness = ForwarderHarness()
     request = ClientRequest("2" * 16, 2, "load", b"x", 60_000_000_000, False, None, "u", None, 0.0, None)
-    request_id = world.accept(request, world.client)
-    world.forwarder.apply(Forward(request_id, "a", 0))
-    world.end_last_attempt(OutcomeCode.RESET, request_id)
-    world.now = 24_999_999_999
-    world.forwarder.apply(Forward(request_id, "b", 0))
-    world.end_last_attempt(OutcomeCode.FULL, request_id)
-    world.now = 25_000_000_000
-    world.forwarder.apply(Forward(request_id, "a", 0))
-    assert world.outcome_codes() == [OutcomeCode.RESET, OutcomeCode.FULL, OutcomeCode.NOT_SENT]
-    assert world.engine_client.calls == [("start", "a"), ("start", "b")]
+    request_id = harness.accept(request, harness.client)
+    harness.forwarder.apply(Forward(request_id, "a", 0))
+    harness.end_last_attempt(OutcomeCode.RESET, request_id)
+    harness.now = 24_999_999_999
+    harness.forwarder.apply(Forward(request_id, "b", 0))
+    harness.end_last_attempt(OutcomeCode.FULL, request_id)
+    harness.now = 25_000_000_000
+    harness.forwarder.apply(Forward(request_id, "a", 0))
+    assert harness.outcome_codes() == [OutcomeCode.RESET, OutcomeCode.FULL, OutcomeCode.NOT_SENT]
+    assert harness.engine_client.calls == [("start", "a"), ("start", "b")]
 
 
 def test_attempts_after_one_that_was_not_sent_keep_the_planners_numbers() -> None:
-    """A planner forwards to an engine that has no address on the wire of the request."""
-    world = World()
+    """An attempt that is not sent, here for lack of an address on the request's wire, must still be numbered.
+
+    Otherwise the outcome of the next attempt has another number than the planner gave it.
+    """
+    harness = ForwarderHarness()
     entry = EndpointInfo("a", EndpointState.UP, 0, 0, 0, 0, 1.0)
-    world.forwarder.update_endpoints([Endpoint(entry, {"flight": "127.0.0.1:1"})], False)
-    world.forwarder.apply(Forward(world.request_id, "a", 0))
-    world.forwarder.apply(Forward(world.request_id, "b", 0))
-    world.end_last_attempt(OutcomeCode.ERROR)
-    outcomes = [(outcome.endpoint, outcome.attempt_number, outcome.code) for outcome in world.outcomes()]
+    harness.forwarder.update_endpoints([Endpoint(entry, {"flight": "127.0.0.1:1"})], False)
+    harness.forwarder.apply(Forward(harness.request_id, "a", 0))
+    harness.forwarder.apply(Forward(harness.request_id, "b", 0))
+    harness.end_last_attempt(OutcomeCode.ERROR)
+    outcomes = [(outcome.endpoint, outcome.attempt_number, outcome.code) for outcome in harness.outcomes()]
     assert outcomes == [("a", 0, OutcomeCode.NOT_SENT), ("b", 1, OutcomeCode.ERROR)]
--- a/tests/test_send_guard.py
+++ b/tests/test_send_guard.py
@@ -1,4 +1,4 @@
-"""The send guard, the invariant checks behind it, slow-start budgets, and the trace of a request."""
+"""The send guard, the invariant checks, slow-start budgets, and the trace of a request."""
 
 import copy
 from collections.abc import Callable
@@ -27,21 +27,21 @@
 DEADLINE = 5 * SEC
 
 
-class HeldEngineClient:
-    """Holds what is started until `write_all`, as a connection does that comes up late."""
+class QueueingEngineClient:
+    """Queues attempts until `write_all`, like a connection that is slow to establish."""
 
     streams_results = False
 
     def __init__(self) -> None:
-        self.held: list[Attempt] = []
+        self.queued: list[Attempt] = []
         self.written: list[str] = []
 
     def start(self, attempt: Any) -> None:
-        self.held.append(attempt)
+        self.queued.append(attempt)
 
     def write_all(self) -> None:
-        held, self.held = self.held, []
-        for attempt in held:
+        queued, self.queued = self.queued, []
+        for attempt in queued:
             if attempt.may_be_written():
                 self.written.append(attempt.endpoint)
                 attempt.on_written()
@@ -49,7 +49,7 @@
                 attempt.on_ended(OutcomeCode.NOT_SENT)
 
     def withdraw(self, attempt: Any) -> bool:
-        return False  # whether it is withdrawn must not matter to the guard
+        return False  # the guard must not depend on a withdrawal
 
     def cancel(self, attempt: Any) -> None: ...
 
@@ -58,27 +58,27 @@
     def update_endpoints(self, endpoints: list[Endpoint], is_snapshot: bool) -> None: ...
 
 
-class LeavingClient(RecordingClient):
-    """Has left as soon as the test says so."""
+class DisconnectableClient(RecordingClient):
+    """A client whose connection a test can close."""
 
     def __init__(self) -> None:
         super().__init__()
-        self.gone = False
+        self.left = False
 
     def has_left(self) -> bool:
-        return self.gone
+        return self.left
 
 
-class Steps:
-    """A trace that keeps what it is told."""
+class RecordingTrace:
+    """A request trace that stores its steps in memory."""
 
     def __init__(self) -> None:
-        self.seen: list[tuple[TraceStep, str]] = []
+        self.steps: list[tuple[TraceStep, str]] = []
 
     def record(
         self, clock_time: int, request_id: int, client_request_id: str, step: TraceStep, details: str
     ) -> None:
-        self.seen.append((step, details))
+        self.steps.append((step, details))
 
 
 def settings(rules: dict[str, Any]) -> Settings:
@@ -88,8 +88,8 @@
     return parse_settings(flatten_settings(raw))
 
 
-class World:
-    """A forwarder on its own clock, with a planner that only listens, two engines and one open request."""
+class ForwarderHarness:
+    """A forwarder on a test clock, a planner that only records events, two engines and one open request."""
 
     def __init__(
         self, class_index: int = 0, started_at: int = 0, rules: dict[str, Any] | None = None
@@ -97,12 +97,16 @@
         self.now = 100 * SEC
         self.events: list[Event] = []
         self.violations: list[Invariant] = []
-        self.engine_client, self.client, self.steps = HeldEngineClient(), LeavingClient(), Steps()
+        self.engine_client, self.client, self.trace = (
+            QueueingEngineClient(),
+            DisconnectableClient(),
+            RecordingTrace(),
+        )
         self.forwarder = Forwarder(settings(rules or {}), lambda: self.now, self.call_at, max_exchanges=100)
         self.forwarder.engine_clients["web"] = self.engine_client
         self.forwarder.add_planner(self.events.append, True)
         self.forwarder.invariants.on_violation = lambda invariant, _: self.violations.append(invariant)
-        self.forwarder.context.request_trace = self.steps
+        self.forwarder.context.request_trace = self.trace
         self.list_engines(EndpointState.UP, started_at)
         self.request_id = self.accept("1" * 16, class_index)
 
@@ -138,129 +142,127 @@
         return [event.code for event in self.events if isinstance(event, AttemptOutcome)]
 
     def send_refusals(self) -> list[str]:
-        return [details for step, details in self.steps.seen if step is TraceStep.SEND_REFUSED]
+        return [details for step, details in self.trace.steps if step is TraceStep.SEND_REFUSED]
 
 
-def leave(world: World) -> None:
-    world.client.gone = True
+def disconnect_client(harness: ForwarderHarness) -> None:
+    harness.client.left = True
 
 
-def drain(world: World) -> None:
-    world.list_engines(EndpointState.DRAINING)
+def drain_engines(harness: ForwarderHarness) -> None:
+    harness.list_engines(EndpointState.DRAINING)
 
 
-def pass_the_deadline(world: World) -> None:
-    world.now += DEADLINE
+def pass_deadline(harness: ForwarderHarness) -> None:
+    harness.now += DEADLINE
 
 
-def answer(world: World) -> None:
-    world.forwarder.apply(Fail(world.request_id))
+def fail_request(harness: ForwarderHarness) -> None:
+    harness.forwarder.apply(Fail(harness.request_id))
 
 
 @pytest.mark.parametrize(
     ("change", "reason"),
     [
-        (leave, "a client-left"),
-        (drain, "a endpoint-not-up"),
-        (pass_the_deadline, "a too-late"),
-        (answer, "a not-open"),
+        (disconnect_client, "a client-left"),
+        (drain_engines, "a endpoint-not-up"),
+        (pass_deadline, "a too-late"),
+        (fail_request, "a not-open"),
     ],
 )
 def test_attempt_that_waits_is_not_written_when_it_may_no_longer_be_sent(
-    change: Callable[[World], None], reason: str
+    change: Callable[[ForwarderHarness], None], reason: str
 ) -> None:
-    """Something changes between the start of an attempt and its first byte.
+    """No engine may work for a client that has left or was answered, past the deadline, or during its drain.
 
-    The client leaves, the engine drains, the deadline passes or the request is answered while the attempt
-    waits for its connection. Without a second look an engine would work for nobody, or past its drain. The
-    guard is asked again as the first byte is about to leave.
+    Each can happen while an attempt waits for its connection, so the send guard is consulted again just
+    before the first byte.
     """
-    world = World()
-    world.forward()
-    change(world)
-    world.engine_client.write_all()
-    assert world.engine_client.written == [] and world.send_refusals() == [reason]
-    assert world.outcomes() == [OutcomeCode.NOT_SENT] and not world.violations
+    harness = ForwarderHarness()
+    harness.forward()
+    change(harness)
+    harness.engine_client.write_all()
+    assert harness.engine_client.written == [] and harness.send_refusals() == [reason]
+    assert harness.outcomes() == [OutcomeCode.NOT_SENT] and not harness.violations
 
 
 def test_client_found_to_have_left_is_owed_no_answer() -> None:
-    """The send guard is the first to notice that a client has left.
+    """The send guard may notice that a client has left before its server sees the close.
 
-    Its server has not seen the close yet. The exchange is abandoned right there, so that nothing is answered
-    and the planner does not retry.
+    The exchange must be abandoned at once, or the planner would retry for a client that is gone.
     """
-    world = World()
-    world.forward()
-    leave(world)
-    world.engine_client.write_all()
-    assert not world.forwarder.exchanges and world.client.answers == []
-    assert (TraceStep.ABANDONED, "") in world.steps.seen
+    harness = ForwarderHarness()
+    harness.forward()
+    disconnect_client(harness)
+    harness.engine_client.write_all()
+    assert not harness.forwarder.exchanges and harness.client.answers == []
+    assert (TraceStep.ABANDONED, "") in harness.trace.steps
 
 
 def test_non_idempotent_request_that_may_have_run_is_not_started_again() -> None:
-    """A faulty planner forwards a non-idempotent request again after its connection was reset.
+    """A faulty planner forwards a non-idempotent request again after a reset, so it may take effect twice.
 
-    The first attempt may have run, so the request would have its effect twice; a rejection would invite the
-    client to do the same. The forwarder keeps how each attempt ended, refuses to start another one, and turns
-    the rejection into a failure.
+    A rejection would make the client retry, to the same effect. The forwarder refuses another attempt after
+    one that may have run, and sends a failure instead of the rejection.
     """
-    world = World(class_index=1)
-    world.forward()
-    [attempt] = world.engine_client.held
-    world.engine_client.write_all()
+    harness = ForwarderHarness(class_index=1)
+    harness.forward()
+    [attempt] = harness.engine_client.queued
+    harness.engine_client.write_all()
     attempt.on_ended(OutcomeCode.RESET)
-    world.forward("b")
-    assert world.send_refusals() == ["b may-have-run"] and world.engine_client.held == []
-    world.forwarder.apply(Reject(world.request_id, 0))
-    assert [a.verdict for a in world.client.answers] == [Verdict.FAILED]  # a rejection would be untrue
-    assert world.violations == [Invariant.REJECTED_SAFELY]
+    harness.forward("b")
+    assert harness.send_refusals() == ["b may-have-run"] and harness.engine_client.queued == []
+    harness.forwarder.apply(Reject(harness.request_id, 0))
+    # A rejection would state that the request did not run
+    assert [answer.verdict for answer in harness.client.answers] == [Verdict.FAILED]
+    assert harness.violations == [Invariant.REJECTED_SAFELY]
 
 
 @pytest.mark.parametrize(
     ("change", "violation"),
     [
-        (drain, Invariant.SENT_TO_UP_ENDPOINT),
-        (lambda world: pass_time_after(world, answer), Invariant.SENT_WHILE_OPEN),
-        (lambda world: pass_time_after(world, abandon), Invariant.SENT_FOR_CLIENT),
+        (drain_engines, Invariant.SENT_TO_UP_ENDPOINT),
+        (lambda harness: pass_time_after(harness, fail_request), Invariant.SENT_WHILE_OPEN),
+        (lambda harness: pass_time_after(harness, abandon), Invariant.SENT_FOR_CLIENT),
     ],
 )
-def test_what_leaves_past_the_guard_is_counted(change: Callable[[World], None], violation: Invariant) -> None:
-    """An engine client writes an attempt without asking the send guard.
+def test_what_leaves_past_the_guard_is_counted(
+    change: Callable[[ForwarderHarness], None], violation: Invariant
+) -> None:
+    """An engine client that writes an attempt without consulting the send guard must not go unnoticed.
 
-    Nothing can be taken back then, but the violation must show in the log of a running process. The check
-    after the last byte counts and reports it.
+    Nothing can be taken back then, but the check after the last byte counts and reports the violation.
     """
-    world = World()
-    world.forward()
-    [attempt] = world.engine_client.held
-    change(world)
-    attempt.on_written()  # without asking the guard
-    assert violation in world.violations
-    assert world.forwarder.invariants.violations[violation] == 1
+    harness = ForwarderHarness()
+    harness.forward()
+    [attempt] = harness.engine_client.queued
+    change(harness)
+    attempt.on_written()  # without consulting the send guard
+    assert violation in harness.violations
+    assert harness.forwarder.invariants.violations[violation] == 1
 
 
-def abandon(world: World) -> None:
-    world.forwarder.exchanges[world.request_id].abandon()
+def abandon(harness: ForwarderHarness) -> None:
+    harness.forwarder.exchanges[harness.request_id].abandon()
 
 
-def pass_time_after(world: World, change: Callable[[World], None]) -> None:
-    change(world)
-    world.now += SEC
+def pass_time_after(harness: ForwarderHarness, change: Callable[[ForwarderHarness], None]) -> None:
+    change(harness)
+    harness.now += SEC
 
 
 def test_trace_tells_each_step_with_its_reason() -> None:
-    """A request is rejected after an attempt that its engine refused.
+    """Without every step in order, the trace would not show which process decided what, and why.
 
-    Without the steps in order an engineer could not tell which process decided what. The trace has each step
-    with the reason that was known at the time.
+    Here an engine refuses an attempt, and the planner then rejects the request as late.
     """
-    world = World()
-    world.forward()
-    [attempt] = world.engine_client.held
-    world.engine_client.write_all()
+    harness = ForwarderHarness()
+    harness.forward()
+    [attempt] = harness.engine_client.queued
+    harness.engine_client.write_all()
     attempt.on_ended(OutcomeCode.FULL)
-    world.forwarder.apply(Reject(world.request_id, 0, EndReason.LATE))
-    assert world.steps.seen == [
+    harness.forwarder.apply(Reject(harness.request_id, 0, EndReason.LATE))
+    assert harness.trace.steps == [
         (TraceStep.ACCEPTED, f"any deadline {105 * SEC}"),
         (TraceStep.ATTEMPT_STARTED, "a number 0"),
         (TraceStep.ATTEMPT_WRITTEN, "a"),
@@ -271,28 +273,25 @@
 
 
 def test_trace_file_has_a_line_for_each_step_and_costs_nothing_where_it_fails(tmp_path: Any) -> None:
-    """The folder of the trace file does not exist.
-
-    An error raised there would end the start of a gateway for the sake of its trace. The gateway goes on
-    without one.
-    """
+    """A trace file that cannot be opened, here in a missing folder, must not keep a gateway from starting."""
     assert open_request_trace({}) is None
     assert open_request_trace({TRACE_VARIABLE: str(tmp_path / "no" / "folder")}) is None
     trace = open_request_trace({TRACE_VARIABLE: str(tmp_path / "trace")})
     assert trace
     trace.record(10**18 + 1_500_000_000, 7, "ab", TraceStep.ANSWERED, "served")
-    words = (tmp_path / "trace").read_text().split()
-    assert words[0] == "1.500000" and words[2:] == ["7", "ab", "answered", "served"]
+    fields = (tmp_path / "trace").read_text().split()
+    assert fields[0] == "1.500000" and fields[2:] == ["7", "ab", "answered", "served"]
 
 
-# ---- slow start
+# Slow-start budgets
 
-COLD = {
+# An engine of 16 cores may be sent 20 requests with 1 s of work each in its first overload window
+SLOW_START_RULES = {
     "cold": 10 * SEC,
     "start_capacity": 0.5,
     "overload_factor": 2.5,
     "tip_after": SEC,
-}  # 16 cores: 20 requests of a second's work at the start
+}
 
 
 class EngineInSlowStart:
@@ -301,18 +300,18 @@
     def __init__(self, instances: int = 1, process_count: int = 1) -> None:
         raw = copy.deepcopy(SETTINGS)
         raw["instances"] = instances
-        rules = {name.replace("_", "-"): value for name, value in COLD.items()}
+        rules = {name.replace("_", "-"): value for name, value in SLOW_START_RULES.items()}
         raw["rules"] |= rules  # type: ignore[operator]
         self.settings = parse_settings(flatten_settings(raw))
         self.budgets = SlowStartBudgets(process_count)
         self.info = EndpointInfo("a", EndpointState.UP, 0, 0, 0, 100 * SEC, 1.0)
 
     def allows(self, now: int) -> bool:
-        """Whether a request of a second's work may leave."""
+        """Whether a request with 1 s of work may be sent."""
         return self.budgets.allows(self.info, self.settings, SEC, now)
 
     def send_all_allowed(self, now: int) -> int:
-        """Send requests at once until the budget is used up; how many these were."""
+        """Send requests at one time until the budget is used up, and return their number (1,000 at most)."""
         count = 0
         while count < 1_000 and self.allows(now):
             self.budgets.record(self.info, self.settings, SEC, now)
@@ -325,10 +324,9 @@
 
 
 def test_burst_to_an_engine_in_slow_start_is_bounded_by_its_budget_and_the_allowance() -> None:
-    """Requests leave for an engine in slow start all at once.
+    """Requests sent all at once to an engine in slow start would overload it within one window.
 
-    More than its budget within one window makes it fall over. The budget lets through what the engine takes
-    and the statistical allowance, and refuses the rest.
+    The budget allows what the engine can take and the statistical allowance, and refuses the rest.
     """
     allowed = 20 + 3 * 20**0.5 + 3
     assert EngineInSlowStart().send_all_allowed(100 * SEC) == int(allowed)
@@ -336,9 +334,9 @@
 
 @pytest.mark.parametrize(("instances", "processes"), [(2, 1), (1, 2), (4, 2)])
 def test_processes_together_stay_within_the_budget(instances: int, processes: int) -> None:
-    """Several forwarder processes, of one gateway or of several, use up their budgets at the same time.
+    """Full budgets of several forwarder processes, of one gateway or of several, add up to an overload.
 
-    They know nothing of each other, so full budgets would add up to an overload. Each has an even part.
+    The processes do not know of each other's sends, so each has an even part of the budget.
     """
     count = instances * processes
     each = EngineInSlowStart(instances, processes).send_all_allowed(100 * SEC)
@@ -346,10 +344,9 @@
 
 
 def test_budget_returns_with_the_window_and_ends_with_slow_start() -> None:
-    """A budget is used up, and its window passes.
+    """Sends that counted for ever would leave an engine without requests once its budget is used up.
 
-    Sends that counted for ever would keep the engine from ever getting more. What has left counts for one
-    window, and nothing is bounded after slow start.
+    A send counts for one window, and there is no limit after slow start.
     """
     engine = EngineInSlowStart()
     first = engine.send_all_allowed(100 * SEC)
@@ -359,10 +356,9 @@
 
 
 def test_restart_of_an_engine_begins_a_budget_of_its_own() -> None:
-    """An engine restarts while its budget is used up.
+    """Sends to an engine before its restart must not use up the budget of the new engine process.
 
-    Sends to the process before would count against the new one, which has none of that work. They are
-    forgotten with the restart.
+    It runs none of that work, so the restart resets the count.
     """
     engine = EngineInSlowStart()
     engine.send_all_allowed(100 * SEC)
@@ -372,10 +368,9 @@
 
 @pytest.mark.parametrize("is_snapshot", [True, False])
 def test_endpoint_list_tells_which_engines_have_restarted_or_are_no_longer_listed(is_snapshot: bool) -> None:
-    """A snapshot leaves one engine out, or a delta removes it, and another engine has restarted.
+    """Sends counted for a removed engine would leak memory; for a restarted one, they use up its budget.
 
-    Counted sends of either would stay: memory that grows, or a budget that a new process does not have left.
-    The update names both, and no engine that stayed as it was.
+    An update returns the names of both, for a snapshot as for a delta, and of no unchanged engine.
     """
     state = ForwarderState(settings({}))
     kept, restarted, removed = (
@@ -390,9 +385,9 @@
 
 
 def test_share_of_a_hot_upgrade_divides_the_budget() -> None:
-    """Two processes of one gateway serve during a hot upgrade.
+    """The two processes of a hot upgrade would together overload an engine with a whole budget each.
 
-    With a whole budget each they would overload an engine together. Each has its share of the budget.
+    Each has its share of the budget.
     """
     whole, half = EngineInSlowStart(), EngineInSlowStart()
     half.budgets.share = 0.5
@@ -400,35 +395,34 @@
 
 
 def test_attempts_behind_a_late_connection_to_a_cold_engine_do_not_leave_together() -> None:
-    """Attempts at an engine in slow start wait for one connection, which comes up late.
+    """Attempts that the planner spaced may wait for one late connection, and then be written together.
 
-    The planner had spaced them, and all left together as the connection came up, more than the engine takes
-    within a window. The budget counts what leaves and refuses the rest.
+    That is more than an engine in slow start takes within a window, so the budget counts what is written and
+    refuses the rest.
     """
-    world = World(started_at=100 * SEC, rules=COLD)
+    harness = ForwarderHarness(started_at=100 * SEC, rules=SLOW_START_RULES)
     for number in range(60):
-        request_id = world.accept(f"{number:015x}f", work=SEC)
-        world.forwarder.apply(Forward(request_id, "a", 0))
-        world.now += SEC // 60
-    world.engine_client.write_all()
-    allowed = 22 + 3 * 22**0.5 + 3  # it is a second old by then
-    assert len(world.engine_client.written) <= allowed
-    assert set(world.send_refusals()) == {"a cold-endpoint"}
-    assert not world.violations
+        request_id = harness.accept(f"{number:015x}f", work=SEC)
+        harness.forwarder.apply(Forward(request_id, "a", 0))
+        harness.now += SEC // 60
+    harness.engine_client.write_all()
+    allowed = 22 + 3 * 22**0.5 + 3  # the engine started a second ago by then
+    assert len(harness.engine_client.written) <= allowed
+    assert set(harness.send_refusals()) == {"a cold-endpoint"}
+    assert not harness.violations
 
 
 def test_answer_is_recorded_as_late_only_beyond_its_slack() -> None:
-    """A request is answered after its deadline, once within the slack and once beyond it.
+    """Answers a few milliseconds after the deadline, if counted as violations, would hide the real ones.
 
-    A violation at every answer that leaves some milliseconds late would hide the real ones. The invariant
-    counts an answer as late only beyond the slack.
+    The invariant counts an answer as late only beyond the slack (`ANSWER_SLACK_NS`).
     """
-    world = World()
-    world.now += DEADLINE + SEC // 4
-    answer(world)
-    assert not world.violations
-    other = World()
-    other.now += DEADLINE + SEC
-    answer(other)
-    assert other.violations == [Invariant.ANSWERED_IN_TIME]
-    assert other.client.answers == [Answer(Verdict.FAILED)]
+    harness = ForwarderHarness()
+    harness.now += DEADLINE + SEC // 4
+    fail_request(harness)
+    assert not harness.violations
+    late_harness = ForwarderHarness()
+    late_harness.now += DEADLINE + SEC
+    fail_request(late_harness)
+    assert late_harness.violations == [Invariant.ANSWERED_IN_TIME]
+    assert late_harness.client.answers == [Answer(Verdict.FAILED)]
--- a/tests/test_start_times.py
+++ b/tests/test_start_times.py
@@ -1,4 +1,4 @@
-"""Starts of engines on the gateway's own clock, whatever its wall clock says. Free of sockets."""
+"""Start times of engines on the steady clock, with a wall clock that is wrong or is stepped."""
 
 import pytest
 
@@ -8,21 +8,21 @@
 
 SEC = 10**9
 HOUR = 3_600 * SEC
-TRUE_OFFSET = 5 * 10**17  # of a wall clock that is right
+CORRECT_OFFSET = 5 * 10**17  # of a correct wall clock from the steady clock, in ns
 
 
 class Clocks:
-    """A steady clock, and a wall clock that is wrong by `error`."""
+    """A steady clock, and a wall clock that is wrong by `error` nanoseconds."""
 
     def __init__(self, error: int = 0) -> None:
         self.now, self.error = 10**18, error
 
-    def times(self) -> StartTimes:
-        return StartTimes(lambda: self.now, lambda: TRUE_OFFSET + self.error)
+    def start_times(self) -> StartTimes:
+        return StartTimes(lambda: self.now, lambda: CORRECT_OFFSET + self.error)
 
-    def engine(self, name: str, age: int) -> Endpoint:
-        """An engine that started `age` ago, as the list tells it."""
-        started_at = self.now + TRUE_OFFSET - age
+    def endpoint(self, name: str, age: int) -> Endpoint:
+        """The endpoint list entry of an engine that started `age` nanoseconds ago."""
+        started_at = self.now + CORRECT_OFFSET - age
         return Endpoint(EndpointInfo(name, EndpointState.UP, 0, 0, 0, started_at, 1.0), {})
 
 
@@ -32,75 +32,66 @@
 
 @pytest.mark.parametrize("step", [0, HOUR, -HOUR, 5 * SEC, -5 * SEC])
 def test_start_told_after_a_step_is_placed_by_the_clock_that_was_right(step: int) -> None:
-    """The wall clock is stepped before the list reports that an engine has started.
+    """A wall clock stepped ahead makes an engine in slow start look older, and it would be overloaded.
 
-    By a clock that is ahead, an engine that started just now would look warm and be sent more than it can
-    bear. Of the ages by the clock at the process's start and by the present one, the younger counts.
+    Of the ages by the clock offset at the start of the process and by the current one, the lower counts.
     """
     clocks = Clocks()
-    times = clocks.times()
+    start_times = clocks.start_times()
     clocks.now += 60 * SEC
     clocks.error = step
-    [age] = ages(clocks, times.translate([clocks.engine("e", 3 * SEC)], clocks.now - SEC))
+    [age] = ages(clocks, start_times.translate([clocks.endpoint("e", 3 * SEC)], clocks.now - SEC))
     assert age <= 3 * SEC
     assert age == 3 * SEC or abs(step) < HOUR
 
 
 @pytest.mark.parametrize("error", [HOUR, -HOUR])
 def test_start_told_to_a_process_whose_clock_was_wrong_from_its_start_is_recent(error: int) -> None:
-    """The wall clock was wrong from the start of the process.
+    """With a wall clock an hour ahead from the start of the process, an engine would skip its slow start.
 
-    By a clock that was an hour ahead, an engine in slow start had been warm for long. The list was complete
-    until shortly before, so the engine cannot have started much earlier than that; the age is bounded by it.
+    The engine was missing from a list that was complete shortly before, which bounds its age.
     """
     clocks = Clocks(error)
-    times = clocks.times()
+    start_times = clocks.start_times()
     clocks.now += 60 * SEC
-    [age] = ages(clocks, times.translate([clocks.engine("e", 3 * SEC)], clocks.now - 2 * SEC))
+    [age] = ages(clocks, start_times.translate([clocks.endpoint("e", 3 * SEC)], clocks.now - 2 * SEC))
     assert 0 <= age <= 12 * SEC
 
 
 def test_a_snapshot_bounds_ages_by_what_started_later() -> None:
-    """A gateway starts with a wrong wall clock and gets its first list.
+    """A gateway with a wrong wall clock gets its first list, so no earlier list bounds the ages.
 
-    No earlier list bounds the ages. The engine that started last counts as started now, and the others are
-    placed by how much earlier they started.
+    The engine that started last counts as started now, and the others by how much earlier they started.
     """
     clocks = Clocks(HOUR)
-    listed = [clocks.engine("new", 3 * SEC), clocks.engine("older", 40 * SEC)]
-    assert ages(clocks, clocks.times().translate(listed, None)) == [0, 37 * SEC]
+    listed = [clocks.endpoint("new", 3 * SEC), clocks.endpoint("older", 40 * SEC)]
+    assert ages(clocks, clocks.start_times().translate(listed, None)) == [0, 37 * SEC]
 
 
 def test_a_start_longer_ago_than_any_step_is_taken_as_listed() -> None:
-    """Engines of the first list started hours ago.
+    """Engines of a first list that started hours ago would count as in slow start and be sent too little.
 
-    Bounded by the newest of them as after a step, engines that are warm would be sent too little. An age
-    beyond any step of a wall clock is long in every case and is taken as listed.
+    An age above the longest step of a wall clock is past slow start in any case, and is taken as listed.
     """
     clocks = Clocks()
-    listed = [clocks.engine("old", 2 * HOUR), clocks.engine("older", 3 * HOUR)]
-    assert ages(clocks, clocks.times().translate(listed, None)) == [2 * HOUR, 3 * HOUR]
+    listed = [clocks.endpoint("old", 2 * HOUR), clocks.endpoint("older", 3 * HOUR)]
+    assert ages(clocks, clocks.start_times().translate(listed, None)) == [2 * HOUR, 3 * HOUR]
 
 
 def test_a_start_stays_where_it_was_placed_first() -> None:
-    """The wall clock is stepped after an engine's start was translated.
+    """After a step of the wall clock, a second translation would restart the slow start or end it too early.
 
-    A second translation would move the start, and slow start would begin anew or end too early. The first
-    result is remembered and used as long as the listed start is the same.
+    The first result is stored and used as long as the listed start is the same.
     """
     clocks = Clocks()
-    times = clocks.times()
-    engine = clocks.engine("e", 3 * SEC)
-    first = times.translate([engine], None)
+    start_times = clocks.start_times()
+    endpoint = clocks.endpoint("e", 3 * SEC)
+    first = start_times.translate([endpoint], None)
     clocks.now, clocks.error = clocks.now + 30 * SEC, -HOUR
-    assert times.translate([engine], clocks.now) == first
+    assert start_times.translate([endpoint], clocks.now) == first
 
 
 def test_an_unknown_start_stays_unknown() -> None:
-    """The list gives no start for an engine.
-
-    Translated like a time, the 0 that stands for an unknown start would become an ordinary one. The endpoint
-    is left as it is.
-    """
+    """A start of 0 means unknown; translated like a time, it would become an ordinary start."""
     endpoint = Endpoint(EndpointInfo("e", EndpointState.UP, 0, 0, 0, 0, 1.0), {})
-    assert Clocks().times().translate([endpoint], None) == [endpoint]
+    assert Clocks().start_times().translate([endpoint], None) == [endpoint]
