--- a/bench/lookups_per_second.py
+++ b/bench/lookups_per_second.py
@@ -1,13 +1,13 @@
-"""How many small lookups one gateway process on one core serves a second.
+"""Measures how many small lookups per second one gateway process serves on one core.
 
     python -m bench.lookups_per_second --root DIR --seconds 8 --connections 40 --cpu 4
 
-The gateway runs from the tree at DIR by its public command, with that tree's virtual environment, on a core
-of its own. Engines and clients are processes of this bench on the other cores. Each connection is kept alive
-and sends its next lookup as soon as the last one is answered. An answer other than 200 ends the measurement
-with an error.
+The gateway is started from the source tree at DIR with its public command and that tree's virtual
+environment, on a dedicated core. Engines and clients are processes of this bench on the other cores. Each
+connection is kept alive and sends its next lookup as soon as the previous one is answered. An answer other
+than 200 aborts the measurement with an error.
 
-Nothing of the tree under measurement is imported, so that trees of different age can be compared.
+Nothing is imported from the measured tree, so that different versions can be compared.
 """
 
 import contextlib
@@ -38,7 +38,7 @@
 WARM_UP_S = 1.0
 START_TIMEOUT_S = 15.0
 STOP_TIMEOUT_S = 10.0
-POLL_ANSWER_S = 1.0  # that the discovery service waits before it answers that nothing has changed
+POLL_ANSWER_S = 1.0  # delay before the discovery service answers a poll with no changes
 SOCKET_TIMEOUT_S = 10.0
 READ_BYTES = 65_536
 PAGE = b"9\tThe Stone Raft\t2\n"
@@ -46,18 +46,18 @@
 
 @dataclass(frozen=True)
 class LoadPlan:
-    """What one client process does: lookups over its connections, counted within the window."""
+    """The load of one client process; lookups count from `counted_from` to `counted_until`."""
 
     process_number: int
     gateway_port: int
     connections: int
-    counted_from: float  # seconds of the monotonic clock, as all times here
+    counted_from: float  # seconds of the monotonic clock, like all times in this module
     counted_until: float
 
 
 @dataclass(frozen=True)
 class LoadResult:
-    """What one client process has seen."""
+    """The counts of one client process."""
 
     served: int  # within the window
     served_before: int  # during the warm-up
@@ -65,14 +65,14 @@
 
 
 class FailedLookupError(Exception):
-    """A lookup was not answered with 200; the message shows what came instead."""
+    """A lookup was not answered with 200; the message shows what was received."""
 
 
-# ---- engines and discovery service
+# ---- engines and the discovery service
 
 
 def serve_engines(ports: list[int]) -> None:
-    """Answer each request of the engine protocol at once with one page, until the process is ended."""
+    """Answer each request of the engine protocol with one page at once, until the process is terminated."""
     selector = selectors.DefaultSelector()
     for port in ports:
         listener = socket.create_server(("127.0.0.1", port))
@@ -90,7 +90,7 @@
 
 
 def _serve_engine_connection(sock: socket.socket, buffer: bytearray) -> bool:
-    """Read what has come and answer it; whether the connection is still open."""
+    """Answer the received requests; returns whether the connection is still open."""
     with contextlib.suppress(OSError):
         data = sock.recv(READ_BYTES)
         if not data:
@@ -104,7 +104,7 @@
 
 
 def _take_answers(buffer: bytearray) -> bytes:
-    """Take the complete requests from the buffer and return the answers to them."""
+    """Remove the complete requests from the buffer and return their answers."""
     answers = []
     while (line_end := buffer.find(b"\r\n")) >= 0:
         words = buffer[:line_end].split()
@@ -119,7 +119,7 @@
 
 
 def serve_discovery(port: int) -> None:
-    """Answer each poll after a while that the endpoint list has not changed, until the process is ended."""
+    """Answer each poll after POLL_ANSWER_S with no changes, until the process is terminated."""
     body = b'{"pos":1,"entries":[]}'
     with socket.create_server(("127.0.0.1", port)) as listener:
         while True:
@@ -134,10 +134,10 @@
 
 
 class LookupConnection:
-    """One kept-alive connection with one lookup under way at a time."""
+    """A persistent connection with one lookup in flight at a time."""
 
     def __init__(self, port: int, request_ids: Iterator[bytes]) -> None:
-        """Dial the gateway."""
+        """Connect to the gateway."""
         self.sock = socket.create_connection(("127.0.0.1", port), SOCKET_TIMEOUT_S)
         self.sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         self.request_ids = request_ids
@@ -154,20 +154,20 @@
         )
 
     def receive(self) -> bool:
-        """Read what has come; whether the answer is complete.
+        """Read the available data; returns whether the answer is complete.
 
-        Raises FailedLookupError for an answer other than 200 and for a connection that ends.
+        Raises FailedLookupError if the answer is not 200 or the gateway closes the connection.
         """
         data = self.sock.recv(READ_BYTES)
         if not data:
-            raise FailedLookupError(f"connection closed behind {self.received[:200]!r}")
+            raise FailedLookupError(f"connection closed after {self.received[:200]!r}")
         self.received += data
         head_end = self.received.find(b"\r\n\r\n")
         if head_end < 0:
             return False
         head = self.received[:head_end].lower()
         if not head.startswith(b"http/1.1 200"):
-            raise FailedLookupError(f"answer {self.received[:300]!r}")
+            raise FailedLookupError(f"unexpected answer {self.received[:300]!r}")
         length_at = head.index(b"content-length:") + len(b"content-length:")
         if len(self.received) < head_end + 4 + int(head[length_at:].split(b"\r\n", 1)[0]):
             return False
@@ -176,7 +176,7 @@
 
 
 def send_lookups(plan: LoadPlan, results: Connection) -> None:
-    """Send lookups over all connections until the window's end, then report what was served."""
+    """Send lookups over all connections until the end of the window, then report the counts."""
     served = served_before = 0
     error = ""
     try:
@@ -194,8 +194,8 @@
                     served_before += answered
                 else:
                     served += answered
-    except (OSError, FailedLookupError) as caught:
-        error = f"{type(caught).__name__}: {caught}"
+    except (OSError, FailedLookupError) as exception:
+        error = f"{type(exception).__name__}: {exception}"
     results.send(LoadResult(served, served_before, error))
 
 
@@ -209,14 +209,14 @@
 
 @dataclass(frozen=True)
 class GatewayProcess:
-    """The gateway that is measured."""
+    """The measured gateway."""
 
     pid: int
     port: int
 
 
 def cpu_seconds(pid: int) -> float:
-    """Seconds of processor time that a process has used so far."""
+    """Processor time in seconds that a process has used so far."""
     fields = Path(f"/proc/{pid}/stat").read_text().rpartition(")")[2].split()
     return (int(fields[11]) + int(fields[12])) / os.sysconf("SC_CLK_TCK")
 
@@ -225,7 +225,7 @@
 def running_gateway(
     tree: Path, cpu: int, engine_ports: list[int], discovery_port: int
 ) -> Iterator[GatewayProcess]:
-    """A gateway from the tree on that core, once it accepts connections; ended when the block is left."""
+    """Start a gateway from the tree on that core; yields it once it accepts connections, stops it at exit."""
     port = free_port()
     with ExitStack() as stack:
         folder = Path(stack.enter_context(tempfile.TemporaryDirectory()))
@@ -247,13 +247,15 @@
 
 
 def _await_listening(process: subprocess.Popen[bytes], port: int, log_file: Path) -> None:
-    """Return when the gateway accepts connections; raises ClickException if it ends or takes too long."""
-    give_up_at = time.monotonic() + START_TIMEOUT_S
-    while process.poll() is None and time.monotonic() < give_up_at:
+    """Wait until the gateway accepts connections; raises ClickException if it exits or times out."""
+    deadline = time.monotonic() + START_TIMEOUT_S
+    while process.poll() is None and time.monotonic() < deadline:
         with contextlib.suppress(OSError), socket.create_connection(("127.0.0.1", port), 1.0):
             return
         time.sleep(0.05)
-    raise click.ClickException(f"the gateway does not listen: {log_file.read_text()[-1000:]}")
+    raise click.ClickException(
+        f"the gateway accepts no connections; end of its log: {log_file.read_text()[-1000:]}"
+    )
 
 
 def _stop(process: subprocess.Popen[bytes]) -> None:
@@ -266,7 +268,7 @@
 
 
 def _configuration(port: int, engine_ports: list[int], discovery_port: int) -> dict[str, Any]:
-    """The example's configuration with the ports and engines of this run, in the platform's words."""
+    """The example's configuration with the ports and engines of this run, in the platform's format."""
     configuration: dict[str, Any] = json.loads((ROOT / "example/config.json").read_text())
     hosts = [
         {
@@ -288,7 +290,7 @@
 
 @contextmanager
 def child_process(target: Any, *arguments: object) -> Iterator[int]:
-    """Run a function of this module in a process of its own, ended when the block is left; yields its id."""
+    """Run a function of this module in a separate process, terminated at exit; yields the process id."""
     process = CONTEXT.Process(target=target, args=arguments, daemon=True)
     process.start()
     assert process.pid
@@ -300,7 +302,7 @@
 
 
 def measure(tree: Path, seconds: float, connections: int, cpu: int) -> dict[str, Any]:
-    """Drive one gateway for the warm-up and so many seconds; raises ClickException for a failed lookup."""
+    """Measure one gateway for `seconds` after the warm-up; raises ClickException for a failed lookup."""
     engine_ports, discovery_port = [free_port() for _ in range(ENGINES)], free_port()
     with ExitStack() as stack:
         load_pids = [stack.enter_context(child_process(serve_engines, engine_ports))]
@@ -308,7 +310,7 @@
         for port in [*engine_ports, discovery_port]:
             _await_port(port)
         gateway = stack.enter_context(running_gateway(tree, cpu, engine_ports, discovery_port))
-        # The window opens after the client processes have started, which takes part of a second each
+        # The window begins after the client processes have started, which takes a fraction of a second each
         counted_from = time.monotonic() + 1.0 + WARM_UP_S
         pipes = []
         for number in range(CLIENT_PROCESSES):
@@ -336,18 +338,18 @@
 
 
 def _await_port(port: int) -> None:
-    give_up_at = time.monotonic() + START_TIMEOUT_S
-    while time.monotonic() < give_up_at:
+    deadline = time.monotonic() + START_TIMEOUT_S
+    while time.monotonic() < deadline:
         with contextlib.suppress(OSError), socket.create_connection(("127.0.0.1", port), 1.0):
             return
         time.sleep(0.02)
-    raise click.ClickException(f"nothing listens on port {port}")
+    raise click.ClickException(f"nothing listens on port {port} after {START_TIMEOUT_S:g} s")
 
 
 def _receive_result(pipe: Connection) -> LoadResult:
-    """The report of a client process; raises ClickException for an error and for a missing report."""
+    """Return the result of a client process; raises ClickException if it failed or sent none."""
     if not pipe.poll(SOCKET_TIMEOUT_S):
-        raise click.ClickException("a client process has not reported")
+        raise click.ClickException(f"a client process sent no result within {SOCKET_TIMEOUT_S:g} s")
     result: LoadResult = pipe.recv()
     if result.error:
         raise click.ClickException(f"a lookup failed: {result.error}")
@@ -356,12 +358,12 @@
 
 @click.command()
 @click.option("--root", default=ROOT, type=click.Path(exists=True, path_type=Path), help="Tree to measure.")
-@click.option("--seconds", default=8.0, help="Length of the window, behind a warm-up of 1 s.")
+@click.option("--seconds", default=8.0, help="Length of the window, after a warm-up of 1 s.")
 @click.option("--connections", default=40, help="Client connections, each with one lookup at a time.")
 @click.option("--cpu", default=4, help="Core of the gateway process.")
 def main(root: Path, seconds: float, connections: int, cpu: int) -> None:
-    """Print one line of JSON with the lookups a second."""
-    # Engines and clients keep away from the gateway's core
+    """Print one line of JSON with the lookups per second."""
+    # Engines and clients do not run on the gateway's core
     os.sched_setaffinity(0, os.sched_getaffinity(0) - {cpu} or os.sched_getaffinity(0))
     tree = root.resolve()
     result = measure(tree, seconds, connections, cpu)
--- a/bench/loopback_ports.py
+++ b/bench/loopback_ports.py
@@ -1,32 +1,32 @@
-"""Ports of loopback for processes that listen at an address which they are told.
+"""Reserves loopback ports for processes that are told which address to listen on.
 
-A port that is free when it is chosen may be chosen again before the process listens there. So each is
-reserved until its owner gives it back. The lock is an abstract Unix socket named after the port (unix(7)),
-which every process of the network namespace sees.
+A port that is free when it is chosen could be chosen again before the process listens there, so each port
+stays reserved until its owner releases it. The lock is an abstract Unix socket named after the port
+(unix(7)), which is visible to every process of the network namespace.
 """
 
 import contextlib
 import random
 import socket
 
-PORTS = range(10_000, 32_000)  # below those that Linux gives to dials
+PORTS = range(10_000, 32_000)  # below Linux's default range of ephemeral ports
 LOCK_NAME_PREFIX = "\0query-gateway-port-"
 MAX_ATTEMPTS = 1_000
 
 
 class NoFreePortError(Exception):
-    """Every port that was tried is reserved or in use."""
+    """All ports that were tried are reserved or in use."""
 
 
 class PortReservations:
-    """Ports that nobody else who asks here is given, in this process or another, until `close`."""
+    """Ports that no other reservation, in this process or another, receives until `close`."""
 
     def __init__(self) -> None:
-        """Begin without a port."""
+        """Start without a reserved port."""
         self._locks: list[socket.socket] = []
 
     def reserve(self) -> int:
-        """Return a port that nothing listens at and no dial takes; raises NoFreePortError."""
+        """Return a port that nothing listens on and no outgoing connection uses; raises NoFreePortError."""
         for _ in range(MAX_ATTEMPTS):
             port = random.choice(PORTS)
             lock = _lock_port(port)
@@ -39,7 +39,7 @@
         raise NoFreePortError(f"no free port in {PORTS} after {MAX_ATTEMPTS} attempts")
 
     def close(self) -> None:
-        """Give all ports back."""
+        """Release all ports."""
         for lock in self._locks:
             lock.close()
         self._locks.clear()
@@ -54,7 +54,7 @@
 
 
 def _lock_port(port: int) -> socket.socket | None:
-    """Return the lock of a port; None if another holds it."""
+    """Return the lock of a port; None if it is held by another reservation."""
     lock = socket.socket(socket.AF_UNIX)
     try:
         lock.bind(f"{LOCK_NAME_PREFIX}{port}")
--- a/bench/statements.py
+++ b/bench/statements.py
@@ -1,11 +1,12 @@
-"""What classifying statements costs.
+"""Measures the cost of classifying statements.
 
 `python -m bench.statements [--seed N] [--seconds S] [PART]` prints a line of JSON for each part:
-  micro   microseconds for a hit and a miss (p50, p99), the slowest parse seen, memory at 10,000 shapes
-  cache   hit rates of this cache and of a plain LRU on skewed, scanning and hostile traces
-  costs   share of estimates within a factor of 2, and how soon a shape that turns 5 times slower is followed
+  micro   microseconds for a hit and a miss (p50, p99), slowest parses, memory at 10,000 shapes
+  cache   hit rates of the statement cache and of a plain LRU on skewed, scanning and adversarial traces
+  costs   share of estimates within a factor of 2, and runs until the estimate follows a fivefold slowdown
   loopback  the same over real sockets, through a gateway
-  front   requests per second of the Flight SQL front: off, on at 100% hits, on under a flood of one-offs
+  front   requests per second of the Flight SQL front: classification off, on with hits only, and on under a
+          flood of statements whose shapes occur once
 """
 
 import json
@@ -36,9 +37,9 @@
 from query_gateway.statements.reader import Reader
 
 KEYS = (KeyRule("lending_*.loans", "member"),)
-SHAPES = 500  # that the traces of regular statements have
-HITS = 20_000  # statements of the trace of hits
-CACHE_CAPACITY = 600  # of the caches that are compared
+SHAPES = 500  # in the traces of regular statements
+HITS = 20_000  # statements in the trace of hits
+CACHE_CAPACITY = 600  # of the compared caches
 MICROSECONDS, MILLISECONDS = 1e6, 1e3  # in a second
 MEBIBYTE = 2**20
 
@@ -47,16 +48,16 @@
 
 
 class MissTimes:
-    """Times of statements that had to be parsed, in microseconds; what the last parse found."""
+    """Times in microseconds of statements that had to be parsed, and the result of the last parse."""
 
     def __init__(self) -> None:
-        """Begin without a measurement."""
+        """Start without measurements."""
         self.misses: list[float] = []
         self.parses: list[float] = []
         self.last_result = ParseResult(True)
 
     def measure(self, classifier: Classifier, reader: Reader, sql: str) -> None:
-        """Classify a statement, and note the times if it was not cached."""
+        """Classify a statement, and record the times if it was not cached."""
         started_at = time.perf_counter()
         normalized = classifier.normalize(sql)
         if classifier.cached(normalized) is not None:
@@ -70,32 +71,32 @@
 
 @dataclass(frozen=True)
 class HitTimes:
-    """What a trace of hits has shown."""
+    """Measurements of a trace of hits."""
 
     microseconds: list[float]  # of each hit
-    mean_length: int  # of the statements
+    mean_length: int  # of the statements, in characters
 
 
 @dataclass(frozen=True)
 class ClassifierMemory:
-    """The memory of a full classifier."""
+    """The memory use of a full classifier."""
 
     shapes: int
     mebibytes: float
 
 
 def micro(seed: int) -> dict[str, Any]:
-    """Times of hits and misses, of the slowest parses, and the memory of a full classifier."""
+    """Times of hits, misses and the slowest parses, and the memory use of a full classifier."""
     random = Random(seed)
     classifier, reader, miss_times = Classifier(Rules(keys=KEYS)), Reader(Rules(keys=KEYS)), MissTimes()
     for n in range(SHAPES):
         miss_times.measure(classifier, reader, statement(random, n))
     hit_times = _hit_times(classifier, random)
-    hit_again = _hit_again(classifier, random)
+    repeated_hit_us = _repeated_hit_us(classifier, random)
     memory = _memory(reader, miss_times.last_result)
     return {
         "hit_us": quantiles(hit_times.microseconds),
-        "hit_again_us": round(hit_again, 1),
+        "hit_again_us": round(repeated_hit_us, 1),
         "miss_us": quantiles(miss_times.misses),
         "parse_us": quantiles(miss_times.parses),
         "mean_length": hit_times.mean_length,
@@ -106,7 +107,7 @@
 
 
 def _hit_times(classifier: Classifier, random: Random) -> HitTimes:
-    """Microseconds of each hit on a skewed trace, and the mean length of its statements."""
+    """Time of each hit on a skewed trace, and the mean length of its statements."""
     hits = []
     lengths = 0
     for _ in range(HITS):
@@ -121,8 +122,8 @@
     return HitTimes(hits, lengths // HITS)
 
 
-def _hit_again(classifier: Classifier, random: Random) -> float:
-    """Mean microseconds of a hit in a loop that does nothing else, over texts just classified."""
+def _repeated_hit_us(classifier: Classifier, random: Random) -> float:
+    """Mean microseconds of a hit in a tight loop over the same texts, in the second of two passes."""
     texts = [statement(random, skewed(random, SHAPES)) for _ in range(2_000)]
     mean_us = 0.0
     for _ in range(2):
@@ -139,7 +140,7 @@
     tracemalloc.start()
     bytes_before = tracemalloc.get_traced_memory()[0]
     classifier = Classifier(Rules(keys=KEYS))
-    for n in range(14_000):  # more than it caches, each used twice
+    for n in range(14_000):  # more shapes than the cache holds, each used twice
         normalized = classifier.normalize(f"SELECT c{n} FROM lending_{n % 40}.loans WHERE member = 1")
         if classifier.cached(normalized) is None:
             classifier.learn(normalized, reader.read(normalized) if n < 50 else parse_result)
@@ -150,7 +151,7 @@
     return ClassifierMemory(len(classifier.shapes), mebibytes)
 
 
-# Statements that take long to normalize and to parse, within the lexer's bounds
+# Statements within the lexer's limits that are slow to normalize or to parse
 SLOW_TO_NORMALIZE = {"by": "by " * 1_900, "lists": "in (1, " * 30 + ")" * 30, "strings": "'a' " * 1_900}
 SLOW_TO_PARSE = {
     "nested parentheses": "SELECT " + "(" * 31 + "1" + ")" * 31,
@@ -166,7 +167,7 @@
 
 
 def slowest(reader: Reader) -> dict[str, float]:
-    """Milliseconds of statements built to be slow; only normalizing runs on the loop itself."""
+    """Milliseconds of statements chosen to be slow; of the two steps only normalizing runs on the loop."""
     times = {}
     for name, sql in SLOW_TO_NORMALIZE.items():
         times[f"lexing {name}"] = _milliseconds(lambda sql=sql: normalize(sql))  # type: ignore[misc]
@@ -186,14 +187,14 @@
 
 
 class Lru:
-    """A cache that evicts the least recently used entry, to compare the statement cache with."""
+    """A cache that evicts the least recently used entry: the baseline for the statement cache."""
 
     def __init__(self, capacity: int) -> None:
-        """Empty, for so many entries."""
+        """Create an empty cache for `capacity` entries."""
         self.capacity, self.entries = capacity, OrderedDict[bytes, int]()
 
     def get(self, key: bytes) -> int | None:
-        """The entry, now the most recently used; None if there is none."""
+        """Return the entry and mark it as the most recently used; None if there is none."""
         if key in self.entries:
             self.entries.move_to_end(key)
         return self.entries.get(key)
@@ -206,7 +207,7 @@
 
 
 def rate(cache: Cache[int] | Lru, trace: list[int], regular: int) -> float:
-    """The share of hits among the regular shapes, those below `regular`."""
+    """The hit rate of the regular shapes, whose numbers are below `regular`."""
     hits = lookups = 0
     for n in trace:
         key = n.to_bytes(8, "little") * 2 if isinstance(cache, Lru) else fingerprint_of(n)
@@ -219,14 +220,14 @@
 
 
 def cache(seed: int) -> dict[str, Any]:
-    """Hit rates of the regular shapes, calm and beside shapes that come once or in turn."""
+    """Hit rates of the regular shapes, alone and mixed with shapes that occur once or in cyclic order."""
     random = Random(seed)
-    calm = [skewed(random, SHAPES) for _ in range(60_000)]
+    regular_trace = [skewed(random, SHAPES) for _ in range(60_000)]
     traces = {
-        "skewed": calm,
-        "replay": [10**7 + i if random.random() < 0.01 else n for i, n in enumerate(calm)],
-        "scan": [n for i, regular in enumerate(calm) for n in (regular, 10**6 + i % 2_000)],
-        "flood": _flood(calm[:30_000]),
+        "skewed": regular_trace,
+        "replay": [10**7 + i if random.random() < 0.01 else n for i, n in enumerate(regular_trace)],
+        "scan": [n for i, regular in enumerate(regular_trace) for n in (regular, 10**6 + i % 2_000)],
+        "flood": _flood(regular_trace[:30_000]),
     }
     return {
         name: {
@@ -238,7 +239,7 @@
 
 
 def _flood(regular: list[int]) -> list[int]:
-    """Nine shapes that are never seen again for each regular statement."""
+    """A trace with nine shapes that occur only once for each regular statement."""
     trace = []
     for i, n in enumerate(regular):
         first_unseen = 10**6 + 9 * i
@@ -250,25 +251,28 @@
 
 
 def costs(seed: int) -> dict[str, Any]:
-    """Estimates of shapes whose usual times, in milliseconds, are spread log-normally by 1.5."""
+    """Accuracy of estimates for shapes whose usual times, in milliseconds, are log-normal with sigma 1.5."""
     random = Random(seed)
     usual = {n: random.lognormvariate(5.5, 1.5) for n in range(100)}
-    learned = CostEstimates()
+    estimates = CostEstimates()
     for _ in range(200):
         for n in usual:
-            learned.observe(fingerprint_of(n), "lookup", n % 5, int(run_time(random, usual[n]) * 1e6))
-    expected = {n: (learned.cost_ns(fingerprint_of(n), "lookup", n % 5) or 0) / 1e6 for n in usual}
-    near = share_within_twice(expected, usual, random)
-    followed = [_runs_until_followed(learned, n, usual[n], random) for n in range(20)]
-    mean = sum(followed) / len(followed)
-    return {"within_twice": round(near, 4), "runs_until_followed": {"mean": mean, "most": max(followed)}}
+            estimates.observe(fingerprint_of(n), "lookup", n % 5, int(run_time(random, usual[n]) * 1e6))
+    expected = {n: (estimates.cost_ns(fingerprint_of(n), "lookup", n % 5) or 0) / 1e6 for n in usual}
+    accurate_share = share_within_twice(expected, usual, random)
+    run_counts = [_runs_until_followed(estimates, n, usual[n], random) for n in range(20)]
+    mean = sum(run_counts) / len(run_counts)
+    return {
+        "within_twice": round(accurate_share, 4),
+        "runs_until_followed": {"mean": mean, "most": max(run_counts)},
+    }
 
 
-def _runs_until_followed(learned: CostEstimates, n: int, usual_ms: float, random: Random) -> int:
-    """Slow runs of a shape until its estimate is half way there; 500 at most."""
+def _runs_until_followed(estimates: CostEstimates, n: int, usual_ms: float, random: Random) -> int:
+    """Slow runs until the estimate is 2.5 times the usual time, half of the slowdown; at most 500."""
     runs = 0
-    while (learned.cost_ns(fingerprint_of(n), "lookup", n % 5) or 0) < 2.5e6 * usual_ms and runs < 500:
-        learned.observe(fingerprint_of(n), "lookup", n % 5, int(slow_run_time(random, usual_ms) * 1e6))
+    while (estimates.cost_ns(fingerprint_of(n), "lookup", n % 5) or 0) < 2.5e6 * usual_ms and runs < 500:
+        estimates.observe(fingerprint_of(n), "lookup", n % 5, int(slow_run_time(random, usual_ms) * 1e6))
         runs += 1
     return runs
 
@@ -278,7 +282,7 @@
 @click.option("--seconds", default=8.0)
 @click.argument("part", default="all")
 def main(seed: int, seconds: float, part: str) -> None:
-    """Print a line of JSON for each part, or for the one that is named."""
+    """Print a line of JSON for each part, or for the named one."""
     from bench.statements_gateway import front, loopback
 
     parts: dict[str, Callable[[], dict[str, Any]]] = {
--- a/bench/statements_gateway.py
+++ b/bench/statements_gateway.py
@@ -1,6 +1,6 @@
-"""Statements through a gateway in a process of its own, with engine and clients in this one.
+"""Sends statements through a gateway in a separate process; the engine and the clients run in this one.
 
-The parts `loopback` and `front` of `python -m bench.statements`. Needs the packages of the tests.
+Implements the parts `loopback` and `front` of `python -m bench.statements`. Needs the packages of the tests.
 """
 
 import json
@@ -28,25 +28,25 @@
 
 ROOT = Path(__file__).parent.parent
 CLIENTS = 8
-WARM_UP_S = 1.5  # until a gateway is up and has parsed its first statement
-TURN_S = 0.25  # that each gateway is called for in turn
-EXIT_TIMEOUT_S = 10  # for the snapshot of a gateway that ends
-TEXT = "SELECT c{} FROM lending_7.t WHERE id = {}"  # a shape, and microseconds that its run takes
-TABLE_GROUP = 7  # of that table
+WARM_UP_S = 1.5  # for a gateway to start and parse its first statement
+TURN_S = 0.25  # for which each gateway is called before the next one
+EXIT_TIMEOUT_S = 10  # for a gateway to write its snapshot at shutdown
+STATEMENT_TEMPLATE = "SELECT c{} FROM lending_7.t WHERE id = {}"  # shape number, and run time in microseconds
+TABLE_GROUP = 7  # of the table lending_7.t
 KEY_RULES = '[[statements.keys]]\ntable = "lending_*.loans"\ncolumn = "member"\n'
 
 
 @dataclass(frozen=True)
 class LearnedCosts:
-    """What a gateway has learned by its end."""
+    """The cost estimates of a gateway at its shutdown."""
 
     estimates: CostEstimates
-    lost_statements: int
+    failed_statements: int
 
 
 @dataclass(frozen=True)
 class GatewayProcess:
-    """A gateway that runs, and where its Flight SQL front listens."""
+    """A running gateway and the address of its Flight SQL front."""
 
     pid: int
     address: str
@@ -58,25 +58,26 @@
 def loopback(
     seed: int, shapes: int = 12, runs_each: int = 200, clients: int = CLIENTS, slow_runs: int = 10
 ) -> dict[str, Any]:
-    """A mix through the Flight SQL front to an engine that takes each statement's drawn time.
+    """Run a mix through the Flight SQL front to an engine that takes the random run time of each statement.
 
-    `runs_each` runs of a shape; what the gateway has learned by its end is compared with 50 further draws of
-    each. Then another gateway takes that over, and one shape runs `slow_runs` times, 5 times slower.
+    Each shape runs `runs_each` times; the estimates of the gateway at its shutdown are compared with 50
+    further run times of each shape. Then another gateway restores these estimates, and one shape runs
+    `slow_runs` times, 5 times slower.
     """
     random = Random(seed)
     usual = {n: 0.03 * random.lognormvariate(0, 0.8) for n in range(shapes)}
     mix = [_text(n, run_time(random, usual[n])) for n in usual for _ in range(runs_each)]
     random.shuffle(mix)
-    later = [_text(0, slow_run_time(random, usual[0])) for _ in range(slow_runs)]
+    slow_statements = [_text(0, slow_run_time(random, usual[0])) for _ in range(slow_runs)]
     engine = _slow_engine()
     with tempfile.TemporaryDirectory() as folder:
         learned = _run_through_gateway(Path(folder), engine.port, mix, clients, seed)
-        learned_later = _run_through_gateway(Path(folder), engine.port, later, 1, seed)
+        learned_later = _run_through_gateway(Path(folder), engine.port, slow_statements, 1, seed)
     engine.shutdown()
     expected = {n: _expected_seconds(learned.estimates, n) for n in usual}
     return {
         "runs": shapes * runs_each,
-        "lost": learned.lost_statements,
+        "lost": learned.failed_statements,
         "compared": 50 * shapes,
         "within_twice": round(share_within_twice(expected, usual, random), 4),
         "times_as_long_after_slow_runs": round(
@@ -87,7 +88,7 @@
 
 
 def _text(shape: int, seconds: float) -> str:
-    return TEXT.format(shape, int(seconds * 1e6))
+    return STATEMENT_TEMPLATE.format(shape, int(seconds * 1e6))
 
 
 def _expected_seconds(learned: CostEstimates, shape: int) -> float:
@@ -96,14 +97,14 @@
 
 
 def _slow_engine() -> Any:
-    """An engine that takes the time that a statement's text holds. The caller shuts it down."""
+    """An engine that takes the run time given in the text of a statement. The caller shuts it down."""
     from tests.test_flight import FlightEngine
 
     class SlowEngine(FlightEngine):
-        """Plans each statement after the microseconds at the end of its text."""
+        """Delays the plan of each statement by the microseconds at the end of its text."""
 
         def get_flight_info(self, context: Any, descriptor: Any) -> Any:
-            """Plan the statement after its time."""
+            """Plan the statement after its delay."""
             time.sleep(int(descriptor.command.rpartition(b"= ")[2]) / 1e6)
             return super().get_flight_info(context, descriptor)
 
@@ -113,39 +114,39 @@
 def _run_through_gateway(
     folder: Path, engine_port: int, statements: list[str], clients: int, seed: int
 ) -> LearnedCosts:
-    """Run the statements through a gateway that starts with the snapshot of the one before it."""
+    """Run the statements through a gateway that starts with the snapshot of the previous one, if any."""
     snapshot = folder / "costs"
     modified_before = _modified_at(snapshot)
-    with started(folder, engine_port, True, f'snapshot = "{snapshot}"\n') as gateway:
-        calls("hits", gateway.address, seed, WARM_UP_S)
+    with running_gateway(folder, engine_port, True, f'snapshot = "{snapshot}"\n') as gateway:
+        count_served("hits", gateway.address, seed, WARM_UP_S)
         lost = _run_all(gateway.address, statements, clients)
         os.kill(gateway.pid, signal.SIGTERM)
-        until = time.monotonic() + EXIT_TIMEOUT_S
-        while time.monotonic() < until and _modified_at(snapshot) <= modified_before:
+        deadline = time.monotonic() + EXIT_TIMEOUT_S
+        while time.monotonic() < deadline and _modified_at(snapshot) <= modified_before:
             time.sleep(0.05)
     learned = CostEstimates()
     if not learned.restore(SnapshotStore(str(snapshot)).load()):
-        raise click.ClickException("the gateway left no snapshot")
+        raise click.ClickException("the gateway wrote no usable snapshot")
     return LearnedCosts(learned, lost)
 
 
 def _modified_at(path: Path) -> int:
-    """In nanoseconds; 0 if there is no such file."""
+    """The modification time in nanoseconds; 0 if the file does not exist."""
     return path.stat().st_mtime_ns if path.exists() else 0
 
 
 def _run_all(address: str, statements: list[str], clients: int) -> int:
-    """Run the statements from the last to the first; returns how many were lost."""
+    """Run the statements from last to first; returns how many failed."""
     import pyarrow.flight as fl
 
     lost = [0] * clients
 
     def run(client: int) -> None:
-        """Run statements until none is left."""
-        peer = fl.connect(address)
+        """Run statements until the list is empty."""
+        flight_client = fl.connect(address)
         while statements:
             try:
-                _fetch(peer, statements.pop())
+                _fetch(flight_client, statements.pop())
             except Exception:
                 lost[client] += 1
 
@@ -157,9 +158,9 @@
 
 
 def front(seed: int, seconds: float) -> dict[str, Any]:
-    """Three gateways at once, called in turn for a quarter of a second each.
+    """Compare three concurrent gateways, each called for a quarter of a second in turn.
 
-    Other load of the machine then slows all of them alike.
+    With short turns, other load on the machine slows all of them alike.
     """
     from tests.test_flight import FlightEngine
 
@@ -169,13 +170,13 @@
         gateways = {}
         for mode in modes:
             folder = Path(stack.enter_context(tempfile.TemporaryDirectory()))
-            gateways[mode] = stack.enter_context(started(folder, engine.port, mode != "off"))
-            calls(mode, gateways[mode].address, seed, WARM_UP_S)
+            gateways[mode] = stack.enter_context(running_gateway(folder, engine.port, mode != "off"))
+            count_served(mode, gateways[mode].address, seed, WARM_UP_S)
         for turn in range(max(1, int(seconds / TURN_S))):
             for mode in modes if turn % 2 else modes[::-1]:
-                cpu_before = cpu_of(gateways[mode].pid)
-                served[mode] += calls(mode, gateways[mode].address, seed + CLIENTS * turn, TURN_S)
-                cpu_seconds[mode] += cpu_of(gateways[mode].pid) - cpu_before
+                cpu_before = cpu_seconds_of(gateways[mode].pid)
+                served[mode] += count_served(mode, gateways[mode].address, seed + CLIENTS * turn, TURN_S)
+                cpu_seconds[mode] += cpu_seconds_of(gateways[mode].pid) - cpu_before
     engine.shutdown()
     rates = {mode: round(served[mode] / cpu_seconds[mode], 1) for mode in modes}
     return {
@@ -186,46 +187,46 @@
     }
 
 
-def cpu_of(pid: int) -> float:
-    """Seconds of CPU that a process has used; its parser processes have their own."""
+def cpu_seconds_of(pid: int) -> float:
+    """CPU time in seconds that a process has used, without its parser processes."""
     fields = Path(f"/proc/{pid}/stat").read_text().rpartition(")")[2].split()
     user, system = int(fields[11]), int(fields[12])
     return (user + system) / os.sysconf("SC_CLK_TCK")
 
 
-def calls(mode: str, address: str, seed: int, seconds: float) -> int:
-    """How many requests of 8 clients are served in that time."""
+def count_served(mode: str, address: str, seed: int, seconds: float) -> int:
+    """Send requests from CLIENTS clients for `seconds`; returns how many were served."""
     import pyarrow.flight as fl
 
     served = [0] * CLIENTS
-    until = time.monotonic() + seconds
+    deadline = time.monotonic() + seconds
 
     def run(client: int) -> None:
-        """Run statements until the time is over."""
-        random, peer = Random(seed + client), fl.connect(address)
-        while time.monotonic() < until:
+        """Run statements until the time has passed."""
+        random, flight_client = Random(seed + client), fl.connect(address)
+        while time.monotonic() < deadline:
             try:
-                _fetch(peer, _draw(mode, random))
+                _fetch(flight_client, _random_statement(mode, random))
                 served[client] += 1
-            except Exception:  # not up yet, or rejected: it does not count
+            except Exception:  # the gateway has not started, or rejected the statement: not counted
                 time.sleep(0.01)
 
     _in_threads(run, CLIENTS)
     return sum(served)
 
 
-def _draw(mode: str, random: Random) -> str:
-    is_one_off = mode == "flood" and random.random() < 0.5
-    column = f"c{random.randint(0, 10**9)}" if is_one_off else "a"
+def _random_statement(mode: str, random: Random) -> str:
+    has_unique_shape = mode == "flood" and random.random() < 0.5
+    column = f"c{random.randint(0, 10**9)}" if has_unique_shape else "a"
     return f"SELECT {column} FROM lending_7.loans WHERE member = {random.randint(1, 999)}"
 
 
-def _fetch(peer: Any, sql: str) -> None:
+def _fetch(flight_client: Any, sql: str) -> None:
     """Run one statement and read its result."""
     from tests.test_flight import command, options
 
-    info = peer.get_flight_info(command("CommandStatementQuery", sql), options())
-    peer.do_get(info.endpoints[0].ticket, options(x_class="lookup")).read_all()
+    info = flight_client.get_flight_info(command("CommandStatementQuery", sql), options())
+    flight_client.do_get(info.endpoints[0].ticket, options(x_class="lookup")).read_all()
 
 
 def _in_threads(run: Callable[[int], None], count: int) -> None:
@@ -236,19 +237,21 @@
         thread.join()
 
 
-# ---- a gateway in a process of its own
+# ---- a gateway in a separate process
 
 
 @contextmanager
-def started(folder: Path, engine_port: int, is_on: bool, keys: str = "") -> Iterator[GatewayProcess]:
-    """A gateway with one engine, killed at the end; `is_on`: whether it classifies statements.
+def running_gateway(
+    folder: Path, engine_port: int, classifies: bool, statement_settings: str = ""
+) -> Iterator[GatewayProcess]:
+    """Start a gateway with one engine, killed at exit; `classifies`: whether it classifies statements.
 
-    `keys`: further lines of the table `statements`.
+    `statement_settings`: further lines of the table `statements`.
     """
     http_port, flight_port = free_port(), free_port()
     config, operator = folder / "config.json", folder / "operator.toml"
     config.write_text(json.dumps(_configuration(http_port, engine_port)))
-    table = f"[statements]\n{keys}{KEY_RULES}" if is_on else ""
+    table = f"[statements]\n{statement_settings}{KEY_RULES}" if classifies else ""
     operator.write_text(f'[flight]\nlisten = "127.0.0.1:{flight_port}"\n{table}')
     process = subprocess.Popen(
         [sys.executable, "-m", "query_gateway"],
@@ -264,7 +267,7 @@
 
 
 def _configuration(http_port: int, engine_port: int) -> dict[str, Any]:
-    """The platform's configuration, in its words."""
+    """The gateway's configuration, in the platform's format."""
     from tests.stand_ins import SETTINGS
 
     host = {
--- a/example/toy.py
+++ b/example/toy.py
@@ -1,19 +1,19 @@
-"""A toy engine and a toy discovery service, to try a gateway with: python example/toy.py"""
+"""A minimal engine and discovery service for trying out a gateway: python example/toy.py"""
 
 import socketserver
 import threading
 import time
 
 ENGINE_ADDRESS, DISCOVERY_ADDRESS = ("127.0.0.1", 9701), ("127.0.0.1", 9702)
-PAGES = 2  # of each result
-POLL_S = 1  # that a poll without news takes
+PAGES = 2  # per result
+POLL_DURATION_S = 1  # of a poll without changes
 
 
 class Engine(socketserver.StreamRequestHandler):
-    """Answers every request with two pages of one row."""
+    """Answers every request with two pages of one row each."""
 
     def handle(self) -> None:
-        """Serve one connection until its end: `REQ id fields length` with a statement, `FETCH id page`."""
+        """Serve one connection until it closes: `REQ id fields length` with a statement, `FETCH id page`."""
         while line := self.rfile.readline():
             words = line.decode().split()
             if words[:1] == ["REQ"]:
@@ -24,26 +24,26 @@
                 self.send(f"{words[1]} batch sheet={words[2]}", f"page\t{words[2]}\tof {PAGES - 1}\n")
 
     def send(self, head: str, body: str) -> None:
-        """One line of the engine protocol, with the length of its body, and that body."""
+        """Write a line of the engine protocol, which ends with the length of the body, and the body."""
         self.wfile.write(f"{head} {len(body)}\r\n{body}\r\n".encode())
 
 
 class Discovery(socketserver.StreamRequestHandler):
-    """Has no news: each poll takes a second."""
+    """Answers each poll after one second, without changes."""
 
     def handle(self) -> None:
-        """Serve one connection until its end."""
+        """Serve one connection until it closes."""
         while line := self.rfile.readline():
             while self.rfile.readline().strip():
                 pass
             position = line.decode().partition("tail=")[2].partition("&")[0] or "0"
-            time.sleep(POLL_S)
+            time.sleep(POLL_DURATION_S)
             body = f'{{"pos":{position},"entries":[]}}'
             self.wfile.write(f"HTTP/1.1 200 OK\r\nContent-Length: {len(body)}\r\n\r\n{body}".encode())
 
 
 class Server(socketserver.ThreadingTCPServer):
-    """A thread for each connection."""
+    """A server with a thread for each connection."""
 
     allow_reuse_address = True
     daemon_threads = True
--- a/query_gateway/parsing/__init__.py
+++ b/query_gateway/parsing/__init__.py
@@ -1,6 +1,7 @@
-"""Full parses in processes of their own, and the service that classifies statements for the fronts.
+"""Full parses in separate processes, and the service that classifies statements for the fronts.
 
-A parse may be slow or end its process, so none runs on the loop. Decides when a parse has taken too long and
-what is rejected meanwhile. Owns the parser processes and the snapshot file of cost estimates. Imported by the
-gateway only where an operator's file has the table `statements`, and by the command line.
+A parse may be slow or crash its process, so none runs on the loop. The package decides when a parse has timed
+out and which statements are rejected afterwards. It owns the parser processes and the snapshot file of cost
+estimates. The gateway imports it only if the operator's file has the table `statements`; the command line
+imports it too.
 """
--- a/query_gateway/parsing/frames.py
+++ b/query_gateway/parsing/frames.py
@@ -1,7 +1,7 @@
-"""Frames between a gateway and its parser processes: a length and a msgpack value.
+"""Framing between a gateway and its parser processes: a length prefix and a msgpack value.
 
-The first frame to a process holds the rules; each further one is a ParseRequest. The process answers with
-ParseResponses, the first of which has the request number READY.
+The first frame sent to a process contains the rules, each further one a ParseRequest. The process answers
+with ParseResponses, the first of which has the request number READY.
 """
 
 import struct
@@ -12,31 +12,31 @@
 from query_gateway.statements.messages import ParseResult, Rules
 from query_gateway.statements.normalizer import NormalizedStatement
 
-LENGTH = struct.Struct("!I")  # of what follows, in bytes
+LENGTH = struct.Struct("!I")  # bytes of the value that follows
 MAX_FRAME_BYTES = 1 << 20
-READY = 0  # request number of the response that a process sends once it is ready
+READY = 0  # request number of the response that reports a process as ready
 
 
 class FrameTooLongError(ValueError):
-    """The peer announces a frame longer than MAX_FRAME_BYTES."""
+    """The length prefix of a received frame exceeds MAX_FRAME_BYTES."""
 
 
 class ParseRequest(msgspec.Struct, frozen=True, array_like=True):
-    """Parse this statement. Its literals are not sent, as no parse result depends on them."""
+    """A request to parse a statement. Its literals are omitted, as no parse result depends on them."""
 
     request_number: int
     tokens: list[str]
     literal_count: int
 
     def statement(self) -> NormalizedStatement:
-        """The statement without its fingerprint and literals, which a parse does not need."""
+        """Return the statement with empty fingerprint and literals, which a parse does not need."""
         return NormalizedStatement(b"", self.tokens, [""] * self.literal_count)
 
 
 class ParseResponse(msgspec.Struct, frozen=True, array_like=True):
-    """What a parse found, or that the process is ready."""
+    """The result of a parse, or the notice that the process is ready."""
 
-    request_number: int  # READY, or that of the request
+    request_number: int  # READY, or the number of the answered request
     parse_result: ParseResult | None = None  # None: the process is ready
 
 
@@ -47,13 +47,13 @@
 
 
 def encode_frame(value: Any) -> bytes:
-    """A message with its length before it."""
+    """Encode a message with its length prefix."""
     data = _encoder.encode(value)
     return LENGTH.pack(len(data)) + data
 
 
 def take_frame(buffer: bytearray) -> bytes | None:
-    """The first complete frame, removed from the buffer; None until there is one.
+    """Remove the first complete frame from the buffer and return its value; None if it is incomplete.
 
     Raises FrameTooLongError.
     """
@@ -61,7 +61,7 @@
         return None
     (length,) = LENGTH.unpack_from(buffer)
     if length > MAX_FRAME_BYTES:
-        raise FrameTooLongError(f"a frame of {length} bytes is longer than {MAX_FRAME_BYTES}")
+        raise FrameTooLongError(f"frame of {length} bytes exceeds the limit of {MAX_FRAME_BYTES} bytes")
     end = LENGTH.size + length
     if len(buffer) < end:
         return None
--- a/query_gateway/parsing/parsers.py
+++ b/query_gateway/parsing/parsers.py
@@ -1,11 +1,10 @@
-"""The state of the parser processes and of the statements that wait for them, free of I/O.
+"""The state of the parser processes and of the statements queued for them, without I/O.
 
     STARTING --ready--> IDLE --assign--> PARSING --completed--> IDLE
     any state --lost or replaced--> STARTING
 
-A parse or a start that exceeds its timeout is overdue: the caller kills the process and reports it as lost.
-The statement of a lost process is quarantined, as it may have caused the loss. Times are loop times in
-seconds.
+When a parse or a start exceeds its timeout, the caller kills the process and reports it as lost. The
+statement of a lost process is quarantined, as it may have caused the loss. Times are loop times in seconds.
 """
 
 from collections import deque
@@ -17,21 +16,21 @@
 from query_gateway.statements.normalizer import NormalizedStatement
 
 PARSE_TIMEOUT_S = 0.25
-START_TIMEOUT_S = 10.0  # within which a parser process must be ready
-MAX_WAITING = 256  # statements that wait for a parser, and callers of one statement
-MAX_WAIT_S = 1.0  # that a statement waits for a parser
-MAX_FAILED_STARTS = 5  # in a row until starts are delayed
-RESTART_BACKOFF_S = 5.0  # between delayed starts
-QUARANTINE_S = 30.0  # a statement is not parsed for so long after its parser was lost; doubled each time
+START_TIMEOUT_S = 10.0  # for a new parser process to become ready
+MAX_WAITING = 256  # statements queued for a parser, and also callbacks of one statement
+MAX_WAIT_S = 1.0  # in the queue for a parser
+MAX_FAILED_STARTS = 5  # consecutive, after which starts are delayed
+RESTART_BACKOFF_S = 5.0  # delay of each further start
+QUARANTINE_S = 30.0  # of a statement whose parser was lost; doubled at each further loss
 MAX_QUARANTINE_S = 3_600.0
 MAX_QUARANTINED = 1_024  # statements in quarantine
 
-ParseCallback = Callable[[ParseResult | None], None]  # None: not parsed now; the client has to retry
+ParseCallback = Callable[[ParseResult | None], None]  # None: not parsed, the client has to retry
 
 
 @dataclass(slots=True)
 class PendingParse:
-    """A statement that waits or is being parsed, and the callbacks for its result."""
+    """A statement that is queued or being parsed, and the callbacks for its result."""
 
     statement: NormalizedStatement
     enqueued_at: float
@@ -40,7 +39,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Quarantine:
-    """How long a statement is not parsed again, and why."""
+    """The period in which a statement is rejected without a parse, and the reason."""
 
     until: float
     duration: float  # seconds
@@ -50,14 +49,14 @@
 class SlotState(Enum):
     """The state of a slot's process."""
 
-    STARTING = auto()  # started and not ready yet, or its start is scheduled
+    STARTING = auto()  # started but not ready, or its start is scheduled
     IDLE = auto()
     PARSING = auto()
 
 
 @dataclass(slots=True)
 class ParserSlot:
-    """A place for one parser process, with the statement that it parses."""
+    """A slot for one parser process and the statement that it parses."""
 
     number: int
     state: SlotState = SlotState.STARTING
@@ -65,26 +64,26 @@
     began_at: float = 0.0  # start of the process or of the parse
 
     def start(self, now: float) -> None:
-        """A process is started, or scheduled to start, at `now`."""
+        """Record that a process is started, or scheduled to start, at `now`."""
         self.state, self.pending, self.began_at = SlotState.STARTING, None, now
 
     def become_idle(self) -> None:
-        """The process is ready for a parse."""
+        """Record that the process is ready for a parse."""
         self.state = SlotState.IDLE
 
     def begin_parse(self, pending: PendingParse, now: float) -> None:
-        """The idle process gets a statement."""
+        """Assign a statement to the idle process."""
         self.state, self.pending, self.began_at = SlotState.PARSING, pending, now
 
     def end_parse(self) -> PendingParse | None:
-        """End the parse, if any, and return its statement; None if there was none."""
+        """End the parse and return its statement; None if no parse was running."""
         pending, self.pending = self.pending, None
         if self.state is SlotState.PARSING:
             self.state = SlotState.IDLE
         return pending
 
     def deadline(self) -> float | None:
-        """When the start or the parse has taken too long; None while the process is idle."""
+        """The time at which the start or the parse times out; None while the process is idle."""
         if self.state is SlotState.IDLE:
             return None
         timeout = PARSE_TIMEOUT_S if self.state is SlotState.PARSING else START_TIMEOUT_S
@@ -92,21 +91,21 @@
 
 
 class ParserPool:
-    """Assigns statements to processes, which the caller starts, kills and exchanges frames with."""
+    """Assigns statements to parser processes; the caller starts and kills these and exchanges the frames."""
 
     def __init__(self, slot_count: int) -> None:
-        """Begin with all slots in the state STARTING."""
+        """Create the slots, all in the state STARTING."""
         self.slots = [ParserSlot(number) for number in range(slot_count)]
         self.waiting: deque[PendingParse] = deque()
-        self.pending: dict[bytes, PendingParse] = {}  # by fingerprint, waiting or being parsed
+        self.pending: dict[bytes, PendingParse] = {}  # by fingerprint, queued or being parsed
         self.quarantine: dict[bytes, Quarantine] = {}
-        self.failed_starts = 0  # in a row
+        self.failed_starts = 0  # consecutive
         self.timed_out_count = self.lost_count = 0
 
     def quarantined(self, statement: NormalizedStatement, now: float) -> ParseResult | None:
         """The result of a statement in quarantine; None if it may be parsed.
 
-        A quarantine ends after a while, as a parser may also be lost for another reason than its statement.
+        A quarantine expires, as a parser may also be lost for a reason other than its statement.
         """
         quarantine = self.quarantine.get(statement.fingerprint)
         if quarantine is None or now >= quarantine.until:
@@ -114,9 +113,9 @@
         return ParseResult(True, reason=quarantine.reason, is_parsed=False)
 
     def add(self, statement: NormalizedStatement, now: float, callback: ParseCallback) -> bool:
-        """Queue a statement; equal statements are parsed once. `callback` is called once, later.
+        """Queue a statement; equal fingerprints are parsed once. `callback` is called once, later.
 
-        Returns False, without a call, if too many wait already.
+        Returns False, and never calls `callback`, if MAX_WAITING is reached.
         """
         if pending := self.pending.get(statement.fingerprint):
             if len(pending.callbacks) >= MAX_WAITING:
@@ -130,7 +129,7 @@
         return True
 
     def assign(self, now: float) -> list[ParserSlot]:
-        """Assign waiting statements to idle processes; returns the slots whose `pending` is to be sent."""
+        """Assign queued statements to idle processes; returns the slots whose `pending` is to be sent."""
         assigned = []
         for slot in self.slots:
             if slot.state is SlotState.IDLE and self.waiting:
@@ -139,27 +138,27 @@
         return assigned
 
     def starting(self, slot: ParserSlot, now: float) -> None:
-        """A process is started, or scheduled to start, at `now`."""
+        """Record that a process is started, or scheduled to start, at `now`."""
         slot.start(now)
 
     def start_failed(self) -> None:
-        """A process could not be started."""
+        """Record that a process could not be started."""
         self.failed_starts += 1
 
     def ready(self, slot: ParserSlot) -> None:
-        """The process has started."""
+        """Record that the process has started and is idle."""
         slot.become_idle()
         self.failed_starts = 0
 
     def completed(self, slot: ParserSlot) -> PendingParse | None:
-        """The process has answered; returns the statement whose callbacks are to be called."""
+        """Record the end of a parse; returns the statement whose callbacks are to be called."""
         pending = slot.end_parse()
         if pending:
             del self.pending[pending.statement.fingerprint]
         return pending
 
     def lost(self, slot: ParserSlot, reason: str, now: float) -> PendingParse | None:
-        """A process was killed or died: its statement is rejected and quarantined."""
+        """Record that a process was killed or died; quarantines and returns its statement, to be rejected."""
         if slot.state is SlotState.STARTING:
             self.failed_starts += 1
         else:
@@ -178,20 +177,20 @@
             del self.quarantine[next(iter(self.quarantine))]
 
     def replaced(self, slot: ParserSlot, now: float) -> PendingParse | None:
-        """A process is replaced on purpose: the clients of its statement have to retry."""
+        """Record that a process is replaced; returns its statement, whose clients have to retry."""
         pending = self.completed(slot)
         slot.start(now)
         return pending
 
     def overdue(self, now: float) -> list[ParserSlot]:
-        """The slots whose process is to be killed, because its parse or start takes too long."""
+        """The slots whose process is to be killed because its parse or start has timed out."""
         parses = [slot for slot in self.slots if _is_overdue(slot, SlotState.PARSING, PARSE_TIMEOUT_S, now)]
         starts = [slot for slot in self.slots if _is_overdue(slot, SlotState.STARTING, START_TIMEOUT_S, now)]
         self.timed_out_count += len(parses)
         return parses + starts
 
     def expire(self, now: float) -> list[PendingParse]:
-        """Remove and return statements that have waited too long; their clients have to retry."""
+        """Remove and return statements queued for more than MAX_WAIT_S; their clients have to retry."""
         expired = []
         while self.waiting and now - self.waiting[0].enqueued_at > MAX_WAIT_S:
             pending = self.waiting.popleft()
@@ -200,7 +199,7 @@
         return expired
 
     def next_deadline(self) -> float | None:
-        """When a timeout is due next; None while nothing waits or runs."""
+        """The time of the next timeout; None if nothing is queued, starting or being parsed."""
         deadlines = [deadline for slot in self.slots if (deadline := slot.deadline()) is not None]
         if self.waiting:
             deadlines.append(self.waiting[0].enqueued_at + MAX_WAIT_S)
@@ -208,7 +207,7 @@
 
     @property
     def restart_delay(self) -> float:
-        """Seconds to wait before a process is started again."""
+        """Seconds to wait before the next start of a process."""
         return RESTART_BACKOFF_S if self.failed_starts >= MAX_FAILED_STARTS else 0.0
 
 
--- a/query_gateway/parsing/service.py
+++ b/query_gateway/parsing/service.py
@@ -1,4 +1,4 @@
-"""Classifies statements on the loop: at once if the shape is cached, else after a parse elsewhere."""
+"""Classifies statements on the loop: at once if the shape is cached, else after a parse off the loop."""
 
 from collections.abc import Callable, Collection, Sequence
 from dataclasses import dataclass, field
@@ -14,15 +14,15 @@
 from query_gateway.statements.messages import Decision, ParseResult, Rules
 from query_gateway.statements.normalizer import NormalizedStatement
 
-SAVE_INTERVAL_S = 30.0  # between two snapshots of what was learned
+SAVE_INTERVAL_S = 30.0  # between two snapshots of the cost estimates
 FIGURE_PREFIX = "svc_"
-# Failures that the statement itself may have caused
+# Outcomes of failed attempts that the statement itself may have caused
 STATEMENT_FAULTS = {OutcomeCode.ERROR, OutcomeCode.RESET, OutcomeCode.TIMEOUT}
 
 
 @dataclass(slots=True)
 class Classification:
-    """What the fronts need of a statement. `decision` is None if it cannot be parsed now."""
+    """The classification of a statement for a front. `decision` is None if it cannot be parsed now."""
 
     decision: Decision | None
     fingerprint: bytes = b""
@@ -36,29 +36,29 @@
 
 @dataclass(slots=True, frozen=True)
 class ClassificationRequest:
-    """A statement to classify, with the class and the key that its client names."""
+    """A statement to classify, with the class and the key that its client requests."""
 
     text: str
     requested_class: str | None = None
     requested_key: str | None = None
     parameters: Sequence[object] = ()
-    deadline: float | None = None  # loop time until which the client waits, if known
+    deadline: float | None = None  # of the client in loop time, if known
 
 
 @dataclass(slots=True, eq=False)
-class _Call:
+class _PendingClassification:
     """A request with its normalized statement, and the callback for the result."""
 
     request: ClassificationRequest
     statement: NormalizedStatement
     callback: ClassificationCallback = field(repr=False)
-    timer: Timer | None = None  # for the client's deadline
+    timer: Timer | None = None  # fires at the client's deadline
 
 
 class StatementService:
-    """Classifies statements for the fronts, and learns costs and limits from their outcomes.
+    """Classifies statements for the fronts, and learns costs and limits from the outcomes of their attempts.
 
-    Owns the classifier, the parser processes and the snapshot file. `stop` ends them.
+    Owns the classifier, the parser processes and the snapshot file. `stop` shuts them down.
     """
 
     def __init__(
@@ -69,21 +69,21 @@
         parsers: int = 2,
         capacity: int = MAX_SHAPES,
     ) -> None:
-        """`parsers`: processes that are started at once; `capacity`: shapes that are cached."""
+        """`parsers`: number of parser processes, started here; `capacity`: number of cached shapes."""
         self.loop = loop
         self.classifier = Classifier(rules, idempotent_classes, capacity)
         self.stopped = False
         self.rejected_count = 0
         self.snapshot_store: SnapshotStore | None = None
-        self._waiting: dict[_Call, None] = {}  # for a parse, oldest first
+        self._waiting: dict[_PendingClassification, None] = {}  # calls that wait for a parse, oldest first
         self.supervisor = ParserSupervisor(loop, rules, parsers)
 
-    # ---- what the fronts call
+    # ---- called by the fronts
 
     def classify(self, request: ClassificationRequest, callback: ClassificationCallback) -> None:
-        """`callback` is called once: at once for a statement that is cached, else when it is parsed.
+        """Call `callback` once: immediately if no parse is needed or possible, else after the parse.
 
-        A parse is waited for until the request's deadline at most.
+        The wait for the parse ends at the request's deadline at the latest.
         """
         try:
             statement = self.classifier.normalize(request.text)
@@ -91,13 +91,13 @@
             self.rejected_count += 1
             callback(Classification(rejected_decision(error)))
             return
-        call = _Call(request, statement, callback)
+        call = _PendingClassification(request, statement, callback)
         if (cached := self.classifier.cached(statement)) is not None:
             self._finish(call, cached)
         elif quarantined := self.supervisor.quarantined(statement):
             self._finish(call, CachedStatement(quarantined, None))
         elif not self.supervisor.submit(
-            statement, self.loop.now(), lambda result: self._parsed(call, result)
+            statement, self.loop.now(), lambda result: self._on_parsed(call, result)
         ):
             callback(Classification(None))
         else:
@@ -106,16 +106,16 @@
                 call.timer = self.loop.call_at(request.deadline, lambda: self._give_up(call))
 
     def give_up_waiting(self) -> None:
-        """End every classification that waits for a parse, as one that is not possible now."""
+        """End every classification that waits for a parse, with `decision` None."""
         for call in list(self._waiting):
             self._give_up(call)
 
-    def _give_up(self, call: _Call) -> None:
+    def _give_up(self, call: _PendingClassification) -> None:
         if self._end_wait(call):
             call.callback(Classification(None))
 
-    def _end_wait(self, call: _Call) -> bool:
-        """Whether the call was waiting until now."""
+    def _end_wait(self, call: _PendingClassification) -> bool:
+        """Cancel the timer and remove the call from the waiting ones; returns whether it was one of them."""
         if call.timer:
             call.timer.cancel()
         if call not in self._waiting:
@@ -123,8 +123,8 @@
         del self._waiting[call]
         return True
 
-    def _parsed(self, call: _Call, result: ParseResult | None) -> None:
-        """A parse has ended; `result` is None if the statement could not be parsed now."""
+    def _on_parsed(self, call: _PendingClassification, result: ParseResult | None) -> None:
+        """Handle the end of a parse; `result` is None if the statement cannot be parsed now."""
         if not self._end_wait(call):
             return
         if result is None:
@@ -135,7 +135,7 @@
             cached = CachedStatement(result, None)
         self._finish(call, cached or self.classifier.learn(call.statement, result))
 
-    def _finish(self, call: _Call, cached: CachedStatement) -> None:
+    def _finish(self, call: _PendingClassification, cached: CachedStatement) -> None:
         statement, request = call.statement, call.request
         decision = self.classifier.decide(
             cached, statement, request.requested_class, request.requested_key, request.parameters
@@ -151,31 +151,34 @@
             self.rejected_count += 1
         call.callback(classification)
 
-    # ---- outcomes of statements: the forwarder's observer
+    # ---- the forwarder's observer: outcomes of statements
 
     def rejection_reason(self, fingerprint: bytes, now: int) -> str:
-        """Why one more of the shape may not be accepted; empty if it may.
+        """The reason to reject a further statement of the shape; empty if it may be accepted.
 
         `now`: clock time in nanoseconds.
         """
         return self.classifier.limits.rejection_reason(fingerprint, now)
 
     def on_accepted(self, query: ClientRequest) -> None:
-        """A query was accepted."""
+        """Count an accepted query as running."""
         self.classifier.limits.query_started(query.fingerprint)
 
     def on_settled(self, query: ClientRequest) -> None:
-        """A query that was accepted has its answer, and no attempt in flight."""
+        """Count an accepted query as ended: it is answered and has no attempt in flight."""
         self.classifier.limits.query_ended(query.fingerprint)
 
     def on_spilled(self, query: ClientRequest, now: int) -> None:
-        """An attempt needed more memory than its engine had."""
+        """Record that an attempt needed more memory than its engine had."""
         self.classifier.limits.attempt_spilled(query.fingerprint, now)
 
-    def on_attempt_ended(  # noqa: PLR0913, PLR0917 - the forwarder's observer, which passes these one by one
+    def on_attempt_ended(  # noqa: PLR0913, PLR0917 - the signature of the forwarder's observer
         self, query: ClientRequest, engine: str, code: OutcomeCode, work_ns: int, used_mb: float, now: int
     ) -> None:
-        """`work_ns`: of all its threads, as the engine reports it, else its time on all of them."""
+        """Learn from the outcome of an attempt.
+
+        `work_ns`: processor time over all threads as the engine reports it, else the run time on all of them.
+        """
         fingerprint, limits, costs = query.fingerprint, self.classifier.limits, self.classifier.costs
         if code is OutcomeCode.OK:
             table_group = None if query.table_group is None else int(query.table_group)
@@ -185,12 +188,12 @@
         elif code in STATEMENT_FAULTS:
             limits.attempt_failed(fingerprint, engine, now)
 
-    # ---- estimates over restarts and upgrades
+    # ---- cost estimates across restarts and upgrades
 
     def restore(self, path: str, inherited: object = None) -> None:
-        """Restore estimates that a predecessor transferred, else those of the file at `path`.
+        """Restore the estimates that a predecessor transferred, else those of the file at `path`.
 
-        The file is saved regularly from now on; with an empty path there is none.
+        From now on the file is saved every SAVE_INTERVAL_S; an empty path means no file.
         """
         costs = self.classifier.costs
         is_inherited = inherited is not None and costs.restore(inherited)
@@ -200,7 +203,7 @@
         self.snapshot_store.remove_leftovers()
         stored = None if is_inherited else self.snapshot_store.load()
         if stored is not None and not costs.restore(stored):
-            log("statements", f"{path} holds nothing that can be used; costs are learned again")
+            log("statements", f"{path} contains no usable cost estimates; starting without them")
         self._schedule_save()
 
     def _schedule_save(self) -> None:
@@ -212,7 +215,7 @@
             self.snapshot_store.save(self.classifier.costs.snapshot())
 
     def figures(self) -> list[str]:
-        """Lines for the second address."""
+        """The figures of classification and parsing, as lines for the admin server."""
         pool = self.supervisor.pool
         figures = {
             **self.classifier.figures(),
@@ -223,14 +226,14 @@
         return [f"{FIGURE_PREFIX}{name} {value:g}" for name, value in figures.items()]
 
     def update_rules(self, rules: Rules, idempotent_classes: Collection[str]) -> None:
-        """Use new rules for all statements that are classified from now on."""
-        is_changed = rules != self.classifier.rules
+        """Use new rules for the statements that are classified from now on."""
+        have_rules_changed = rules != self.classifier.rules
         self.classifier.update_rules(rules, idempotent_classes)
-        if is_changed:
+        if have_rules_changed:
             self.supervisor.update_rules(rules)
 
     def stop(self) -> None:
-        """Save the estimates and end the parser processes. Statements are not parsed any more."""
+        """Save the estimates and end the parser processes; no further statement is parsed."""
         if self.snapshot_store and not self.stopped:
             self.snapshot_store.save(self.classifier.costs.snapshot())
         self.stopped = True
--- a/query_gateway/parsing/snapshot_store.py
+++ b/query_gateway/parsing/snapshot_store.py
@@ -1,8 +1,8 @@
-"""A file with one JSON value that survives a crash at any moment: a header line, then JSON.
+"""Crash-safe storage of one JSON value in a file: a header line, then the JSON.
 
-The header is `mothknot-costs 1 DIGEST LENGTH`, DIGEST the blake2b (16 bytes, hex) of the LENGTH bytes that
-follow. A new value is written to a temporary file, synced and renamed, so the file is always complete or
-absent.
+The header is `mothknot-costs 1 DIGEST LENGTH`, where DIGEST is the BLAKE2b digest (16 bytes, in hex) of the
+LENGTH bytes that follow. A new value is written to a temporary file, synced and renamed, so that the file is
+always complete or absent.
 """
 
 import contextlib
@@ -15,45 +15,45 @@
 
 from query_gateway.net.log import log
 
-HEADER = "mothknot-costs 1"  # name and version, which other versions read and write as well
+HEADER = "mothknot-costs 1"  # format name and version; other versions of the gateway read and write the same
 DIGEST_BYTES = 16
-MAX_FILE_BYTES = 16 << 20  # of a file that is read
+MAX_FILE_BYTES = 16 << 20  # a longer file is not loaded
 
 
 class SnapshotError(ValueError):
-    """A file that is not a complete snapshot; the message is what it is instead."""
+    """A file is not a valid snapshot; the message completes the sentence "the file is ..."."""
 
 
 class SnapshotStore:
-    """The file at one path. Holds nothing open between calls."""
+    """The snapshot file at one path. Keeps no descriptor open between calls."""
 
     def __init__(self, path: str) -> None:
-        """The file need not exist; its folder has to."""
+        """The file need not exist, but its directory has to."""
         self.path = Path(path)
 
     def save(self, value: Any) -> bool:
-        """Replace the stored value. Returns False if the disk fails, which is logged and costs no more."""
+        """Replace the stored value. Returns False if the disk fails, which is logged only."""
         temporary = self.path.with_name(f"{self.path.name}.{os.getpid()}")
         try:
             _write_synced(temporary, _encode(value))
             temporary.replace(self.path)
-            _sync_folder(self.path.parent)
+            _sync_directory(self.path.parent)
         except OSError as error:
             log("statements", f"{self.path} cannot be written: {error.strerror}")
-            with contextlib.suppress(OSError):  # the disk may fail here as well
+            with contextlib.suppress(OSError):  # the removal may fail for the same reason as the write
                 temporary.unlink(missing_ok=True)
             return False
         return True
 
     def remove_leftovers(self) -> None:
-        """Remove temporary files of processes that were killed while they wrote."""
+        """Remove the temporary files of processes that were killed during a write."""
         with contextlib.suppress(OSError):
             for leftover in self.path.parent.glob(f"{glob.escape(self.path.name)}.[0-9]*"):
                 if not Path(f"/proc/{leftover.suffix[1:]}").exists():
                     leftover.unlink(missing_ok=True)
 
     def load(self) -> Any:
-        """The value; None if there is none or it is not complete, which is logged."""
+        """Return the stored value; None if there is none, or if it is unreadable or invalid (logged)."""
         try:
             if self.path.stat().st_size > MAX_FILE_BYTES:
                 raise SnapshotError("too long")
@@ -63,7 +63,7 @@
         except OSError as error:
             log("statements", f"{self.path} cannot be read: {error.strerror}")
         except (ValueError, RecursionError) as error:
-            log("statements", f"{self.path} is {error}; costs are learned again")
+            log("statements", f"{self.path} is {error}; starting without cost estimates")
         return None
 
 
@@ -74,9 +74,9 @@
         os.fsync(file.fileno())
 
 
-def _sync_folder(folder: Path) -> None:
-    """Make a rename in the folder last over a loss of power."""
-    descriptor = os.open(folder, os.O_RDONLY | os.O_DIRECTORY)
+def _sync_directory(directory: Path) -> None:
+    """Sync the directory, so that a rename in it survives a loss of power."""
+    descriptor = os.open(directory, os.O_RDONLY | os.O_DIRECTORY)
     try:
         os.fsync(descriptor)
     finally:
@@ -89,7 +89,7 @@
 
 
 def _decode(content: bytes) -> Any:
-    """Raises ValueError, of which SnapshotError is one."""
+    """Raises ValueError, of which SnapshotError is a subclass."""
     header, newline, data = content.partition(b"\n")
     name, version, digest, length = header.decode().split()
     if not newline or f"{name} {version}" != HEADER or len(data) != int(length):
--- a/query_gateway/parsing/supervisor.py
+++ b/query_gateway/parsing/supervisor.py
@@ -1,4 +1,4 @@
-"""The parser processes on the loop: starts, watches and kills them, and exchanges frames with them."""
+"""Starts, watches and kills the parser processes on the loop, and exchanges frames with them."""
 
 import os
 import socket
@@ -13,16 +13,16 @@
 from query_gateway.statements.normalizer import NormalizedStatement
 
 RECEIVE_BYTES = 65_536
-REQUEST_NUMBER = 1  # a process has one request at a time
-START_RETRY_S = 1.0  # after a process could not be started
-TIMER_SLACK_S = 0.001  # added to a deadline, so that it has passed when the timer fires
-PROCESS_LOST = "the parser died on it"  # this and the next two are reasons; the first two reach the client
+REQUEST_NUMBER = 1  # constant, as a process has one request at a time
+START_RETRY_S = 1.0  # after a failed start of a process
+TIMER_SLACK_S = 0.001  # added to a deadline, which has then passed when the timer fires
+PROCESS_LOST = "the parser died on it"  # a reason like the next two; the first two are sent to clients
 TIMED_OUT = "it takes too long to parse"
 RULES_CHANGED = "the rules have changed"
 
 
 class ParserProcess:
-    """A parser process and the gateway's end of its socket, which the loop closes."""
+    """A parser process and the gateway's end of the socket pair, which the loop closes."""
 
     def __init__(self, rules: Rules) -> None:
         """Start the process and send it the rules. Raises OSError."""
@@ -38,20 +38,20 @@
         self.sock.sendall(encode_frame(rules))
 
     def close(self) -> None:
-        """Kill the process and wait for its end."""
+        """Kill the process and wait until it has exited."""
         self.child.kill()
         self.child.wait()
 
 
 class ParserSupervisor:
-    """Owns the parser processes. `close` ends them."""
+    """Owns the parser processes; `close` kills them."""
 
     def __init__(self, loop: Loop, rules: Rules, process_count: int) -> None:
-        """Start the processes."""
+        """Start `process_count` processes."""
         self.loop = loop
         self.rules = rules
         self.pool = ParserPool(process_count)
-        self.processes: dict[int, ParserProcess] = {}  # by number of their slot
+        self.processes: dict[int, ParserProcess] = {}  # by slot number
         self.timer: Timer | None = None
         self.timer_at = 0.0
         self.closed = False
@@ -59,7 +59,10 @@
             self._start(slot)
 
     def submit(self, statement: NormalizedStatement, now: float, callback: ParseCallback) -> bool:
-        """Queue a statement; `callback` is called once, later. False, without a call, if too many wait."""
+        """Queue a statement for a parse; `callback` is called once, later.
+
+        Returns False, and never calls `callback`, if too many are waiting or the supervisor is closed.
+        """
         if self.closed or not self.pool.add(statement, now, callback):
             return False
         self._dispatch()
@@ -70,21 +73,21 @@
         return self.pool.quarantined(statement, self.loop.now())
 
     def update_rules(self, rules: Rules) -> None:
-        """Replace the processes by new ones with these rules."""
+        """Replace the processes with new ones that use these rules."""
         self.rules = rules
         for slot in self.pool.slots:
             if slot.number in self.processes:
                 self._replace(slot)
 
     def close(self) -> None:
-        """End the parser processes. Statements are not parsed any more."""
+        """Kill the parser processes; no further statement is parsed."""
         self.closed = True
         for process in self.processes.values():
             self.loop.dispose(process.sock)
             process.close()
         self.processes.clear()
 
-    # ---- processes that start and end
+    # ---- start and end of processes
 
     def _start(self, slot: ParserSlot) -> None:
         if self.closed:
@@ -93,7 +96,7 @@
         try:
             process = ParserProcess(self.rules)
         except OSError as error:
-            log("parser", f"cannot be started: {error.strerror}")
+            log("parser", f"process cannot be started: {error.strerror}")
             self.pool.start_failed()
             delay = max(START_RETRY_S, self.pool.restart_delay)
             self.loop.call_at(self.loop.now() + delay, lambda: self._start(slot))
@@ -103,25 +106,25 @@
         self.loop.watch(process.sock, IN, lambda: self._receive(slot, process))
         self._dispatch()
 
-    def _lose(self, slot: ParserSlot, reason: str) -> None:
-        """The process has died or is to be killed; its statement is rejected."""
+    def _handle_loss(self, slot: ParserSlot, reason: str) -> None:
+        """Handle a process that has died or timed out: kill and restart it, and reject its statement."""
         self._end_process(slot, reason)
         pending = self.pool.lost(slot, reason, self.loop.now())
         self._restart(slot)
-        _notify(pending, ParseResult(True, reason=reason, is_parsed=False))
+        _call_back(pending, ParseResult(True, reason=reason, is_parsed=False))
 
     def _replace(self, slot: ParserSlot) -> None:
-        """The process has old rules; the clients of its statement have to retry."""
+        """Restart a process that uses the previous rules; the clients of its statement have to retry."""
         self._end_process(slot, RULES_CHANGED)
         pending = self.pool.replaced(slot, self.loop.now())
         self._restart(slot)
-        _notify(pending, None)
+        _call_back(pending, None)
 
     def _end_process(self, slot: ParserSlot, reason: str) -> None:
         process = self.processes.pop(slot.number)
         self.loop.dispose(process.sock)
         process.close()
-        log("parser", f"parser {slot.number} is restarted: {reason}")
+        log("parser", f"restarting parser process {slot.number}: {reason}")
 
     def _restart(self, slot: ParserSlot) -> None:
         delay = self.pool.restart_delay
@@ -132,7 +135,7 @@
         self.pool.starting(slot, start_at)
         self.loop.call_at(start_at, lambda: self._start(slot))
 
-    # ---- statements to and from them
+    # ---- requests and responses
 
     def _receive(self, slot: ParserSlot, process: ParserProcess) -> None:
         if self.processes.get(slot.number) is not process:
@@ -144,7 +147,7 @@
         except OSError:
             data = b""
         if not data:
-            self._lose(slot, PROCESS_LOST)
+            self._handle_loss(slot, PROCESS_LOST)
             return
         process.inbox += data
         while frame := take_frame(process.inbox):
@@ -156,17 +159,17 @@
         if response.parse_result is None:
             self.pool.ready(slot)
         else:
-            _notify(self.pool.completed(slot), response.parse_result)
+            _call_back(self.pool.completed(slot), response.parse_result)
 
     def _dispatch(self) -> None:
-        """Send waiting statements to idle processes, and set the timer for the next timeout."""
+        """Send queued statements to idle processes, and set the timer for the next timeout."""
         for slot in self.pool.assign(self.loop.now()):
             assert slot.pending
             statement = slot.pending.statement
             request = ParseRequest(REQUEST_NUMBER, statement.tokens, len(statement.literals))
             try:
                 self.processes[slot.number].sock.sendall(encode_frame(request))
-            except OSError:  # the end of the process is noticed by its socket, or by the parse's timeout
+            except OSError:  # the loss is detected by the socket's end, or by the parse's timeout
                 continue
         self._schedule()
 
@@ -184,13 +187,13 @@
         now = self.loop.now()
         for slot in self.pool.overdue(now):
             if slot.number in self.processes:
-                self._lose(slot, TIMED_OUT)
+                self._handle_loss(slot, TIMED_OUT)
         for pending in self.pool.expire(now):
-            _notify(pending, None)
+            _call_back(pending, None)
         self._dispatch()
 
 
-def _notify(pending: PendingParse | None, result: ParseResult | None) -> None:
-    """Call the callbacks of a statement, if any; None as result makes their clients retry."""
+def _call_back(pending: PendingParse | None, result: ParseResult | None) -> None:
+    """Call the callbacks of a statement, if there is one; a result of None makes the clients retry."""
     for callback in pending.callbacks if pending else ():
         callback(result)
--- a/query_gateway/parsing/worker.py
+++ b/query_gateway/parsing/worker.py
@@ -1,4 +1,4 @@
-"""A parser process. Its standard input is a socket: rules once, then requests in and responses out."""
+"""A parser process. Its standard input is a socket: it receives the rules, then answers parse requests."""
 
 import contextlib
 import resource
@@ -18,15 +18,18 @@
 from query_gateway.statements.normalizer import NormalizedStatement, normalize
 from query_gateway.statements.reader import Reader
 
-WARM_UP = ("SELECT a, count(*) FROM b WHERE c = 1 GROUP BY a ORDER BY 1", "DELETE FROM a WHERE b = 1")
-# Of address space. A parse whose tree keeps growing would use up the machine's memory; with the limit it
-# fails with a MemoryError and its statement is rejected.
+WARM_UP_STATEMENTS = (
+    "SELECT a, count(*) FROM b WHERE c = 1 GROUP BY a ORDER BY 1",
+    "DELETE FROM a WHERE b = 1",
+)
+# Limit of the address space. A parse whose syntax tree keeps growing would exhaust the machine's memory; with
+# the limit it fails with a MemoryError and its statement is rejected.
 MAX_MEMORY_BYTES = 1 << 30
 STDIN = 0
 
 
 def _receive(sock: socket.socket, size: int) -> bytes:
-    """Exactly `size` bytes; ends the process when the gateway has ended."""
+    """Receive exactly `size` bytes; exits the process if the gateway has closed the connection."""
     data = b""
     while len(data) < size:
         chunk = sock.recv(size - len(data))
@@ -45,20 +48,20 @@
         return reader.read(statement)
     except (RecursionError, MemoryError):
         return ParseResult(True, reason="it nests too deep", is_parsed=False)
-    except Exception as fault:  # the parser's own error: it rejects this statement and ends no process
-        return ParseResult(True, reason=f"the parser broke on it: {type(fault).__name__}", is_parsed=False)
+    except Exception as error:  # an error of the parser rejects this statement only; the process goes on
+        return ParseResult(True, reason=f"the parser broke on it: {type(error).__name__}", is_parsed=False)
 
 
 def main() -> None:
-    """Parse what is requested until the gateway closes its end of the socket."""
-    signal.signal(signal.SIGINT, signal.SIG_IGN)  # the process ends when the gateway closes its socket
+    """Serve parse requests until the gateway closes its end of the socket."""
+    signal.signal(signal.SIGINT, signal.SIG_IGN)  # the process exits when the gateway closes its socket
     resource.setrlimit(resource.RLIMIT_AS, (MAX_MEMORY_BYTES, MAX_MEMORY_BYTES))
-    # A gateway that ends leaves responses unread, which breaks the socket
+    # A gateway that exits may leave responses unread, which makes the next send or receive fail
     with socket.socket(fileno=STDIN) as sock, contextlib.suppress(BrokenPipeError, ConnectionResetError):
         sock.setblocking(True)
         reader = Reader(decode_rules(_receive_frame(sock)))
-        # The parser builds its tables at first use, which would add to the time of the first statement
-        for text in WARM_UP:
+        # The parser builds its tables at first use; without the warm-up this would delay the first statement
+        for text in WARM_UP_STATEMENTS:
             reader.read(normalize(text))
         sock.sendall(encode_frame(ParseResponse(READY)))
         while True:
