--- a/bench/statements_gateway.py
+++ b/bench/statements_gateway.py
@@ -119,7 +119,7 @@
     modified_before = _modified_at(snapshot)
     with running_gateway(folder, engine_port, True, f'snapshot = "{snapshot}"\n') as gateway:
         count_served("hits", gateway.address, seed, WARM_UP_S)
-        lost = _run_all(gateway.address, statements, clients)
+        failed = _run_all(gateway.address, statements, clients)
         os.kill(gateway.pid, signal.SIGTERM)
         deadline = time.monotonic() + EXIT_TIMEOUT_S
         while time.monotonic() < deadline and _modified_at(snapshot) <= modified_before:
@@ -127,7 +127,7 @@
     learned = CostEstimates()
     if not learned.restore(SnapshotStore(str(snapshot)).load()):
         raise click.ClickException("the gateway wrote no usable snapshot")
-    return LearnedCosts(learned, lost)
+    return LearnedCosts(learned, failed)
 
 
 def _modified_at(path: Path) -> int:
@@ -139,7 +139,7 @@
     """Run the statements from last to first; returns how many failed."""
     import pyarrow.flight as fl
 
-    lost = [0] * clients
+    failed = [0] * clients
 
     def run(client: int) -> None:
         """Run statements until the list is empty."""
@@ -148,10 +148,10 @@
             try:
                 _fetch(flight_client, statements.pop())
             except Exception:
-                lost[client] += 1
+                failed[client] += 1
 
     _in_threads(run, clients)
-    return sum(lost)
+    return sum(failed)
 
 
 # ---- requests per second of CPU
