--- a/tests/race_helpers.py
+++ b/tests/race_helpers.py
@@ -1,4 +1,4 @@
-"""Settings, stand-in engines and client steps shared by the tests of race conditions (docs/crossings.md)."""
+"""Settings, stand-in engines and client actions that the race-condition tests share (docs/crossings.md)."""
 
 import contextlib
 import copy
@@ -17,11 +17,11 @@
 ABANDONED_SQL = "SELECT gone FROM lending_7.loans"
 UNANSWERED_SQL = "SELECT 1 FROM lending_7.loans"
 SEC = 1_000_000_000
-CLOSE_WAIT = 8  # the state of a socket whose other side has closed
+CLOSE_WAIT = 8  # TCP state of a socket whose peer has closed its side
 
 
 def settings_without_timeouts(**limits: Any) -> dict[str, Any]:
-    """Settings under which no timeout ends a request while a test forces a race, however slow the machine."""
+    """Settings whose timeouts are long enough that none ends a request during a test on a slow machine."""
     raw = settings_with_timeout(600.0)
     raw["family-info"]["progress"] = 600 * SEC  # no progress note is expected
     raw["limits"] |= {name.replace("_", "-"): value for name, value in limits.items()}
@@ -44,7 +44,7 @@
 
 
 def fill_backlog(listener: socket.socket) -> list[socket.socket]:
-    """Dial until the listener answers no further dial; returns the sockets, whose close makes room."""
+    """Fill the backlog of a listener; return the sockets that fill it, whose close makes room again."""
     listener.listen(0)
     fillers = [socket.socket() for _ in range(4)]
     for filler in fillers:
@@ -54,7 +54,7 @@
 
 
 class SlowToAcceptEngine(Engine):
-    """Accepts connections only once `accepting` is set: until then its backlog is full."""
+    """Accepts no connection until `accepting` is set; its backlog is full until then."""
 
     def __init__(self) -> None:
         self.accepting = threading.Event()
@@ -72,7 +72,7 @@
 
 
 class PausedReaderEngine(Engine):
-    """Reads nothing after a request until `may_read` is set."""
+    """Stops reading after each request until `may_read` is set."""
 
     def __init__(self, **options: Any) -> None:
         self.may_read = threading.Event()
@@ -87,7 +87,7 @@
 def send_request(
     gateway: Gateway, statement: str, request_class: str = "lookup", row: str = "7f3a9c21e0b4d655"
 ) -> socket.socket:
-    """Send a client's complete request; the test closes the returned connection."""
+    """Send a complete request as a client does; the caller closes the returned connection."""
     client = socket.create_connection(gateway.http_server.listener.address)
     client.settimeout(20)
     head = (
@@ -99,7 +99,7 @@
 
 
 def abandon_request(gateway: Gateway, client: socket.socket) -> None:
-    """Close the client's connection and wait until the gateway has noticed."""
+    """Close the client's connection and wait until the gateway has ended its request."""
     open_before = gateway.forwarder.open_request_count
     client.close()
     until(lambda: gateway.forwarder.open_request_count < open_before)
@@ -107,7 +107,7 @@
 
 @contextlib.contextmanager
 def gateway_with_planner_process(engine: Engine, **limits: Any) -> Iterator[tuple[Gateway, PlannerProcess]]:
-    """A gateway whose planner runs behind IPC, on a loop of its own."""
+    """A gateway whose planner is connected by IPC and runs on its own loop."""
     configuration = config([host(engine)], settings=settings_without_timeouts(**limits))
     with planner() as planner_process:
         operator = OperatorSettings(planner_addresses=(planner_process.listener.address,))
@@ -118,14 +118,14 @@
 
 @contextlib.contextmanager
 def stalled_planner(planner_process: PlannerProcess) -> Iterator[None]:
-    """The planner's loop stands still until the block is left."""
+    """Block the planner's loop until the context is left."""
     stalled, resume = threading.Event(), threading.Event()
 
-    def stall() -> None:
+    def block_loop() -> None:
         stalled.set()
         assert resume.wait(30)
 
-    planner_process.loop.call_soon(stall)
+    planner_process.loop.call_soon(block_loop)
     assert stalled.wait(10)
     try:
         yield
@@ -134,9 +134,9 @@
 
 
 def fill_send_buffer(gateway: Gateway, engine: Engine) -> list[socket.socket]:
-    """Send requests until bytes wait unwritten for the engine `e0`; the test closes the clients' sockets.
+    """Send requests until the output buffer for engine `e0` is not empty; the caller closes the sockets.
 
-    The engine's script leaves UNANSWERED_SQL, the first statement, without an answer.
+    UNANSWERED_SQL is sent first; the engine's script must leave it without an answer.
     """
     large = "SELECT '" + "x" * 200_000 + "' FROM lending_7.loans"
     open_clients = [send_request(gateway, UNANSWERED_SQL)]
--- a/tests/test_hot_upgrade.py
+++ b/tests/test_hot_upgrade.py
@@ -1,4 +1,4 @@
-"""Hot upgrades with real processes: a shared accept queue, transferred connections, deaths on either side."""
+"""Hot upgrades with real processes: shared accept queue, transferred connections, the death of either."""
 
 import http.client
 import json
@@ -46,7 +46,7 @@
 
 
 class DiscoveryService:
-    """Answers the polls that it may not hold, and never any other; once `silent` it answers none."""
+    """Answers only polls that must be answered at once; with `silent` set, answers none."""
 
     def __init__(self) -> None:
         self.silent = False
@@ -65,8 +65,8 @@
         sock.recv(1)
 
 
-class Site:
-    """A gateway's files and addresses; `start` runs one more process of it."""
+class Deployment:
+    """The files and addresses of one gateway; `start` starts another process of it."""
 
     def __init__(self, folder: Path) -> None:
         self.engine, self.discovery = Engine(), DiscoveryService()
@@ -107,21 +107,21 @@
 
 
 @contextmanager
-def site(folder: Path) -> Iterator[Site]:
-    made = Site(folder)
+def deployed_gateway(folder: Path) -> Iterator[Deployment]:
+    deployment = Deployment(folder)
     try:
-        yield made
+        yield deployment
     finally:
-        for process in made.processes:
+        for process in deployment.processes:
             process.kill()
             process.wait()
             assert process.stderr
             process.stderr.close()
-        made.engine.close()
+        deployment.engine.close()
 
 
 def send_lookup(connection: http.client.HTTPConnection, digit: str) -> int:
-    """Send a request on a connection that must stay open after it; the status."""
+    """Send a lookup on a connection that must stay open after it, and return the status."""
     headers = {"X-Txn": digit * 16, "X-Ttl-Ms": "5000"}
     connection.request("POST", "/svc/lookup", SQL, headers)
     answer = connection.getresponse()
@@ -137,121 +137,122 @@
 def test_an_upgrade_closes_no_connection_and_loses_no_request(tmp_path: Path) -> None:
     """A gateway is upgraded twice while clients hold connections and a request is open.
 
-    A client would see a closed connection, or a request without an answer, if the two processes did not share
-    the accept queue, or if idle connections were closed at SIGTERM. The successor inherits the listening
-    sockets, idle connections are transferred to it, and the predecessor answers its open request itself.
+    Without a shared accept queue, or with idle connections closed at SIGTERM, clients would see closed
+    connections. The successor inherits both, and the predecessor answers its own open request.
     """
     slow = "SELECT slow FROM lending_7.loans"
-    with site(tmp_path) as running_site, ThreadPoolExecutor() as executor:
-        running_site.engine.script[slow] = ["mute"] * 3
-        predecessor = running_site.start()
-        used = http.client.HTTPConnection(*running_site.listen, timeout=10)
-        silent = socket.create_connection(running_site.listen)
-        assert send_lookup(used, "1") == 200
-        waiting = executor.submit(running_site.served, slow, ttl=1_500)
-        assert running_site.engine.wait("REQ", 2)
-        successor = running_site.start()
+    with deployed_gateway(tmp_path) as deployment, ThreadPoolExecutor() as executor:
+        deployment.engine.script[slow] = ["mute"] * 3
+        predecessor = deployment.start()
+        idle_client = http.client.HTTPConnection(*deployment.listen, timeout=10)
+        silent_client = socket.create_connection(deployment.listen)
+        assert send_lookup(idle_client, "1") == 200
+        waiting = executor.submit(deployment.served, slow, ttl=1_500)
+        assert deployment.engine.wait("REQ", 2)
+        successor = deployment.start()
         assert served_lookups(successor) == 0
         predecessor.process.send_signal(signal.SIGTERM)
-        assert running_site.served() == 200  # one queue: whoever accepts it
-        assert send_lookup(used, "2") == 200 and send_lookup(used, "3") == 200
-        assert waiting.result() in (429, 500)  # its predecessor answers it
+        assert deployment.served() == 200  # from the shared accept queue, by either process
+        assert send_lookup(idle_client, "2") == 200 and send_lookup(idle_client, "3") == 200
+        assert waiting.result() in (429, 500)  # answered by the predecessor
         assert predecessor.process.wait(10) == 0
         before = served_lookups(successor)
-        assert before >= 1 and send_lookup(used, "4") == 200 and served_lookups(successor) == before + 1
-        silent.settimeout(10)
-        silent.sendall(b"GET /status/live HTTP/1.1\r\nHost: x\r\n\r\n")
-        assert silent.recv(4096).startswith(b"HTTP/1.1 200")
-        used.close()
-        silent.close()
-        third = running_site.start()  # it finds the second, not the first
+        assert (
+            before >= 1 and send_lookup(idle_client, "4") == 200 and served_lookups(successor) == before + 1
+        )
+        silent_client.settimeout(10)
+        silent_client.sendall(b"GET /status/live HTTP/1.1\r\nHost: x\r\n\r\n")
+        assert silent_client.recv(4096).startswith(b"HTTP/1.1 200")
+        idle_client.close()
+        silent_client.close()
+        third = deployment.start()  # its predecessor is the second process, not the first
         successor.process.send_signal(signal.SIGTERM)
-        assert successor.process.wait(10) == 0 and running_site.served() == 200 and served_lookups(third) == 1
+        assert successor.process.wait(10) == 0 and deployment.served() == 200 and served_lookups(third) == 1
 
 
 def test_a_successor_that_dies_leaves_its_predecessor_serving_and_found(tmp_path: Path) -> None:
     """A successor is killed after it was ready.
 
-    Its socket has replaced the predecessor's in $TMPDIR, so a next successor would find nobody there. The
-    predecessor notices the end of the connection, serves alone and puts its own socket back.
+    Its socket file has replaced the predecessor's in $TMPDIR, so the next successor would find no process
+    there. The predecessor detects the closed connection, serves alone and restores its own socket file.
     """
-    with site(tmp_path) as running_site:
-        predecessor = running_site.start()
-        first = running_site.start()
+    with deployed_gateway(tmp_path) as deployment:
+        predecessor = deployment.start()
+        first = deployment.start()
         first.process.kill()
         first.process.wait()
-        until(lambda: served_lookups(predecessor) or running_site.served() == 200)
-        assert [running_site.served() for _ in range(4)] == [200] * 4
-        second = running_site.start()
+        until(lambda: served_lookups(predecessor) or deployment.served() == 200)
+        assert [deployment.served() for _ in range(4)] == [200] * 4
+        second = deployment.start()
         predecessor.process.send_signal(signal.SIGTERM)
         assert (
-            predecessor.process.wait(10) == 0 and running_site.served() == 200 and served_lookups(second) == 1
+            predecessor.process.wait(10) == 0 and deployment.served() == 200 and served_lookups(second) == 1
         )
 
 
 def test_a_predecessor_that_dies_leaves_all_to_its_successor_and_its_file_is_no_fault(tmp_path: Path) -> None:
     """A predecessor is killed while its successor serves, then the successor as well.
 
-    The successor serves every client alone. A killed process leaves its socket file behind, and a process
-    that took the file for a running predecessor would not start. It starts, as nobody listens at that file.
+    The successor serves all clients alone. A killed process leaves its socket file behind, and a process that
+    took the file for a running predecessor would not start; a file without a listener is ignored.
     """
-    with site(tmp_path) as running_site:
-        predecessor, successor = running_site.start(), running_site.start()
+    with deployed_gateway(tmp_path) as deployment:
+        predecessor, successor = deployment.start(), deployment.start()
         predecessor.process.kill()
         predecessor.process.wait()
-        assert [running_site.served() for _ in range(4)] == [200] * 4 and served_lookups(successor) == 4
+        assert [deployment.served() for _ in range(4)] == [200] * 4 and served_lookups(successor) == 4
         successor.process.kill()
         successor.process.wait()
         assert any(name.startswith("mothknot-") for name in os.listdir(tmp_path))
-        assert running_site.start() and running_site.served() == 200
+        assert deployment.start() and deployment.served() == 200
 
 
 def test_a_predecessor_stopped_before_its_successor_is_ready_transfers_once_it_is(
     tmp_path: Path,
 ) -> None:
-    """SIGTERM comes to a predecessor whose successor is not ready yet, as the discovery service is silent.
+    """A predecessor gets SIGTERM before its successor is ready, as the discovery service does not answer.
 
-    Closed listeners would reset the clients that connect meanwhile. The predecessor accepts nothing and keeps
-    its listeners, so these clients wait in the accept queue until the successor accepts them.
+    With closed listeners, clients that connect meanwhile would be reset. The predecessor keeps its listeners
+    until the successor is ready, and then transfers its idle connections.
     """
-    with site(tmp_path) as running_site, ThreadPoolExecutor() as executor:
-        predecessor = running_site.start()
-        used = http.client.HTTPConnection(*running_site.listen, timeout=10)
-        assert send_lookup(used, "1") == 200
-        running_site.discovery.silent = True
-        starting = executor.submit(running_site.start)
+    with deployed_gateway(tmp_path) as deployment, ThreadPoolExecutor() as executor:
+        predecessor = deployment.start()
+        idle_client = http.client.HTTPConnection(*deployment.listen, timeout=10)
+        assert send_lookup(idle_client, "1") == 200
+        deployment.discovery.silent = True
+        starting = executor.submit(deployment.start)
         until(lambda: b"a successor starts" in os.read(predecessor.process.stderr.fileno(), 4096))
         predecessor.process.send_signal(signal.SIGTERM)
-        waiting_client = executor.submit(running_site.served)
+        waiting_client = executor.submit(deployment.served)
         successor = starting.result()
         assert waiting_client.result() == 200
         assert (
-            send_lookup(used, "2") == 200
+            send_lookup(idle_client, "2") == 200
             and predecessor.process.wait(10) == 0
             and served_lookups(successor) >= 1
         )
-        used.close()
+        idle_client.close()
 
 
 def test_several_processes_cannot_be_followed(tmp_path: Path) -> None:
-    """A gateway in several processes starts at the address of one that serves.
+    """A gateway that consists of several processes starts at the address of a running gateway.
 
-    It cannot inherit the listening sockets of the other one, so the two cannot pass clients from one to the
-    other. It exits with one line, and the gateway that serves goes on.
+    It cannot inherit that gateway's listening sockets, so clients would be lost in the change. It exits with
+    one line in the log, and the running gateway continues to serve.
     """
     (tmp_path / "operator.toml").write_text(f'[processes]\nplanners = ["127.0.0.1:{free_port()}"]\n')
-    with site(tmp_path) as running_site:
-        running_site.start()
-        late = running_site.start(False, QUERY_GATEWAY_OPERATOR_FILE=str(tmp_path / "operator.toml"))
-        assert late.process.wait(10) == 2 and b"cannot follow" in late.process.stderr.read()
-        assert running_site.served() == 200
+    with deployed_gateway(tmp_path) as deployment:
+        deployment.start()
+        second = deployment.start(False, QUERY_GATEWAY_OPERATOR_FILE=str(tmp_path / "operator.toml"))
+        assert second.process.wait(10) == 2 and b"cannot follow" in second.process.stderr.read()
+        assert deployment.served() == 200
 
 
 def test_where_no_socket_can_be_made_no_upgrade_is_possible(tmp_path: Path) -> None:
-    """$TMPDIR is not set, or names a folder that does not exist.
+    """$TMPDIR is not set, or names a directory that does not exist.
 
-    A start that needed the socket would fail. There is no path then, and the gateway starts without hot
-    upgrades; where a socket can be made, the check for that leaves no file behind.
+    A start that required the socket would fail, so there is no path and hot upgrades are disabled. Where a
+    socket can be created, the check leaves no file behind.
     """
     listen = "127.0.0.1", 9
     assert upgrade_socket_path({}, listen) is None
@@ -261,11 +262,10 @@
 
 
 def test_the_slow_start_budget_goes_over_in_steps() -> None:
-    """The slow-start budget passes from one process to the other while both run.
+    """Each step of a hot upgrade changes the share of the slow-start budget that a process uses.
 
-    Two full budgets overload engines in slow start; a successor that keeps to half a budget after its
-    predecessor forwards no more rejects requests that the engines could take. Each step of the upgrade
-    changes the share.
+    Two full budgets overload engines in slow start. Half a budget after the predecessor has stopped
+    forwarding makes the successor reject requests that the engines could take.
     """
     gateway = Gateway(config([host(Engine())]), OperatorSettings(), signals=False)
     shares = [gateway.planner.settings.slow_start_share]
@@ -294,8 +294,8 @@
 def test_garbage_on_the_connection_ends_it_or_changes_nothing(decode: Any, noise: bytes) -> None:
     """The other process sends a packet of random bytes.
 
-    An error that left the handler would be logged as a fault of ours, and the connection would stay open. A
-    packet that cannot be decoded ends the connection; one without a known key is an unknown message.
+    An exception in the handler would be logged as a fault, and the connection would stay open. A packet that
+    cannot be decoded ends the connection; one without a known key is an unknown message.
     """
     loop, endings, received = Loop(), list[int](), list[Any]()
     near, far = socket.socketpair(socket.AF_UNIX, socket.SOCK_SEQPACKET)
@@ -333,7 +333,8 @@
 def test_learned_state_is_restored_under_the_names_of_classes() -> None:
     """Predecessor and successor number their classes differently.
 
-    Restored by number, what was learned of one class would be used for another. It is transferred by name.
+    Restored by number, the learned state of one class would be used for another. Classes are transferred by
+    name.
     """
     old, new = scheduler_with_one_outcome(), Scheduler(config([]).settings, 2)
     new.state.fleet.engines = dict(scheduler_with_one_outcome().state.fleet.engines)
@@ -354,8 +355,8 @@
 def test_learned_state_that_cannot_be_used_is_not_restored_in_part(changes: Any) -> None:
     """One value of the transferred state is missing, of a wrong type or out of range.
 
-    Restored up to that value, the scheduler would work with a mixture of states. All of it is checked first,
-    and none of it is restored.
+    Restored up to that value, the scheduler would use a partly restored state. All values are checked first,
+    and none is restored.
     """
     new = Scheduler(config([]).settings, 2)
     exported = export_state(scheduler_with_one_outcome(), CLASS_NUMBERS)
--- a/tests/test_race_abandoned_requests.py
+++ b/tests/test_race_abandoned_requests.py
@@ -1,4 +1,4 @@
-"""Race conditions between a client that leaves and its waiting request, each forced on real sockets."""
+"""Race conditions between a client that disconnects and its request, each forced on real sockets."""
 
 import socket
 import threading
@@ -30,10 +30,10 @@
 
 @pytest.mark.parametrize("cancelling", [True, False])
 def test_request_abandoned_while_its_connection_is_being_opened_is_not_forwarded(cancelling: bool) -> None:
-    """A client leaves while the connection for its attempt is being dialled.
+    """A client disconnects while the connection for its attempt is being dialled.
 
-    With cancellation off no planner withdrew the attempt, and the request was written for nobody as the
-    connection came up. The exchange itself withdraws what has not left.
+    With cancellation off no planner withdrew the attempt, so the request was written once the connection was
+    established, with no client left. The exchange itself withdraws an attempt that has not been written.
     """
     engine = SlowToAcceptEngine()
     raw = settings_without_timeouts(cancelling=cancelling, dial_timeout=20 * SEC)
@@ -50,10 +50,10 @@
 
 
 def test_request_abandoned_while_the_planner_process_is_stalled_is_not_forwarded() -> None:
-    """A client leaves while its attempt waits for the dial and the planner process is stalled.
+    """A client disconnects while its attempt waits for the dial and the planner process is stalled.
 
-    The planner's cancel does not come, and the connection comes up. The exchange withdraws what has not left
-    without waiting for its planner.
+    The connection is established before the planner can send a cancel, and the request would be written. The
+    exchange withdraws an unwritten attempt without waiting for its planner.
     """
     engine = SlowToAcceptEngine()
     with gateway_with_planner_process(engine, dial_timeout=20 * SEC) as (gateway, planner_process):
@@ -77,10 +77,10 @@
 
 
 def test_request_abandoned_before_the_planner_process_decides_is_not_forwarded() -> None:
-    """A client leaves before the stalled planner process has decided on its request.
+    """A client disconnects before the stalled planner process has decided on its request.
 
-    The planner may forward the request as it goes on. The exchange is gone by then, so nothing is sent and
-    the planner gets the outcome of an attempt that was not sent.
+    The planner may forward the request when it resumes. The exchange has ended by then, so nothing is sent
+    and the planner gets the outcome of an attempt that was not sent.
     """
     engine = Engine()
     with gateway_with_planner_process(engine) as (gateway, planner_process):
@@ -96,10 +96,10 @@
 
 @pytest.mark.parametrize("cancelling", [True, False])
 def test_request_abandoned_while_it_is_unwritten_is_not_forwarded(cancelling: bool) -> None:
-    """A client leaves while its request waits behind others that the engine does not read.
+    """A client disconnects while its request waits behind others that the engine does not read.
 
-    The request was in the output buffer and left all the same, followed by its own STOP or by none. Requests
-    are now encoded as they leave, and one that is unwritten is withdrawn.
+    The request was already in the output buffer, so it was sent anyway, with or without a STOP behind it.
+    Requests are encoded only when they can be written, and an unwritten one is withdrawn.
     """
     engine = PausedReaderEngine(script={UNANSWERED_SQL: ["mute"]})
     with running(engine, settings=settings_without_timeouts(cancelling=cancelling)) as gateway:
@@ -118,13 +118,15 @@
 def test_request_abandoned_before_its_connection_is_accepted_is_not_forwarded() -> None:
     """A client sends a request and closes before its connection is accepted.
 
-    The request was read and forwarded before the end of its connection was seen, and an engine worked for
-    nobody. The send guard looks at the client's socket as the first byte is about to leave.
+    The request was read and forwarded before the end of its connection was read, and an engine ran it with
+    no client left. The send guard checks the client's socket just before the first byte is written.
     """
     engine = Engine()
     with running(engine, settings=settings_without_timeouts()) as gateway:
         gateway.loop.lag = lambda: 0.0  # type: ignore[method-assign]
-        assert post(gateway, "lookup", SQL, ttl=600_000)[0] == 200  # from now on a connection is established
+        assert (
+            post(gateway, "lookup", SQL, ttl=600_000)[0] == 200
+        )  # leaves an established connection to the engine
         blocked, resume = threading.Event(), threading.Event()
 
         def block_loop() -> None:
@@ -141,10 +143,10 @@
 
 
 def test_request_abandoned_while_its_key_is_in_use_is_not_forwarded() -> None:
-    """A client leaves while its request waits for an earlier one of the same key.
+    """A client disconnects while its request waits for an earlier one of the same key.
 
-    Forwarded when its turn comes, it would change rows for nobody, and hold up the next one of its key. It
-    leaves the queue of its key with its client.
+    Forwarded in its turn, the request would change rows with no client left, and delay the next one of its
+    key. It is removed from the queue of its key when its client disconnects.
     """
     engine = PausedReaderEngine(script={LOAD: ["mute"]})
     engine.may_read.set()
@@ -163,10 +165,10 @@
 
 
 def test_request_abandoned_before_its_attempt_is_reset_is_not_retried() -> None:
-    """A client leaves, and then the connection of its attempt is reset.
+    """A client disconnects, and then the engine connection of its attempt is reset.
 
-    With cancellation off the attempt stays in flight, and its reset would make the planner retry it for
-    nobody. The outcome says that the exchange has ended, so no other attempt starts.
+    With cancellation off the attempt stays in flight, and after the reset the planner would retry it with no
+    client left. The outcome says that the exchange has ended, so no other attempt starts.
     """
     engine = Engine(script={ABANDONED_SQL: ["mute"]})
     with running(engine, settings=settings_without_timeouts(cancelling=False)) as gateway:
@@ -183,10 +185,10 @@
 
 @pytest.mark.parametrize("extra_bytes", [300_000, 900_000])
 def test_client_that_leaves_behind_a_full_receive_buffer_is_noticed(extra_bytes: int) -> None:
-    """A client sends more than the receive buffer takes behind its request, and leaves.
+    """A client sends more bytes behind its request than the receive buffer holds, and disconnects.
 
-    Reading pauses at a full buffer, so the end behind those bytes was not found and the engine went on for
-    nobody. What a client sends ahead of its answer is read and discarded, up to a limit.
+    Reading paused at the full buffer, so the end of the connection was not read and the engine worked on.
+    Bytes that a client sends ahead of its answer are read and discarded, up to a limit.
     """
     engine = Engine(script={ABANDONED_SQL: ["mute"]})
     with running(engine, settings=settings_without_timeouts()) as gateway:
@@ -199,10 +201,10 @@
 
 
 def test_client_that_sends_too_much_ahead_is_disconnected_and_others_are_served(capfd: Any) -> None:
-    """A client sends without end while it waits for its answer.
+    """A client keeps sending while it waits for its answer.
 
-    What it sends ahead would fill the memory, or keep the process busy. Beyond a limit its connection ends
-    with a reason in the log, and its request is stopped.
+    Without a limit these bytes would exhaust the memory or occupy the process. Beyond the limit the
+    connection ends with a reason code in the log, and the request is stopped at the engine.
     """
     engine = Engine(script={ABANDONED_SQL: ["mute"]})
     with running(engine, settings=settings_without_timeouts()) as gateway:
@@ -216,10 +218,10 @@
 
 
 def test_bytes_sent_ahead_beyond_the_receive_buffer_close_the_connection_after_the_answer() -> None:
-    """A client sends more than the receive buffer takes ahead of its answer.
+    """A client sends more bytes ahead of its answer than the receive buffer holds.
 
-    Part of it was discarded, so what follows on the connection can no longer be read as requests. The answer
-    says that the connection closes, and it does.
+    Some of them were discarded, so later bytes on the connection would be parsed from the middle of a
+    request. The answer announces the close of the connection, which follows it.
     """
     engine = PausedReaderEngine(script={ABANDONED_SQL: ["mute"]})
     engine.may_read.set()
--- a/tests/test_race_endpoint_list.py
+++ b/tests/test_race_endpoint_list.py
@@ -1,4 +1,4 @@
-"""Race conditions of the watch on the endpoint list: restarted services, lost answers and draining."""
+"""Race conditions of the endpoint-list watch: restarts of the discovery service, lost answers, draining."""
 
 import json
 from collections.abc import Iterable
@@ -23,16 +23,16 @@
 pytestmark = pytest.mark.usefixtures("reset_log_rate_limit")
 
 
-def polls_at(answers: tuple[tuple[bytes, int], ...]) -> list[str]:
-    """The targets of polls at the position that stands beside each answer."""
+def poll_targets(answers: tuple[tuple[bytes, int], ...]) -> list[str]:
+    """The request targets of the polls at the positions that are paired with the answers."""
     return [f"/journal?tail={position}" for _, position in answers]
 
 
 def test_sequence_reset_gap_or_duplicate_in_the_watch_causes_a_resync(capfd: Any) -> None:
-    """The discovery service restarts, leaves out events, or sends them twice.
+    """The discovery service restarts, omits events, or sends them twice.
 
-    The gateway kept the highest position that it had seen and ignored all later answers, without a log line:
-    its list stayed old. Each of these anomalies is logged and followed by a poll for the complete list.
+    The gateway kept the highest position that it had received and silently ignored all later answers, so its
+    list became stale. Each of these anomalies is logged and followed by a poll for the complete list.
     """
     journal, first_engine, second_engine = JournalStandIn(), Engine(), Engine()
     hosts = [host(second_engine, "e2")]
@@ -41,12 +41,12 @@
     answers = (
         (news_of(first_engine), 1), (b'{"pos":1,"entries":[]}', 2), (reset_answer, 0),  # lower positions
         (b'{"pos":6,"entries":[]}', 1), (reset_answer, 0),  # a position beyond its events
-        (gap_answer, 1), (reset_answer, 0),  # events left out
-        (reset_answer, 1),  # a duplicate; then the new connection polls for the last event once more
-        (reset_answer, 0), (b'{"pos":1,"entries":[]}', 1), (reset_answer, 0),  # empty, but at once
+        (gap_answer, 1), (reset_answer, 0),  # omitted events
+        (reset_answer, 1),  # a duplicate; a new connection then polls for the last event again
+        (reset_answer, 0), (b'{"pos":1,"entries":[]}', 1), (reset_answer, 0),  # empty, but not held
     )  # fmt: skip
     with running_gateway(config([], journal=journal.address)) as gateway:
-        assert [journal.answer(body) for body, _ in answers] == polls_at(answers)
+        assert [journal.answer(body) for body, _ in answers] == poll_targets(answers)
         assert list(gateway.forwarder.endpoints) == ["e2"]
         assert post(gateway, "lookup", SQL, ttl=600_000)[0] == 200
     assert (len(first_engine.statements), len(second_engine.statements)) == (0, 1)
@@ -63,9 +63,8 @@
 def test_restarted_service_that_has_passed_our_position_causes_a_resync(capfd: Any) -> None:
     """The discovery service restarts and passes the gateway's position before the next poll.
 
-    Lower positions would show the restart, but there are none left; the gateway would miss the events before
-    its position. A new connection polls for the last known event once more, and a different one means a
-    resync.
+    No answer has a lower position that would show the restart, so the gateway would miss the new events up to
+    its position. A new connection polls for the last known event again and resyncs if that event differs.
     """
     journal, first_engine, second_engine = JournalStandIn(), Engine(), Engine()
     snapshot = endpoint_list_answer(1, [host(second_engine, "e2", "draining")], snapshot=True)["entries"]
@@ -77,7 +76,7 @@
     with running_gateway(config([], journal=journal.address)) as gateway:
         assert journal.answer(news_of(first_engine)) == "/journal?tail=1"
         journal.breaks()
-        assert journal.answer(news_of(first_engine)) == "/journal?tail=1"  # the same as before: no resync
+        assert journal.answer(news_of(first_engine)) == "/journal?tail=1"  # the same event: no resync
         journal.breaks()
         after_restart = json.dumps({"pos": 3, "entries": deltas}).encode()
         assert journal.answer(after_restart) == "/journal?tail=1"
@@ -95,13 +94,13 @@
 def test_restarted_service_does_not_revive_draining_or_removed_engines() -> None:
     """A restarted discovery service answers with a list from before a drain.
 
-    Engines that were draining or removed were up again and got requests. Tombstones remember them; only a
-    later start of the engine, or the service's own next event, ends one.
+    Draining and removed engines were taken as up again and got requests. Each has a tombstone, which ends
+    only with a later start of the engine or with the next event of the same service.
     """
     journal, engines = JournalStandIn(), [Engine() for _ in range(3)]
 
     def answer_with(position: int, **states: str) -> bytes:
-        """An answer with these engines; `up again` is the state of one that has restarted since."""
+        """An answer with these engines; the state `up again` gives an engine a later start time."""
         hosts = [
             host(engines[int(name[1])], name, state.split()[0], 5 if " " in state else 0)
             for name, state in states.items()
@@ -114,7 +113,7 @@
         (answer_with(1, e0="up", e1="up", e2="up"), 0),
     )  # fmt: skip
     with running_gateway(config([], journal=journal.address, known=cached_list)) as gateway:
-        assert [journal.answer(body) for body, _ in answers] == polls_at(answers)
+        assert [journal.answer(body) for body, _ in answers] == poll_targets(answers)
         until(lambda: gateway.endpoint_feed.position == 1)
         states = {name: endpoint.info.state for name, endpoint in gateway.forwarder.endpoints.items()}
         assert states == {"e0": EndpointState.DRAINING, "e1": EndpointState.UP}
@@ -129,10 +128,10 @@
 
 
 def test_draining_survives_stale_lists_of_a_restarted_service() -> None:
-    """The same as above without sockets: a stale list says that a draining engine is up.
+    """A stale list reports a draining engine as up; the previous test without sockets.
 
-    Requests would go to an engine that is about to end. A tombstone is ended only by a later start of the
-    engine, or by an event in the sequence of the same service.
+    Requests would go to an engine that is about to end. A tombstone ends only with a later start of the
+    engine, or with an event in the sequence of the same service.
     """
 
     def make_endpoint(name: str, state: EndpointState, started_at: int = 0) -> Endpoint:
@@ -144,7 +143,7 @@
     present = {endpoint.info.name: endpoint for endpoint in up}
     ending = [make_endpoint("a", EndpointState.DRAINING, 7), make_endpoint("b", EndpointState.REMOVED)]
     tombstones.record(ending, False, present)
-    # a and b are up again, c is left out
+    # the stale list: a and b are up, c is missing
     tombstones.record([endpoint for endpoint in up if endpoint.info.name != "c"], True, present)
     tombstones.record(ending, False, present)
     states = {
@@ -170,11 +169,10 @@
 def test_drain_announced_while_the_watch_is_down_is_applied_with_the_next_poll(
     failure: str, monkeypatch: pytest.MonkeyPatch, capfd: Any
 ) -> None:
-    """An engine begins to drain while the watch hangs or is broken.
+    """An engine starts to drain while the watch hangs or is disconnected.
 
-    The gateway would go on sending to the engine for as long as the watch is down. A watch without an answer
-    is ended after its grace, the next poll continues at the last position, and the drain is applied with its
-    answer.
+    The gateway would send to the engine for as long as the watch is down. A watch without an answer in
+    time is closed, and the next poll, from the last known position, brings the drain.
     """
     monkeypatch.setattr("query_gateway.discovery.watch_client.POLL_HOLD_MS", 100)
     monkeypatch.setattr("query_gateway.discovery.watch_client.ANSWER_GRACE_SECONDS", 0.1)
@@ -199,8 +197,8 @@
 def test_watches_that_break_together_reconnect_at_different_times() -> None:
     """The discovery service closes the watches of all gateways at once.
 
-    All of them reconnected at the same moment, every 0.1 s, and loaded a service that had just started. The
-    backoff has a random part, drawn from each gateway's own seed.
+    All gateways reconnected at the same times, every 0.1 s, and overloaded a service that had just started.
+    The backoff has jitter, drawn from each gateway's own seed.
     """
     reconnect_delays: list[float] = []
     for seed in range(20):
@@ -209,7 +207,7 @@
             not (timer := gateway.watch_client.task.timer)
             or timer.due_at - gateway.loop.now() > 2 * MIN_BACKOFF_SECONDS
         ):
-            gateway.loop.turn()  # until the connection is refused and the backoff has begun
+            gateway.loop.turn()  # until the connection is refused and the backoff starts
         reconnect_delays.append(timer.due_at - gateway.loop.now())
         gateway.loop.close()
     assert (
@@ -222,8 +220,8 @@
 ANSWER_KINDS = st.sampled_from(["good", "empty", "gap", "duplicate", "reset"])
 
 
-def _event(position: int) -> EndpointListEvent:
-    """Each event starts one engine and drains an earlier one; the first is a snapshot."""
+def make_event(position: int) -> EndpointListEvent:
+    """An event that starts one engine and drains an earlier one; the first event is a snapshot."""
     states = {str(position): EndpointState.UP}
     if position > 1:
         states[str(position // 2)] = EndpointState.DRAINING
@@ -231,7 +229,7 @@
     return EndpointListEvent(position, position == 1, tuple(endpoints))
 
 
-def _states(endpoints: Iterable[Endpoint]) -> dict[str, EndpointState]:
+def states_by_name(endpoints: Iterable[Endpoint]) -> dict[str, EndpointState]:
     return {endpoint.info.name: endpoint.info.state for endpoint in endpoints}
 
 
@@ -242,24 +240,24 @@
 ) -> None:
     """A watch gets any series of good, empty, incomplete, repeated and reset answers.
 
-    After one that it handles wrongly, its list would differ from the service's for good. Whatever came
-    before, two good answers bring the complete list: the first may only show that a resync is needed.
+    After an answer that is handled wrongly, its list would differ from the service's permanently. After any
+    series, two good answers bring the complete list: the first may only show that a resync is needed.
     """
     position, states = 0, dict[str, EndpointState]()
 
-    def take(last_position: int, events: list[EndpointListEvent]) -> None:
+    def apply_answer(last_position: int, events: list[EndpointListEvent]) -> None:
         nonlocal position, states
         update = reconcile(position, EndpointListAnswer(last_position, tuple(events)))
         states = {} if update.is_snapshot else states
-        states |= _states(update.endpoints)
+        states |= states_by_name(update.endpoints)
         position = update.position
 
     for last_position, kind in steps:
-        events = [_event(number) for number in range(position + 1, last_position + 1)]
+        events = [make_event(number) for number in range(position + 1, last_position + 1)]
         faulty = {"empty": [], "gap": events[1:], "duplicate": [*events, *events], "reset": []}
-        take(1 if kind == "reset" else last_position, faulty.get(kind, events))
-    for _ in range(2):  # the first may only show that the complete list is needed
-        take(LAST_POSITION, [_event(number) for number in range(position + 1, LAST_POSITION + 1)])
-    all_events = [_event(number) for number in range(1, LAST_POSITION + 1)]
+        apply_answer(1 if kind == "reset" else last_position, faulty.get(kind, events))
+    for _ in range(2):  # the first may only show that a resync is needed
+        apply_answer(LAST_POSITION, [make_event(number) for number in range(position + 1, LAST_POSITION + 1)])
+    all_events = [make_event(number) for number in range(1, LAST_POSITION + 1)]
     assert position == LAST_POSITION
-    assert states == _states(endpoint for event in all_events for endpoint in event.endpoints)
+    assert states == states_by_name(endpoint for event in all_events for endpoint in event.endpoints)
--- a/tests/test_race_engine_connections.py
+++ b/tests/test_race_engine_connections.py
@@ -1,4 +1,4 @@
-"""Race conditions between an engine's connection and a request that goes out on it, on real sockets."""
+"""Race conditions between the state of an engine connection and a request sent on it, on real sockets."""
 
 import contextlib
 import socket
@@ -30,7 +30,7 @@
 
 
 class EndlessAnswerEngine(Engine):
-    """Its first answer never ends: it comes byte by byte, or repeats one page."""
+    """Never completes its first answer: it drips single bytes, or repeats one page."""
 
     def __init__(self, how: str) -> None:
         self.how, self.stopped = how, threading.Event()
@@ -45,7 +45,7 @@
     def _send_endlessly(self, sock: socket.socket, name: str) -> None:
         head, more = f"{name} ok sheets=1 5000\r\n", "x"
         if self.how == "repeating":
-            self.pageless.add(name)  # the page that is polled for never comes
+            self.pageless.add(name)  # the next page that is fetched never comes
             head, more = f"{name} ok sheets=3 6\r\n0\tx\ty\n\r\n", f"{name} batch sheet=1 6\r\n1\tx\ty\n\r\n"
         with contextlib.suppress(OSError):
             sock.sendall(head.encode())
@@ -56,7 +56,7 @@
 def test_non_idempotent_request_that_was_sent_is_not_retried_after_a_reset() -> None:
     """An engine resets the connection after it has read a non-idempotent request.
 
-    The request may have run, and a retry would double its effect. It fails, and the next request is served.
+    The request may have run, and a retry could run it twice. It fails, and the next request is served.
     """
     engine = Engine(script={SQL: ["reset"]})
     with running(engine, settings=settings_with_non_idempotent_reports()) as gateway:
@@ -66,17 +66,17 @@
 
 
 def test_attempt_not_sent_because_of_a_drain_is_ended_at_the_planner_process() -> None:
-    """A drain is announced after the planner process has decided and before its decision is read here.
+    """A drain is announced after the planner process has decided, before the gateway reads the decision.
 
-    The attempt is not sent. The next one had the same number, so the planner ignored its end and the engine
-    counted as in use for good. An attempt that is not sent has a number of its own.
+    The attempt is not sent. The next one had the same number, so the planner ignored its end and counted it
+    as in flight permanently. An attempt that is not sent has its own number.
     """
     engine, other_engine = Engine(), Engine()
     with gateway_with_planner_process(engine) as (gateway, planner_process):
         announced = list[bool]()
 
         def announce_drain() -> bool:
-            """Announce a drain when the planner has decided, before its decision is read here."""
+            """Announce a drain once the planner has decided, before the gateway reads the decision."""
             if gateway.forwarder.open_request_count and not announced:
                 announced.append(True)
                 until(
@@ -104,10 +104,10 @@
 
 
 def test_retry_is_not_sent_when_its_connection_comes_up_after_the_deduplication_window() -> None:
-    """The connection for a retry comes up when the deduplication window is over.
+    """The connection for a retry is established after the deduplication window has ended.
 
-    The engines no longer recognised the retry, and the load ran twice. The attempt is withdrawn at the end of
-    the window if nothing of it has left.
+    The engines no longer recognized the retry, and the load ran twice. The attempt is withdrawn at the end of
+    the window if none of it has been written.
     """
     engine, other_engine = Engine(script={LOAD: ["mute"]}), SlowToAcceptEngine()
     raw = settings_without_timeouts(dial_timeout=600 * SEC)
@@ -134,11 +134,10 @@
     "last_bytes", [b"", b"ffffffffffffffff progress detail=share,val=0.1 0\r\n", b"ffff"]
 )
 def test_close_by_the_engine_is_found_before_a_request_is_written(last_bytes: bytes) -> None:
-    """An engine closes an idle connection just before a request is given to it.
+    """An engine closes an idle connection just before a request, perhaps after a late note or a partial line.
 
-    Written after the close, a non-idempotent request counts as executed and fails, although it never ran. The
-    close may follow a late progress note or a partial line. The connection reads all that has arrived before
-    it takes an attempt, and another connection is dialled.
+    Written after the close, a non-idempotent request counts as possibly run and fails, although it never ran.
+    The connection reads all that has arrived before it takes an attempt, and another one is dialled.
     """
     engine = Engine()
     with running(engine, settings=settings_with_non_idempotent_reports()) as gateway:
@@ -147,7 +146,7 @@
         closed = list[bool]()
 
         def close_engine_side() -> bool:
-            """Close after the loop has polled its sockets, before the planner forwards the request."""
+            """Close the connection after the loop has polled, before the planner forwards the request."""
             if gateway.forwarder.open_request_count and not closed:
                 engine.socks[0].sendall(last_bytes)
                 engine.hang_up()
@@ -161,10 +160,10 @@
 
 
 def test_partial_line_on_an_idle_connection_corrupts_no_answer(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Part of a line comes on an idle connection, and then a request is given to it.
+    """A partial line arrives on an idle connection, and then a request is assigned to it.
 
-    The answer to the request was appended to that part and could not be read, so a non-idempotent request
-    failed. A connection with half a line and no attempt takes no more attempts.
+    The answer was appended to the partial line and could not be decoded, so a non-idempotent request failed.
+    A connection with a partial line and no attempt takes no further attempts.
     """
     monkeypatch.setattr("query_gateway.engine_protocol.liveness.STALL_TIMEOUT_SECONDS", 600.0)
     engine = Engine()
@@ -181,10 +180,10 @@
 def test_answer_that_never_ends_while_bytes_arrive_is_retried(
     how: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """The answer of an engine comes byte by byte without an end, or repeats one page for ever.
+    """An engine's answer arrives byte by byte without an end, or repeats one page forever.
 
-    Each byte restarted the timeout of the response, so the client waited up to its deadline. A response must
-    be complete within a time from its beginning, whatever else comes.
+    Each byte restarted the response timeout, so the client waited until its deadline. A response must be
+    complete within a fixed time from its first byte.
     """
     monkeypatch.setattr("query_gateway.engine_protocol.liveness.RESPONSE_TIMEOUT_SECONDS", 0.2)
     monkeypatch.setattr("query_gateway.engine_protocol.liveness.STALL_TIMEOUT_SECONDS", 600.0)
@@ -198,8 +197,8 @@
 def test_non_idempotent_request_not_sent_in_full_is_retried_when_its_connection_breaks() -> None:
     """A connection breaks while a request still waits behind others that the engine does not read.
 
-    The non-idempotent request counted as executed and failed, although it never left. It ends as not sent,
-    and is sent over another connection.
+    The non-idempotent request counted as possibly run and failed, although it was never written. It ends as
+    not sent, and is retried on another connection.
     """
     engine = PausedReaderEngine(script={UNANSWERED_SQL: ["mute"]})
     with (
@@ -218,10 +217,10 @@
 
 
 def test_request_waiting_for_its_connection_is_not_sent_to_a_draining_engine() -> None:
-    """An engine drains while a dial to it is under way.
+    """An engine starts to drain while a connection to it is being dialled.
 
-    The request that waits for the dial would be written to the draining engine, which may close it
-    unanswered. The pool withdraws it as the drain is announced, and it goes to another engine.
+    The request that waits for the connection would be written to the draining engine, which may close it
+    unanswered. The pool withdraws the request when the drain is announced, and another engine gets it.
     """
     engine, other_engine = SlowToAcceptEngine(), Engine()
     with (
@@ -241,10 +240,10 @@
 
 
 def test_unwritten_request_is_not_sent_to_a_draining_engine() -> None:
-    """An engine drains while a request waits behind others that the engine does not read.
+    """An engine starts to drain while a request waits behind others that the engine does not read.
 
-    The request was in the output buffer and left whenever the engine read on, past its drain. Requests are
-    encoded as they leave, and the pool withdraws what is unwritten as the drain is announced.
+    The request was already in the output buffer, so it was sent when the engine read on, after its drain.
+    Requests are encoded only when they can be written; the pool withdraws unwritten ones at the drain.
     """
     engine, other_engine = PausedReaderEngine(script={UNANSWERED_SQL: ["mute"]}), Engine()
     with running(engine, settings=settings_without_timeouts()) as gateway, ThreadPoolExecutor() as executor:
@@ -263,24 +262,24 @@
 
 
 def test_what_the_machine_does_not_take_is_not_queued() -> None:
-    """A connection does not take a request at once, as earlier bytes are still in its output buffer.
+    """A connection cannot write a request at once, as earlier bytes are still in its output buffer.
 
-    A request that lies in that buffer has an outdated time budget when it leaves, and cannot be withdrawn.
-    `try_write` writes nothing unless the first byte leaves at once, and calls again when it may.
+    A request queued in that buffer has an outdated deadline when it is sent, and cannot be withdrawn.
+    `try_write` takes nothing unless its first byte is written at once; `on_activity` says when to try again.
     """
     loop, listener = Loop(), socket.create_server(("127.0.0.1", 0))
     near_socket = socket.create_connection(listener.getsockname())
-    far_socket, tried = listener.accept()[0], list[bool]()
-    stream = Stream(loop, near_socket, "here", lambda: tried.append(stream.try_write(b"b" * 10)))
+    far_socket, write_results = listener.accept()[0], list[bool]()
+    stream = Stream(loop, near_socket, "here", lambda: write_results.append(stream.try_write(b"b" * 10)))
     stream.start()
     listener.close()
     near_socket.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4_096)
     assert stream.try_write(b"a" * 1_000_000) and stream.outbox
     received = bytearray()
     far_socket.settimeout(0.01)
-    assert not stream.try_write(b"b" * 10)  # the rest of the first is ahead of it
+    assert not stream.try_write(b"b" * 10)  # the rest of the first write is ahead of it
     queued = len(stream.outbox)
-    while not tried or not tried[-1]:
+    while not write_results or not write_results[-1]:
         loop.turn()
         with contextlib.suppress(TimeoutError):
             received += far_socket.recv(65_536)
@@ -297,24 +296,24 @@
 
 
 def test_a_full_socket_takes_nothing_until_there_is_room_again() -> None:
-    """The send buffer of the machine is full, and the output buffer here is empty.
+    """The kernel's send buffer is full while the stream's own output buffer is empty.
 
-    `try_write` would not be called again if only the output buffer were watched. It asks epoll for the
-    moment when the socket takes bytes again.
+    If only the output buffer were watched, `try_write` would never be called again. The stream asks epoll to
+    report when the socket is writable again.
     """
     loop, listener = Loop(), socket.create_server(("127.0.0.1", 0))
     near_socket = socket.create_connection(listener.getsockname())
-    far_socket, tried = listener.accept()[0], list[bool]()
+    far_socket, write_results = listener.accept()[0], list[bool]()
     listener.close()
     near_socket.setblocking(False)
     with contextlib.suppress(BlockingIOError):
         while True:
             near_socket.send(b"a" * 65_536)
-    stream = Stream(loop, near_socket, "here", lambda: tried.append(stream.try_write(b"b")))
+    stream = Stream(loop, near_socket, "here", lambda: write_results.append(stream.try_write(b"b")))
     stream.start()
     assert not stream.try_write(b"b") and not stream.outbox
     far_socket.settimeout(0.01)
-    while not tried or not tried[-1]:
+    while not write_results or not write_results[-1]:
         with contextlib.suppress(TimeoutError):
             far_socket.recv(1 << 20)
         loop.call_at(loop.now(), lambda: None)
--- a/tests/test_race_flight.py
+++ b/tests/test_race_flight.py
@@ -1,4 +1,4 @@
-"""Race conditions on Flight connections: calls that are abandoned, drained or cut off as they go out."""
+"""Race conditions of Flight calls that are being sent: abandoned, drained or on a broken connection."""
 
 import contextlib
 import socket
@@ -34,13 +34,13 @@
 from tests.test_local import until
 from tests.test_web import LOAD, SQL
 
-DEADLINE_SLACK_S = 0.15  # by which a deadline passed on may exceed what its client has left
+DEADLINE_SLACK_S = 0.15  # a forwarded deadline may exceed the remaining one by this
 
 pytestmark = pytest.mark.usefixtures("reset_log_rate_limit")
 
 
 def turn_until(gateway: Gateway, condition: Callable[[], Any]) -> None:
-    """Turn the loop from the test until the condition holds."""
+    """Run loop turns in the test's thread until the condition holds."""
 
     def turn_and_check() -> Any:
         gateway.loop.turn()
@@ -56,7 +56,7 @@
 
 
 def flight_gateway(listener: socket.socket, settings: dict[str, Any] | None = None) -> Gateway:
-    """A gateway with a Flight listener and one Flight engine; the test turns its loop."""
+    """A gateway with a Flight listener and one Flight engine; the test runs the loop turns."""
     operator_settings = parse_operator_settings({"flight": {"listen": "127.0.0.1:0"}}, config([]))
     return Gateway(
         config([flight_host(listener)], settings=settings or settings_without_timeouts()),
@@ -76,7 +76,11 @@
 
 
 def test_flight_call_abandoned_before_its_connection_is_accepted_is_not_forwarded() -> None:
-    """A Flight client sends an update and closes its connection before the gateway has accepted it."""
+    """A Flight client sends an update and closes its connection before the gateway has accepted it.
+
+    The call was read and forwarded before the end of its connection was read, so an engine ran an update with
+    no client left. The send guard checks the client's socket before the call is written.
+    """
     listener = socket.create_server(("127.0.0.1", 0))
     gateway = flight_gateway(listener)
     assert gateway.flight_server
@@ -102,11 +106,10 @@
 
 @pytest.mark.parametrize("event", ["leaves", "drains", "breaks"])
 def test_flight_call_whose_message_is_unsent_is_withdrawn(event: str) -> None:
-    """The client leaves, the engine drains or its connection breaks while flow control holds a message back.
+    """The client leaves, the engine drains or its connection breaks while flow control delays a message.
 
-    The engine has not granted enough flow-control window, so the message of a call waits in the gateway. An
-    engine runs nothing without the complete message: the attempt counts as never run, it can be withdrawn or
-    sent elsewhere, and the message does not leave later.
+    The engine's window is too small, so the message of a call waits in the gateway and could still be sent
+    later. Without the complete message an engine runs nothing: the attempt is withdrawn as never run.
     """
     listener = socket.create_server(("127.0.0.1", 0))
     gateway = flight_gateway(listener, settings_without_timeouts(cancelling=False))
@@ -129,7 +132,7 @@
         turn_until(gateway, lambda: grpc.stream.closed)
         assert not any(exchange.engine_side.may_have_run for exchange in exchanges)
         exchanges = []
-    # A partly sent message is incomplete too, so it never ran; its client still waits for it
+    # A partly sent message is incomplete, so its call never ran; the client of that call still waits
     if exchanges:
         assert exchanges[1].engine_side.current_attempt is None
         assert bool(exchanges[0].engine_side.current_attempt) is (event == "leaves")
@@ -148,7 +151,7 @@
 
 
 class ReceivedCalls:
-    """What an engine has received on a connection: calls' headers, and when their messages were complete."""
+    """Records what an engine receives on a connection: headers of calls, and when each call was complete."""
 
     def __init__(self, engine_socket: socket.socket) -> None:
         self.socket = engine_socket
@@ -158,7 +161,7 @@
         self.completed_at: dict[int, int] = {}  # steady clock, nanoseconds
 
     def read(self) -> None:
-        """Read once, and open the windows for what was read."""
+        """Read once, and return the flow-control window for the bytes read."""
         with contextlib.suppress(TimeoutError):
             for event in self.h2.receive_data(self.socket.recv(65_536)):
                 if isinstance(event, RequestReceived) and event.stream_id and event.headers:
@@ -174,7 +177,11 @@
 def test_flight_call_that_was_held_back_does_not_pass_on_a_deadline_that_is_out_of_date(
     held_back_by: str,
 ) -> None:
-    """Guards against an engine that runs a call for longer than its client waits: its headers were old."""
+    """A Flight call waits in the gateway for flow control or for a full send buffer.
+
+    Its headers were encoded before the wait, so the engine got a timeout that was too long and ran the call
+    after its client's deadline.
+    """
     listener = socket.create_server(("127.0.0.1", 0))
     gateway = flight_gateway(listener, settings_without_timeouts(cancelling=False))
     pool: Any = gateway.forwarder.engine_clients["flight"]
@@ -212,7 +219,11 @@
 
 
 def test_close_by_the_engine_is_found_before_a_flight_call_is_written() -> None:
-    """An engine closes its connection just before a Flight call is written there."""
+    """An engine closes its connection just before a Flight call is written to it.
+
+    The call would count as possibly run and be lost. The connection reads the close before it takes a call,
+    and another connection is dialled.
+    """
     listener = socket.create_server(("127.0.0.1", 0))
     gateway = flight_gateway(listener)
     pool: Any = gateway.forwarder.engine_clients["flight"]
@@ -233,7 +244,7 @@
 
 
 class LargeAnswerHandler(CallHandler):
-    """Answers its call at once, with a large message."""
+    """Answers its call at once with a large message."""
 
     def __init__(self, call: Call) -> None:
         self.call = call
@@ -248,10 +259,10 @@
 def test_flight_answer_still_being_read_is_completed_before_its_connection_closes(
     reason: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """A Flight connection ends, for a shutdown or for idleness, while its client still reads the last answer.
+    """A shutdown or the idle timeout ends a Flight connection while its client still reads the last answer.
 
-    The connection was closed over bytes that the client had not read yet, and the end of the answer was lost.
-    The gateway sends GOAWAY, writes the rest of the answer, half-closes, and closes after the client.
+    The connection was closed before the client had read the whole answer, and the end of it was lost. The
+    gateway sends GOAWAY, writes the rest of the answer, half-closes, and closes after the client.
     """
     loop, listener = Loop(), socket.create_server(("127.0.0.1", 0))
     listener.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4_096)
@@ -283,7 +294,7 @@
         assert turn_once(loop)
         with contextlib.suppress(TimeoutError):
             data = client.recv(65_536)
-            assert data, "the end came before the answer's"
+            assert data, "connection closed before the end of the answer"
             for event in peer.receive_data(data):
                 event_types.add(type(event))
                 if isinstance(event, DataReceived) and event.data and event.flow_controlled_length:
@@ -296,7 +307,7 @@
 
 
 def turn_once(loop: Loop) -> bool:
-    """Turn the loop once, waiting for 10 ms at most."""
+    """Run one loop turn that waits 10 ms at most."""
     loop.call_at(loop.now() + 0.01, lambda: None)
     loop.turn()
     return True
--- a/tests/test_race_idle_connections.py
+++ b/tests/test_race_idle_connections.py
@@ -20,7 +20,10 @@
 def test_request_that_crosses_the_close_of_its_idle_connection_is_answered(
     reason: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """A client sends a request while the gateway closes its idle connection."""
+    """A client sends a request while the gateway closes its idle connection.
+
+    Closed without a last read, the connection would be reset and the request would get no answer.
+    """
     engine = Engine()
     monkeypatch.setattr(
         "query_gateway.http.connection.IDLE_TIMEOUT_SECONDS", 0.3 if reason == "idle" else 6.0
@@ -60,7 +63,11 @@
 
 
 def test_request_sent_after_the_last_read_of_a_closing_connection_causes_no_reset() -> None:
-    """A client sends after the gateway has read for the last time, in the same turn of the loop."""
+    """A client sends bytes after the last read of a closing connection, in the same loop turn.
+
+    A close with unread bytes makes the kernel send a reset, which can destroy an answer that the client has
+    not read yet.
+    """
     engine = Engine()
     with running(engine, settings=settings_without_timeouts()) as gateway:
         client = send_request(gateway, SQL)
@@ -69,7 +76,7 @@
         sent = list[bool]()
 
         def send_before_the_turn_ends() -> bool:
-            """Send after the connection's step, before the loop's turn ends."""
+            """Send once the connection has been handled, before the loop turn ends."""
             if gateway.http_server.closing and not sent:
                 client.sendall(b"POST /svc/lookup HTTP/1.1\r\n")
                 sent.append(True)
@@ -86,23 +93,26 @@
 
 
 def test_client_beyond_the_connection_limit_gets_a_rejection() -> None:
-    """A client connects at the limit while all other connections have open requests."""
+    """A client connects at the connection limit while all other connections have open requests.
+
+    No connection can be evicted for it, and it would be closed without an answer. Its request is rejected.
+    """
     engine = Engine(script={ABANDONED_SQL: ["mute"] * 2})
     with running(engine, settings=settings_without_timeouts()) as gateway:
         gateway.http_server.max_connections = 2
         clients = [send_request(gateway, ABANDONED_SQL) for _ in range(2)]
         assert engine.wait("REQ", 2)
         for _ in range(3):
-            with send_request(gateway, SQL) as late:
+            with send_request(gateway, SQL) as late_client:
                 answer = b""
-                while data := late.recv(65_536):
+                while data := late_client.recv(65_536):
                     answer += data
             assert answer.startswith(b"HTTP/1.1 429") and b"Connection: close" in answer
-        crowd = [socket.create_connection(gateway.http_server.listener.address) for _ in range(40)]
+        silent_clients = [socket.create_connection(gateway.http_server.listener.address) for _ in range(40)]
         until(lambda: len(gateway.http_server.connections) <= 2 + MAX_OVERFLOW_CONNECTIONS)
-        with send_request(gateway, SQL) as late:  # a silent one beyond the limit is evicted for it
-            assert late.recv(65_536).startswith(b"HTTP/1.1 429")
+        with send_request(gateway, SQL) as late_client:  # evicts a silent connection beyond the limit
+            assert late_client.recv(65_536).startswith(b"HTTP/1.1 429")
         assert len(gateway.forwarder.exchanges) == 2
-        for sock in (*clients, *crowd):
+        for sock in (*clients, *silent_clients):
             sock.close()
     assert SQL not in engine.statements
--- a/tests/test_race_reload.py
+++ b/tests/test_race_reload.py
@@ -1,4 +1,4 @@
-"""Race conditions of configuration reloads: retired classes, signals and the start."""
+"""Race conditions of configuration reloads with a second reload, other signals and the start."""
 
 import copy
 import json
@@ -23,10 +23,10 @@
 
 
 def test_second_reload_keeps_each_retired_class_for_its_own_grace_period() -> None:
-    """A second reload comes during the grace period of the first one.
+    """A second reload happens during the grace period of the first one.
 
-    The first reload's timer also ended the grace period of the classes that the second one had retired, so
-    late requests for them were rejected too early. Each retired class has its own end.
+    The timer of the first reload also ended the grace period of classes that the second one had retired, so
+    late requests for them were rejected too early. Each retired class has its own grace period.
     """
     names = iter(("audit", "third"))
 
@@ -60,8 +60,8 @@
 def test_callback_that_raises_does_not_delay_the_callbacks_behind_it() -> None:
     """A callback raises while another one is queued behind it.
 
-    A SIGTERM behind a reload that raised waited until the next signal woke the loop. The loop counts the
-    fault and runs the remaining callbacks in the same turn.
+    A SIGTERM queued behind a reload that raised was not handled until the next signal woke the loop. The loop
+    counts the fault and runs the remaining callbacks in the same turn.
     """
     loop, ran = Loop(), list[str]()
     loop.call_soon(lambda: 1 / 0)
@@ -74,8 +74,8 @@
 def test_sighup_during_the_start_is_applied_and_ends_no_gateway(tmp_path: Path) -> None:
     """SIGHUP arrives while the gateway is still starting.
 
-    Until the start was complete, the signal had its default effect and ended the process. It is handled from
-    the beginning, and the configuration is read again once the gateway runs.
+    Without a handler, the default action of the signal ended the process. The handler is installed first, and
+    the configuration is read again once the gateway runs.
     """
     known = {"pos": 7, "entries": []}
     platform = {"listen": "127.0.0.1:0", "journal": "127.0.0.1:1", "known": known, "settings": SETTINGS}
--- a/tests/test_race_shutdown.py
+++ b/tests/test_race_shutdown.py
@@ -1,4 +1,4 @@
-"""Race conditions of the graceful shutdown and the hot upgrade: requests, deadlines and lost processes."""
+"""Race conditions of the graceful shutdown and the hot upgrade: open requests, deadlines, dying processes."""
 
 import contextlib
 import http.client
@@ -33,20 +33,20 @@
     settings_without_timeouts,
 )
 from tests.stand_ins import SETTINGS, Engine, config, host, post, running_gateway
-from tests.test_hot_upgrade import Site, site
+from tests.test_hot_upgrade import Deployment, deployed_gateway
 from tests.test_local import until
 from tests.test_request_arrival import encoded_request
 from tests.test_web import LOAD, ROWS, SQL, running
 
-KEY_QUARANTINE_S = 0.3  # of the settings
-LATE_S = 0.2
+KEY_QUARANTINE_S = 0.3  # as in SETTINGS
+START_DELAY_S = 0.2  # of the successor, after the predecessor has closed its listeners
 KILL_MARGIN_S = 0.7  # from the longest deadline to SIGKILL, at the earliest
 
 pytestmark = pytest.mark.usefixtures("reset_log_rate_limit")
 
 
 def abort_delays(gateway: Gateway) -> list[float]:
-    """Seconds until the shutdown aborts open requests, one for each timer that does so."""
+    """The seconds until each timer that aborts open requests is due."""
     return [
         due_at - gateway.loop.now()
         for due_at, _, timer in gateway.loop.timers
@@ -55,7 +55,11 @@
 
 
 def test_shutdown_aborts_open_requests_before_the_process_is_killed() -> None:
-    """A request is still open when the platform is about to send SIGKILL."""
+    """A request is still open when the platform is about to send SIGKILL.
+
+    SIGKILL would reset its client's connection without an answer. The abort answers it before that, after the
+    longest deadline, also where all deadlines are shorter than `ANSWER_SECONDS`.
+    """
     for settings, longest_deadline in ((SETTINGS, ANSWER_SECONDS), (settings_with_timeout(1.0), 1.0)):
         gateway = Gateway(config([], settings=settings), OperatorSettings(), signals=False)
         gateway.begin_shutdown()
@@ -66,7 +70,11 @@
 
 
 def test_open_requests_are_aborted_before_the_kill_also_where_a_successor_follows(tmp_path: Path) -> None:
-    """SIGKILL comes as early as after any other SIGTERM."""
+    """A predecessor with a ready successor gets SIGTERM.
+
+    SIGKILL follows as early as after any other SIGTERM. Without a timer for the abort, requests that are
+    still open would be lost.
+    """
     with gateway_with_successor(tmp_path, Engine(), "ready") as (gateway, _):
         until(lambda: gateway.hot_upgrade and gateway.hot_upgrade.successor_ready)
         gateway.loop.call_soon(gateway.begin_shutdown)
@@ -77,7 +85,11 @@
 def test_time_until_the_abort_counts_from_the_signal_and_not_from_when_the_loop_turned_to_it(
     tmp_path: Path,
 ) -> None:
-    """SIGKILL comes by the clock of whoever sent SIGTERM."""
+    """The loop handles SIGTERM only 2 s after the signal.
+
+    The time until SIGKILL counts from the signal. An abort whose time counted from the late loop turn would
+    come after SIGKILL.
+    """
     gateway = Gateway(config([]), OperatorSettings(), signals=False)
     gateway.shutdown.begin(gateway.loop.now() - 2.0)
     assert abort_delays(gateway)[0] < ANSWER_SECONDS + KILL_MARGIN_S - 2.0
@@ -85,7 +97,10 @@
 
 
 def test_shutdown_after_a_reload_uses_the_current_deadlines() -> None:
-    """A reload retires the class with the longest deadline, and a shutdown begins."""
+    """A reload retires a class and shortens all deadlines, and then a shutdown begins.
+
+    Computed from the deadlines before the reload, the abort would come later than the current ones require.
+    """
     settings = settings_with_timeout(1.0)
     settings["services"][1] |= {"name": "audit"}
     sources = ConfigurationSources(read_configuration=lambda: config([], settings=settings))
@@ -98,7 +113,11 @@
 
 
 def test_request_aborted_while_its_connection_is_being_opened_is_rejected_in_every_class() -> None:
-    """A shutdown aborts a non-idempotent request whose connection to the engine is still being opened."""
+    """A shutdown aborts a non-idempotent request while its engine connection is being dialled.
+
+    The request was not sent, so it is rejected and the client may retry it. Answered as failed, it would
+    count as possibly run.
+    """
     engine = SlowToAcceptEngine()
     with running(
         engine,
@@ -115,8 +134,11 @@
 
 
 def test_shutdown_answers_a_long_request_and_exits(tmp_path: Path) -> None:
-    """SIGTERM arrives while a request runs that is longer than the shutdown may take."""
-    with site(tmp_path) as deployment, ThreadPoolExecutor() as executor:
+    """SIGTERM arrives while a request runs for longer than the shutdown may take.
+
+    A shutdown that waited for it would end with SIGKILL, and the client would get no answer.
+    """
+    with deployed_gateway(tmp_path) as deployment, ThreadPoolExecutor() as executor:
         settings = settings_with_timeout(1.0)
         settings["family-info"]["progress"] = 0  # no progress note is expected of a long request
         write_settings(deployment, settings)
@@ -128,13 +150,13 @@
         assert waiting.result(10)[0] in (429, 500) and instance.process.wait(10) == 0
 
 
-def write_settings(deployment: Site, settings: dict[str, Any]) -> None:
+def write_settings(deployment: Deployment, settings: dict[str, Any]) -> None:
     file = Path(deployment.environ["ROUTER_CONFIG"])
     file.write_text(json.dumps(json.loads(file.read_text()) | {"settings": settings}))
 
 
-def stop_before_successor_is_ready(deployment: Site) -> tuple[Any, Any]:
-    """A predecessor after its SIGTERM, and its successor, which is stopped before it is ready."""
+def stop_before_successor_is_ready(deployment: Deployment) -> tuple[Any, Any]:
+    """Start two processes, SIGSTOP the successor before it is ready, and send SIGTERM to the predecessor."""
     predecessor = deployment.start()
     deployment.discovery.silent = True
     successor = deployment.start(ready=False)
@@ -149,8 +171,12 @@
 
 
 def test_clients_are_served_after_sigterm_until_the_successor_is_ready(tmp_path: Path) -> None:
-    """Nobody else accepts them: they waited in the accept queue until the stop's abort, or in vain."""
-    with site(tmp_path) as deployment:
+    """A predecessor gets SIGTERM while its successor is not ready.
+
+    Neither process accepted, so new clients waited in the accept queue until the abort or their own deadline.
+    The predecessor accepts until the successor is ready, also after the grace period.
+    """
+    with deployed_gateway(tmp_path) as deployment:
         predecessor, _ = stop_before_successor_is_ready(deployment)
         assert deployment.served(ttl=1_000) == 200
         time.sleep(ACCEPT_GRACE_SECONDS)
@@ -159,8 +185,11 @@
 
 
 def test_clients_are_served_when_a_successor_dies_after_sigterm_before_it_is_ready(tmp_path: Path) -> None:
-    """The predecessor keeps the listener that both share, also once the other process has ended."""
-    with site(tmp_path) as deployment:
+    """A successor dies before it is ready, after its predecessor got SIGTERM.
+
+    If the predecessor had released the shared listeners, no process would accept new clients.
+    """
+    with deployed_gateway(tmp_path) as deployment:
         predecessor, successor = stop_before_successor_is_ready(deployment)
         successor.process.kill()
         successor.process.wait()
@@ -172,7 +201,7 @@
 def gateway_with_successor(
     folder: Path, engine: Engine, *messages: str
 ) -> Iterator[tuple[Gateway, socket.socket]]:
-    """A gateway, and its link to a successor that the test plays."""
+    """A gateway, and the connection to it of a successor that the test acts as."""
     configuration = config([host(engine)], settings=settings_without_timeouts())
     options = GatewayOptions(upgrade_path=str(folder / "upgrade.sock"))
     with (
@@ -194,7 +223,11 @@
 def test_requests_after_the_death_of_the_successor_are_served_until_the_shutdown_ends(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """A ready successor dies while its predecessor drains."""
+    """A successor dies before it is ready, while its predecessor shuts down.
+
+    The predecessor must go on serving new connections and its idle one until its grace period ends; otherwise
+    requests after the death would get no answer.
+    """
     monkeypatch.setattr("query_gateway.lifecycle.shutdown.ACCEPT_GRACE_SECONDS", 600.0)
     with gateway_with_successor(tmp_path, Engine()) as (gateway, link):
         assert gateway.hot_upgrade
@@ -213,11 +246,15 @@
 
 
 def test_clients_are_served_when_a_ready_successor_dies_after_sigterm(tmp_path: Path) -> None:
-    """Their connections would be reset with the last process that has the listening socket."""
+    """A ready successor dies after its predecessor has released the listeners.
+
+    Clients in the accept queue would be reset when the last process with the listening socket ends. The
+    predecessor keeps the socket open and accepts them.
+    """
     engine = Engine(script={UNANSWERED_SQL: ["mute"]})
     with gateway_with_successor(tmp_path, engine, "ready") as (gateway, link):
         until(lambda: gateway.hot_upgrade and gateway.hot_upgrade.successor_ready)
-        open_request = send_request(gateway, UNANSWERED_SQL)  # keeps the predecessor from ending
+        open_request = send_request(gateway, UNANSWERED_SQL)  # keeps the predecessor from exiting
         assert engine.wait("REQ")
         gateway.loop.call_soon(gateway.begin_shutdown)
         until(lambda: gateway.http_server.listener.closed)
@@ -232,14 +269,17 @@
 
 @pytest.mark.parametrize("step", ["connected", "hello", "ready"])
 def test_predecessor_keeps_serving_when_its_successor_dies_at_any_step(step: str, tmp_path: Path) -> None:
-    """A successor dies at one of the steps of a hot upgrade."""
+    """A successor dies at one of the steps of a hot upgrade.
+
+    A predecessor that still counted on it would stop serving, or refuse the next successor.
+    """
     with gateway_with_successor(tmp_path, Engine(), *(["ready"] if step == "ready" else [])) as (
         gateway,
         first_link,
     ):
         assert gateway.hot_upgrade
         link = first_link
-        if step == "connected":  # another connects once the first has ended, and sends nothing
+        if step == "connected":  # a second successor connects after the first has ended, and sends nothing
             first_link.close()
             until(lambda: gateway.hot_upgrade and not gateway.hot_upgrade.successor)
             link = socket.socket(socket.AF_UNIX, socket.SOCK_SEQPACKET)
@@ -260,7 +300,7 @@
 
 
 class PredecessorStandIn:
-    """The first process of a hot upgrade, played by the test up to its offer and driven by it after that."""
+    """The predecessor of a hot upgrade, whose messages the test sends."""
 
     def __init__(self, upgrade_path: str) -> None:
         self.upgrade_path = upgrade_path
@@ -270,7 +310,7 @@
         self.listener.listen()
 
     def start_successor(self, makes_offer: bool = True) -> GatewayOptions:
-        """The options of a gateway that has said hello here, and that got an offer or lost the connection."""
+        """Answer a successor's hello with an offer, or disconnect; return the options of the successor."""
         with ThreadPoolExecutor() as executor:
             inheriting = executor.submit(request_inherited_state, self.upgrade_path)
             self.link = self.listener.accept()[0]
@@ -295,7 +335,10 @@
 
 @pytest.mark.parametrize("step", ["connected", "offered", "ready", "leaving"])
 def test_successor_keeps_serving_when_its_predecessor_dies_at_any_step(step: str, tmp_path: Path) -> None:
-    """A predecessor dies at one of the steps of a hot upgrade; the test plays the predecessor."""
+    """A predecessor dies at one of the steps of a hot upgrade; the test acts as the predecessor.
+
+    A successor that waited for its next message would never accept clients.
+    """
     engine, predecessor = Engine(), PredecessorStandIn(str(tmp_path / "upgrade.sock"))
     options = predecessor.start_successor(makes_offer=step != "connected")
     assert (options.inherited is None) is (step == "connected")
@@ -313,7 +356,11 @@
 
 
 def test_connection_in_transfer_to_a_successor_that_dies_ends_with_no_open_request(tmp_path: Path) -> None:
-    """A successor dies with a transferred connection that it has not read."""
+    """A successor dies before it has read a connection that was transferred to it.
+
+    The connection ends with the successor. Only idle connections are transferred, as an open request would be
+    lost with the successor; the predecessor answers its own.
+    """
     engine = PausedReaderEngine(script={LOAD: ["mute"]})
     engine.may_read.set()
     with (
@@ -327,7 +374,7 @@
         assert engine.wait("REQ", 2)
         gateway.loop.call_soon(gateway.begin_shutdown)
         until(lambda: not gateway.http_server.idle and len(gateway.http_server.connections) == 1)
-        link.close()  # with the transferred connection unread in it
+        link.close()  # with the transferred connection unread
         with contextlib.suppress(ConnectionResetError):
             assert idle_client.recv(65_536) == b""
         idle_client.close()
@@ -343,8 +390,12 @@
 def test_load_at_a_successor_that_starts_late_does_not_run_beside_one_of_its_predecessor(
     tmp_path: Path,
 ) -> None:
-    """Guards against loads of a key in two processes: the older one has closed its listeners already."""
-    with site(tmp_path) as deployment, ThreadPoolExecutor() as executor:
+    """A successor starts after its predecessor has closed its listeners, while a load there is still open.
+
+    It inherits no listeners. If it took that for the end of the predecessor, loads of one key would run in
+    both processes at once.
+    """
+    with deployed_gateway(tmp_path) as deployment, ThreadPoolExecutor() as executor:
         write_settings(deployment, settings_without_timeouts())
         engine = deployment.engine
         engine.script[LOAD] = ["mute"]
@@ -352,7 +403,7 @@
         executor.submit(post, deployment.gateway, "load", LOAD, ttl=600_000)
         assert engine.wait("REQ")
         predecessor.process.send_signal(signal.SIGTERM)
-        time.sleep(ACCEPT_GRACE_SECONDS + LATE_S)
+        time.sleep(ACCEPT_GRACE_SECONDS + START_DELAY_S)
         deployment.start()
         assert predecessor.process.poll() is None
         later = executor.submit(post, deployment.gateway, "load", LOAD, ttl=600_000)
@@ -363,7 +414,11 @@
 
 @pytest.mark.parametrize("ends", ["drains first", "dies"])
 def test_load_at_a_successor_does_not_run_beside_one_of_its_predecessor(ends: str, tmp_path: Path) -> None:
-    """Neither process knows which requests of a key the other has; the test plays the predecessor."""
+    """A load arrives at a successor while its predecessor serves, drains or has just died.
+
+    Neither process knows the other's requests of a key, so the two could run loads of one key at once. The
+    successor rejects such loads, or holds them until one key quarantine after the predecessor's end.
+    """
     engine, predecessor = Engine(), PredecessorStandIn(str(tmp_path / "upgrade.sock"))
     options = predecessor.start_successor()
     with (
