--- a/tests/test_key_order.py
+++ b/tests/test_key_order.py
@@ -1,4 +1,4 @@
-"""Loads of one key run in the order in which they came, whatever keeps the gateway from reading them."""
+"""Per-key ordering: loads of one key run in arrival order, also if some of them are read or parsed late."""
 
 import contextlib
 import copy
@@ -50,16 +50,17 @@
 from tests.test_local import connected_planners, planner, until
 from tests.test_web import running
 
-# Shorter than the clients' own, so that the loop's lag stays below that which rejects all requests
+# Between two requests of a key. Shorter than the spacing of real clients, so that the loop lag stays below
+# the limit at which all requests are rejected
 KEY_SPACING_S = 0.03
-PARSE_S = 0.2
-ALWAYS = 1_000  # of a thousand calls fail
+PARSE_S = 0.2  # delay of a classification that waits for a parser
+ALL_CALLS = 1_000  # fault rate: failing calls of a thousand
 KEY = "7f3a9c21e0b4d655"
 
 
 @dataclass(slots=True)
-class RealGateway:
-    """A gateway process with the soak's shim loaded into it."""
+class GatewayProcess:
+    """A gateway process that is started with the shim of the fault soak."""
 
     process: subprocess.Popen[str]
     shim: ShimControl
@@ -76,7 +77,7 @@
 
 
 @contextlib.contextmanager
-def real_gateway(engine: Engine, folder: Path) -> Iterator[RealGateway]:
+def gateway_process(engine: Engine, folder: Path) -> Iterator[GatewayProcess]:
     configuration = {
         "name": "n1", "listen": "127.0.0.1:0", "seed": "7", "journal": "127.0.0.1:1", "settings": SETTINGS,
         "known": endpoint_list_answer(1, [host(engine)], snapshot=True),
@@ -92,7 +93,7 @@
         assert process.stderr
         started = log_text(process.stderr.readline())
         assert started.startswith("start n1 listens on ")
-        yield RealGateway(process, shim, ("127.0.0.1", int(started.rpartition(":")[2])))
+        yield GatewayProcess(process, shim, ("127.0.0.1", int(started.rpartition(":")[2])))
         engine.close()
 
 
@@ -112,8 +113,8 @@
     return f"INSERT INTO lending_7.loans VALUES ('{name}')"
 
 
-def open_client(gateway: RealGateway) -> socket.socket:
-    """A connection on which one load was served, so that the gateway reads it."""
+def open_client(gateway: GatewayProcess) -> socket.socket:
+    """A connection on which one load was served, so that the gateway has accepted it."""
     client = gateway.connect()
     send_load(client, load_statement("opening"))
     assert status_of(client) == 200
@@ -121,11 +122,14 @@
 
 
 def test_load_on_a_new_connection_is_not_overtaken_while_accept_fails(tmp_path: Path) -> None:
-    """A later load on an open connection waits until the accept queue was seen empty."""
+    """A load waits in the accept queue while accept fails, and a later one arrives on an open connection.
+
+    The later load would run first. It waits until the accept queue has been found empty.
+    """
     engine = Engine()
-    with real_gateway(engine, tmp_path) as gateway:
+    with gateway_process(engine, tmp_path) as gateway:
         later = open_client(gateway)
-        gateway.set_accept_fault(ALWAYS)
+        gateway.set_accept_fault(ALL_CALLS)
         first = gateway.connect()
         send_load(first, load_statement("first"))
         time.sleep(KEY_SPACING_S)
@@ -139,9 +143,12 @@
 
 
 def test_load_on_a_new_connection_is_not_overtaken_while_the_process_is_stopped(tmp_path: Path) -> None:
-    """Both wait in the machine's buffers, and the open connection is read first."""
+    """While the process is stopped, a load arrives on a new connection and a later one on an open connection.
+
+    Both wait in buffers of the kernel. The open connection is read first, so the later load would run first.
+    """
     engine = Engine()
-    with real_gateway(engine, tmp_path) as gateway:
+    with gateway_process(engine, tmp_path) as gateway:
         later = open_client(gateway)
         gateway.process.send_signal(signal.SIGSTOP)
         first = gateway.connect()
@@ -164,8 +171,8 @@
     return clients
 
 
-class ReversingPoll:
-    """An epoll object that reports what is ready in the reverse of its order."""
+class ReversedEpoll:
+    """An epoll object that reports its events in reverse order."""
 
     def __init__(self, epoll: Any) -> None:
         self.epoll = epoll
@@ -177,20 +184,23 @@
         return getattr(self.epoll, name)
 
 
-def stall(begun: threading.Event, seconds: float) -> None:
-    """Keep the loop from turning, as a slow turn does."""
+def block_loop(begun: threading.Event, seconds: float) -> None:
+    """Block the loop, as a slow turn does."""
     begun.set()
     time.sleep(seconds)
 
 
 def test_loads_on_open_connections_are_not_reordered_by_the_poll() -> None:
-    """After a slow turn several requests are there at once, in whatever order the machine reports them."""
+    """Several loads arrive on open connections during a slow loop turn, and epoll reports them in any order.
+
+    Passed on as reported, loads of one key would run in another order than they arrived.
+    """
     engine, names = Engine(), [str(number) for number in range(5)]
     with running(engine) as gateway:
         clients = open_clients(gateway, len(names))
-        gateway.loop.epoll = ReversingPoll(gateway.loop.epoll)  # type: ignore[assignment]
+        gateway.loop.epoll = ReversedEpoll(gateway.loop.epoll)  # type: ignore[assignment]
         slow_turn = threading.Event()
-        gateway.loop.call_soon(lambda: stall(slow_turn, (len(names) + 1) * KEY_SPACING_S))
+        gateway.loop.call_soon(lambda: block_loop(slow_turn, (len(names) + 1) * KEY_SPACING_S))
         assert slow_turn.wait(10)
         for client, name in zip(clients, names, strict=True):
             send_load(client, load_statement(name))
@@ -202,14 +212,14 @@
 
 
 class UnreadableSocket:
-    """A client's socket, on which recv fails for want of memory until `may_read` is set."""
+    """A client's socket whose recv fails with ENOMEM until `may_read` is set."""
 
     def __init__(self, sock: socket.socket) -> None:
         self.sock, self.may_read = sock, threading.Event()
 
     def recv(self, size: int) -> bytes:
         if not self.may_read.is_set():
-            raise OSError(errno.ENOMEM, "for a moment")
+            raise OSError(errno.ENOMEM, "temporarily out of memory")
         return self.sock.recv(size)
 
     def __getattr__(self, name: str) -> Any:
@@ -217,7 +227,10 @@
 
 
 def test_load_is_not_overtaken_while_its_connection_cannot_be_read() -> None:
-    """A read that fails for a moment leaves a request unknown, as a failing accept does."""
+    """Reads of a connection with a load fail temporarily while a later load arrives on another connection.
+
+    The first load stays unread, as with a failing accept, so the later one would run first.
+    """
     engine = Engine()
     with running(engine) as gateway:
         first, later = open_clients(gateway, 2)
@@ -236,21 +249,24 @@
 
 
 class SlowReadSocket(UnreadableSocket):
-    """A client's socket, of which each read gets a few bytes."""
+    """A client's socket whose reads return 16 bytes at most."""
 
     def recv(self, size: int) -> bytes:
         return self.sock.recv(min(size, 16))
 
 
 def test_load_that_is_read_in_pieces_is_not_overtaken() -> None:
-    """Reads may be short, and the rest of a request is there all the while."""
+    """Short reads return a load in pieces, although all of it has arrived before the later one.
+
+    If one short read counted as reading all that had arrived, the later load would run first.
+    """
     engine = Engine()
     with running(engine) as gateway:
         first, later = open_clients(gateway, 2)
         [stream, _] = [connection.stream for connection in gateway.http_server.connections]
         stream.sock = SlowReadSocket(stream.sock)  # type: ignore[assignment]
         slow_turn = threading.Event()
-        gateway.loop.call_soon(lambda: stall(slow_turn, 3 * KEY_SPACING_S))
+        gateway.loop.call_soon(lambda: block_loop(slow_turn, 3 * KEY_SPACING_S))
         assert slow_turn.wait(10)
         send_load(first, load_statement("first"))
         time.sleep(KEY_SPACING_S)
@@ -261,71 +277,78 @@
     assert engine.statements[2:] == [load_statement("first"), load_statement("later")]
 
 
-def delay_first_classification(gate: Gateway, delayed: str) -> threading.Event:
-    """Let the classification of one statement wait for a parse; the event is set once it has begun."""
-    statements, begun = gate.statements, threading.Event()
+def delay_first_classification(gateway: Gateway, delayed: str) -> threading.Event:
+    """Delay the classification of one statement by `PARSE_S`; the returned event is set once it has begun."""
+    statements, begun = gateway.statements, threading.Event()
     assert statements
     classify = statements.classify
 
-    def classify_late(request: ClassificationRequest, callback: ClassificationCallback) -> None:
+    def classify_after_delay(request: ClassificationRequest, callback: ClassificationCallback) -> None:
         if request.text != delayed:
             classify(request, callback)
             return
         begun.set()
-        gate.loop.call_at(gate.loop.now() + PARSE_S, lambda: classify(request, callback))
+        gateway.loop.call_at(gateway.loop.now() + PARSE_S, lambda: classify(request, callback))
 
-    statements.classify = classify_late  # type: ignore[method-assign]
+    statements.classify = classify_after_delay  # type: ignore[method-assign]
     return begun
 
 
 def test_load_over_flight_is_not_overtaken_while_it_is_parsed() -> None:
-    """A statement of a new shape is parsed in another process, a known one is classified at once."""
+    """A load of a new shape is parsed in another process while a later one of a known shape arrives.
+
+    The later load is classified at once, so it would be forwarded first.
+    """
     engines = FlightEngine(), FlightEngine()
     first, later = load_statement("first"), load_statement("later")
-    ran = list[str]()
-    with flight_gateway(*engines, statements=StatementSettings(Rules())) as gate:
-        run_update(gate, load_statement("opening"), KEY)
-        forward = gate.forwarder.apply
+    forwarded = list[str]()
+    with flight_gateway(*engines, statements=StatementSettings(Rules())) as gateway:
+        run_update(gateway, load_statement("opening"), KEY)
+        forward = gateway.forwarder.apply
 
         def record_and_forward(action: Any, planner_index: int = 0) -> None:
             if isinstance(action, Forward):
-                ran.append(gate.forwarder.exchanges[action.request_id].request.statement.decode())
+                forwarded.append(gateway.forwarder.exchanges[action.request_id].request.statement.decode())
             forward(action, planner_index)
 
-        gate.forwarder.apply = record_and_forward  # type: ignore[method-assign]
-        begun = delay_first_classification(gate, first)
+        gateway.forwarder.apply = record_and_forward  # type: ignore[method-assign]
+        begun = delay_first_classification(gateway, first)
         with ThreadPoolExecutor() as executor:
-            earlier = executor.submit(run_update, gate, first, KEY)
+            earlier = executor.submit(run_update, gateway, first, KEY)
             assert begun.wait(10)
             time.sleep(KEY_SPACING_S)
-            run_update(gate, later, KEY)
+            run_update(gateway, later, KEY)
             earlier.result()
     for engine in engines:
         engine.shutdown()
-    assert ran == [first, later]
+    assert forwarded == [first, later]
 
 
 def test_request_over_http_is_not_overtaken_while_it_is_parsed() -> None:
-    """Requests of an idempotent class are parsed as well; the class may keep the order of its keys."""
+    """A request over HTTP is parsed in another process while a later one of its key is classified at once.
+
+    Idempotent classes may use per-key ordering too, and the later request would run first.
+    """
     engine, http_engine = FlightEngine(), Engine()
     settings = copy.deepcopy(SETTINGS)
     settings["services"][0]["in-turn"] = True  # type: ignore[index]
     statements = StatementSettings(Rules(), covers_http=True)
     names = [f"SELECT a FROM lending_7.loans WHERE member = {number}" for number in range(2)]
-    with flight_gateway(engine, web=(http_engine,), statements=statements, settings=settings) as gate:
-        post(gate, "lookup", names[1])
-        begun = delay_first_classification(gate, names[0])
+    with flight_gateway(engine, web=(http_engine,), statements=statements, settings=settings) as gateway:
+        post(gateway, "lookup", names[1])
+        begun = delay_first_classification(gateway, names[0])
         with ThreadPoolExecutor() as executor:
-            earlier = executor.submit(post, gate, "lookup", names[0])
+            earlier = executor.submit(post, gateway, "lookup", names[0])
             assert begun.wait(10)
             time.sleep(KEY_SPACING_S)
-            assert post(gate, "lookup", names[1])[0] == 200 and earlier.result()[0] == 200
+            assert post(gateway, "lookup", names[1])[0] == 200 and earlier.result()[0] == 200
     engine.shutdown()
     http_engine.close()
     assert http_engine.statements[1:] == names
 
 
 def test_watermark_stays_before_a_request_that_is_parsed() -> None:
+    """A watermark that passed a request that is still parsed would let later ones of its key run first."""
     loop = Loop()
     watermark = loop.watermark
     watermark.is_awaited = True
@@ -341,25 +364,32 @@
 
 
 def test_watermark_moves_only_by_turns_that_took_everything_in() -> None:
+    """Some turns leave connections in the backlog or bytes unread.
+
+    A watermark that advanced in such a turn would let requests overtake earlier ones that are still unread.
+    """
     watermark = ArrivalWatermark(0.0)
     watermark.is_awaited = True
     listener = object()
-    reached = []
-    for polled_at, has_backlog, is_spoilt in (
+    read_through_times = []
+    for polled_at, has_backlog, is_incomplete in (
         (1.0, False, False), (2.0, False, False), (3.0, True, False), (4.0, True, False),
         (5.0, False, False), (6.0, False, True), (7.0, False, False),
     ):  # fmt: skip
         watermark.begin_turn(polled_at)
         (watermark.backlogged.add if has_backlog else watermark.backlogged.discard)(listener)
-        if is_spoilt:
+        if is_incomplete:
             watermark.mark_turn_incomplete()
         watermark.end_turn()
-        reached.append(watermark.read_through)
-    assert reached == [0.0, 1.0, 2.0, 2.0, 2.0, 2.0, 5.0]
+        read_through_times.append(watermark.read_through)
+    assert read_through_times == [0.0, 1.0, 2.0, 2.0, 2.0, 2.0, 5.0]
 
 
 def test_turn_that_began_before_anybody_waited_does_not_move_the_watermark() -> None:
-    """Connections may have been read in part only in that turn."""
+    """The watermark becomes awaited in the middle of a loop turn.
+
+    Connections may have been read only in part before that, so the turn must not count as complete.
+    """
     watermark = ArrivalWatermark(0.0)
     for polled_at in (1.0, 2.0):
         watermark.begin_turn(polled_at)
@@ -377,6 +407,7 @@
 
 
 def test_requests_are_released_by_arrival_and_not_by_when_they_were_read() -> None:
+    """Requests are read in another order than they arrived, and one of them ends while it waits."""
     watermark, released = SettableWatermark(), list[str]()
     order = ArrivalOrder(watermark)
     for request_id, (arrived_at, name) in enumerate(
@@ -393,15 +424,15 @@
     assert not watermark.is_awaited and order.waiting_count == 0
 
 
-class ExhaustedListener:
-    """A listening socket whose accept finds no descriptor after so many successes."""
+class ExhaustedListeningSocket:
+    """A listening socket whose accept fails with EMFILE after a number of successes."""
 
     def __init__(self, sock: socket.socket, successes: int) -> None:
         self.sock, self.successes = sock, successes
 
     def accept(self) -> Any:
         if not self.successes:
-            raise OSError(errno.EMFILE, "no descriptor")
+            raise OSError(errno.EMFILE, "no descriptor left")
         self.successes -= 1
         return self.sock.accept()
 
@@ -411,11 +442,15 @@
 
 @pytest.mark.parametrize("client_count", [1, MAX_ACCEPTS_PER_EVENT])
 def test_listener_that_has_accepted_all_does_not_count_as_backlogged(client_count: int) -> None:
-    """The next connection's request would count as come long ago, and loads would wait for nobody."""
+    """accept fails for lack of a descriptor after it has emptied the backlog.
+
+    If the backlog counted as not empty, the next connection would get a far too early arrival time, and loads
+    would wait although nothing is ahead of them.
+    """
     loop, accepted = Loop(), list[socket.socket]()
     listener = Listener(loop, ("127.0.0.1", 0), lambda sock, _: accepted.append(sock))
     clients = [socket.create_connection(listener.address) for _ in range(client_count)]
-    listener.socket = ExhaustedListener(listener.socket, client_count)  # type: ignore[assignment]
+    listener.socket = ExhaustedListeningSocket(listener.socket, client_count)  # type: ignore[assignment]
     while len(accepted) < client_count:
         loop.turn()
     assert listener.waiting_since is None and not loop.watermark.backlogged
@@ -429,7 +464,10 @@
 
 
 def test_load_by_another_forwarder_is_not_overtaken() -> None:
-    """A planner waits until each forwarder has passed on what came before a request."""
+    """One forwarder passes on a load while another has not yet passed on an earlier one of its key.
+
+    Released at once, the later load would run first. The planner waits for the replies of all forwarders.
+    """
     released, queries = list[int](), list[tuple[str, int]]()
     merge = ArrivalMerge[str](
         lambda forwarder, request: queries.append((forwarder, request.request_id)),
@@ -448,12 +486,16 @@
 
 @pytest.mark.parametrize("ends", ["disconnected", "abandoned"])
 def test_loads_wait_neither_for_a_forwarder_nor_behind_a_request_that_has_ended(ends: str) -> None:
+    """A forwarder disconnects, or a request ends, while a load waits for its reply or behind it.
+
+    A load that waited on would not be released, as neither the reply nor the earlier load is still to come.
+    """
     released = list[int]()
     merge = ArrivalMerge[str](lambda *_: None, lambda request: released.append(request.request_id))
     merge.add("f2", keyed_request(1, received_at=10), ["f1", "f3"])
     merge.add("f1", keyed_request(2, received_at=20), ["f2"])
     if ends == "disconnected":
-        merge.on_disconnected("f2")  # its reply for the second request is missing as well
+        merge.on_disconnected("f2")  # it had not replied for the second request
     else:
         merge.on_reply("f2", 2)
         assert released == []
@@ -462,7 +504,10 @@
 
 
 def test_load_is_not_overtaken_by_one_that_comes_by_another_forwarder(tmp_path: Path) -> None:
-    """Forwarders that share an address have an accept queue each, and one of them cannot accept."""
+    """Forwarders that share an address have one accept queue each, and one of them cannot accept.
+
+    A load in its queue would be overtaken by a later one of the same key that another forwarder accepts.
+    """
     engine = Engine()
     with planner() as process:
         address = process.listener.address
@@ -474,7 +519,7 @@
             until(lambda: all(all(connected_planners(gateway)) for gateway in gateways))
             blocked, other = gateways
             listener = blocked.http_server.listener
-            exhausted = ExhaustedListener(listener.socket, 0)
+            exhausted = ExhaustedListeningSocket(listener.socket, 0)
             listener.socket = exhausted  # type: ignore[assignment]
             first = socket.create_connection(listener.address)
             send_load(first, load_statement("first"))
--- a/tests/test_upgrade_compatibility.py
+++ b/tests/test_upgrade_compatibility.py
@@ -1,4 +1,4 @@
-"""A hot upgrade from the version before: bytes that it wrote are restored, and written in the same form."""
+"""Hot upgrades from the previous version: its recorded packets are decoded, and written in the same form."""
 
 import contextlib
 import json
@@ -46,18 +46,18 @@
 )
 
 
-def recorded(name: str) -> bytes:
+def read_recorded(name: str) -> bytes:
     return (FIXTURES / name).read_bytes()
 
 
-def same_form(written: Any, before: Any) -> bool:
-    """The same keys in the same order, values of the same kind; numbers may differ by what a float holds."""
+def has_same_form(written: Any, before: Any) -> bool:
+    """Whether keys, their order, types and values are equal; numbers may differ by a rounding error."""
     if isinstance(before, dict):
         same_keys = isinstance(written, dict) and list(written) == list(before)
-        return same_keys and all(same_form(written[key], before[key]) for key in before)
+        return same_keys and all(has_same_form(written[key], before[key]) for key in before)
     if isinstance(before, list):
         same_length = isinstance(written, list) and len(written) == len(before)
-        return same_length and all(map(same_form, written, before))
+        return same_length and all(map(has_same_form, written, before))
     if type(before) in (int, float):
         return type(written) in (int, float) and written == pytest.approx(before, rel=1e-12)
     return type(written) is type(before) and bool(written == before)
@@ -73,34 +73,38 @@
 def test_a_recorded_packet_is_read_and_written_byte_for_byte(
     name: str, message: Hello | Ready | Draining | ClientTransfer
 ) -> None:
+    """A process of the previous version would not understand a packet in another form."""
     decode = decode_from_successor if name.startswith("successor") else decode_from_predecessor
-    assert decode(decode_packet(recorded(name))) == message
-    assert encode(message) == recorded(name)
+    assert decode(decode_packet(read_recorded(name))) == message
+    assert encode(message) == read_recorded(name)
 
 
 def test_a_recorded_offer_is_read_and_written_byte_for_byte() -> None:
-    offer = decode_offer(recorded(OFFER))
-    raw = json.loads(recorded(OFFER))
+    """A process of the previous version would lose the learned state of an offer in another form."""
+    offer = decode_offer(read_recorded(OFFER))
+    raw = json.loads(read_recorded(OFFER))
     assert offer == Offer(("web", "flight"), raw["learned"], raw["statements"])
-    assert encode(offer) == recorded(OFFER)
+    assert encode(offer) == read_recorded(OFFER)
 
 
 def test_an_offer_that_is_too_long_lacks_the_costs_first_and_then_what_the_scheduler_learned() -> None:
-    offer = decode_offer(recorded(OFFER))
-    long = {"filler": "x" * MAX_PACKET_BYTES}
-    assert list(json.loads(encode(replace(offer, statement_costs=long)))) == ["fronts", "learned"]
-    assert list(json.loads(encode(replace(offer, scheduler_state=long)))) == ["fronts"]
+    """An offer that is too long for a packet could not be sent, and the upgrade would fail."""
+    offer = decode_offer(read_recorded(OFFER))
+    oversized = {"filler": "x" * MAX_PACKET_BYTES}
+    assert list(json.loads(encode(replace(offer, statement_costs=oversized)))) == ["fronts", "learned"]
+    assert list(json.loads(encode(replace(offer, scheduler_state=oversized)))) == ["fronts"]
 
 
 def test_the_socket_has_the_name_that_the_version_before_looks_for(tmp_path: Path) -> None:
+    """With another name, processes of the two versions would not find each other."""
     path = upgrade_socket_path({"TMPDIR": str(tmp_path)}, RECORDED_AT_ADDRESS)
-    assert path == str(tmp_path / recorded("socket-name.txt").decode())
+    assert path == str(tmp_path / read_recorded("socket-name.txt").decode())
 
 
 @contextlib.contextmanager
 def predecessor(folder: Path) -> Iterator[tuple[InheritedState, socket.socket]]:
-    """A process of the version before that answers with the recorded offer, and our connection to it."""
-    path = str(folder / recorded("socket-name.txt").decode())
+    """The state inherited from a recorded offer, and the previous version's side of the connection."""
+    path = str(folder / read_recorded("socket-name.txt").decode())
     fronts = [socket.create_server(("127.0.0.1", 0)) for _ in range(2)]
     with socket.socket(socket.AF_UNIX, socket.SOCK_SEQPACKET) as listener, ThreadPoolExecutor() as executor:
         listener.bind(path)
@@ -108,8 +112,8 @@
         answer = executor.submit(request_inherited_state, path)
         connection = listener.accept()[0]
         connection.settimeout(10)
-        assert connection.recv(MAX_PACKET_BYTES) == recorded("successor-hello.json")
-        socket.send_fds(connection, [recorded(OFFER)], [front.fileno() for front in fronts])
+        assert connection.recv(MAX_PACKET_BYTES) == read_recorded("successor-hello.json")
+        socket.send_fds(connection, [read_recorded(OFFER)], [front.fileno() for front in fronts])
         inherited = answer.result(10)
     assert inherited
     yield inherited, connection
@@ -120,13 +124,13 @@
 
 @contextlib.contextmanager
 def build_gateway(folder: Path, inherited: InheritedState | None = None) -> Iterator[Gateway]:
-    """A gateway of this version with the fronts and the engine of the recorded one; its loop is not run."""
+    """A gateway with the fronts and the engine of the recorded one; its loop is not run."""
     engine = Engine()
     statements = StatementSettings(Rules(lookup="lookup", report="report", load="load"), covers_http=True)
     operator = OperatorSettings(flight_address=("127.0.0.1", 0), statements=statements)
     options = GatewayOptions(upgrade_path=str(folder / "successor"), inherited=inherited)
-    site = config([host(engine, started_at_ms=1_700_000_000_000)])
-    gateway = Gateway(site, operator, signals=False, options=options)
+    configuration = config([host(engine, started_at_ms=1_700_000_000_000)])
+    gateway = Gateway(configuration, operator, signals=False, options=options)
     yield gateway
     assert gateway.statements
     gateway.statements.stop()
@@ -137,7 +141,7 @@
 
 @contextlib.contextmanager
 def running_loop(gateway: Gateway) -> Iterator[None]:
-    """Run the gateway's loop, from when it can classify a statement: a parser process is ready."""
+    """Run the gateway's loop, and wait until a parser process is ready to classify statements."""
     thread = threading.Thread(target=gateway.loop.run, daemon=True)
     thread.start()
     until(lambda: has_ready_parser(gateway))
@@ -153,7 +157,8 @@
 
 
 def test_a_successor_restores_what_the_version_before_learned(tmp_path: Path) -> None:
-    before = json.loads(recorded(OFFER))
+    """A key of the recorded offer that is read under another name or in another form would be lost."""
+    before = json.loads(read_recorded(OFFER))
     with predecessor(tmp_path) as (inherited, _), build_gateway(tmp_path, inherited) as gateway:
         scheduler = gateway.planner.scheduler
         for name, counts in (("lookup", 7), ("report", 6), ("load", 6)):
@@ -168,27 +173,28 @@
         assert {digest.hex() for digest in costs.shapes} == set(before["statements"]["shapes"])
         fronts = [listener.address for listener in gateway.fronts.listeners]
         assert fronts == [listener.getsockname() for listener in inherited.listeners.values()]
-        # The offer of this version to the next one has the same form, key for key
-        assert same_form(json.loads(encode(gateway.overlap.offer().message)), before)
+        # This version offers the same state in the same form
+        assert has_same_form(json.loads(encode(gateway.overlap.offer().message)), before)
 
 
 def test_a_successor_obeys_the_messages_of_the_version_before_and_serves_its_connections(
     tmp_path: Path,
 ) -> None:
+    """A successor that did not understand these messages would lose the transferred connections."""
     with (
         predecessor(tmp_path) as (inherited, connection),
         build_gateway(tmp_path, inherited) as gateway,
         running_loop(gateway),
     ):
-        assert connection.recv(MAX_PACKET_BYTES) == recorded("successor-ready.json")
-        connection.send(recorded("predecessor-leaving.json"))
+        assert connection.recv(MAX_PACKET_BYTES) == read_recorded("successor-ready.json")
+        connection.send(read_recorded("predecessor-leaving.json"))
         until(lambda: gateway.planner.settings.slow_start_share == 0.9)
         for name in ("predecessor-client-after-requests.json", "predecessor-client-silent.json"):
             with socket.create_server(("127.0.0.1", 0)) as server:
                 client = socket.create_connection(server.getsockname())
                 client.settimeout(10)
                 served, _ = server.accept()
-            socket.send_fds(connection, [recorded(name)], [served.fileno()])
+            socket.send_fds(connection, [read_recorded(name)], [served.fileno()])
             served.close()
             client.sendall(REQUEST)
             assert client.recv(65_536).startswith(b"HTTP/1.1 200")
@@ -196,6 +202,7 @@
 
 
 def test_a_predecessor_answers_a_successor_of_the_version_before_in_its_form(tmp_path: Path) -> None:
+    """After a return to the previous version, its process could not use messages in another form."""
     with (
         build_gateway(tmp_path) as gateway,
         running_loop(gateway),
@@ -208,21 +215,21 @@
         assert client.recv(65_536).startswith(b"HTTP/1.1 200")
         successor.settimeout(10)
         successor.connect(str(tmp_path / "successor"))
-        successor.send(recorded("successor-hello.json"))
+        successor.send(read_recorded("successor-hello.json"))
         data, descriptors, _, _ = socket.recv_fds(successor, MAX_PACKET_BYTES, MAX_DESCRIPTORS)
-        before = json.loads(recorded(OFFER))
+        before = json.loads(read_recorded(OFFER))
         offer = json.loads(data)
         assert list(offer) == list(before) and offer["fronts"] == before["fronts"] and len(descriptors) == 2
         assert list(offer["learned"]) == list(before["learned"])
         assert list(offer["learned"]["classes"]["lookup"]) == list(before["learned"]["classes"]["lookup"])
         assert list(offer["statements"]) == list(before["statements"])
-        successor.send(recorded("successor-ready.json"))
+        successor.send(read_recorded("successor-ready.json"))
         until(lambda: gateway.hot_upgrade is not None and gateway.hot_upgrade.successor_ready)
         gateway.loop.call_soon(gateway.begin_shutdown)
-        assert successor.recv(MAX_PACKET_BYTES) == recorded("predecessor-leaving.json")
+        assert successor.recv(MAX_PACKET_BYTES) == read_recorded("predecessor-leaving.json")
         data, transferred, _, _ = socket.recv_fds(successor, MAX_PACKET_BYTES, MAX_DESCRIPTORS)
         host_and_port = "{}:{}".format(*client.getsockname())
-        written = recorded("predecessor-client-after-requests.json")
+        written = read_recorded("predecessor-client-after-requests.json")
         assert data == written.replace(b"127.0.0.1:56458", host_and_port.encode()) and len(transferred) == 1
         for descriptor in (*descriptors, *transferred):
             os.close(descriptor)
