--- a/tests/test_race_abandoned_requests.py
+++ b/tests/test_race_abandoned_requests.py
@@ -124,9 +124,7 @@
     engine = Engine()
     with running(engine, settings=settings_without_timeouts()) as gateway:
         gateway.loop.lag = lambda: 0.0  # type: ignore[method-assign]
-        assert (
-            post(gateway, "lookup", SQL, ttl=600_000)[0] == 200
-        )  # leaves an established connection to the engine
+        assert post(gateway, "lookup", SQL, ttl=600_000)[0] == 200  # leaves a connection established
         blocked, resume = threading.Event(), threading.Event()
 
         def block_loop() -> None:
--- a/tests/test_race_flight.py
+++ b/tests/test_race_flight.py
@@ -34,7 +34,7 @@
 from tests.test_local import until
 from tests.test_web import LOAD, SQL
 
-DEADLINE_SLACK_S = 0.15  # a forwarded deadline may exceed the remaining one by this
+DEADLINE_SLACK_S = 0.15  # a forwarded deadline may exceed the client's own by this
 
 pytestmark = pytest.mark.usefixtures("reset_log_rate_limit")
 
