--- a/bench/fault_soak/__init__.py
+++ b/bench/fault_soak/__init__.py
@@ -1,1 +1,1 @@
-"""A random fault soak: real gateway processes on loopback, overlapping faults, an oracle of invariants."""
+"""Randomized fault soak: real gateway processes on loopback, overlapping faults and an oracle."""
--- a/bench/fault_soak/__main__.py
+++ b/bench/fault_soak/__main__.py
@@ -16,20 +16,20 @@
 from bench.fault_soak.gateway_process import Layout
 from bench.fault_soak.run import Plan, Result, request_timeline, run
 
-MAX_SHOWN = 12  # violations of a run that are printed
-MAX_TIMELINES = 4  # violations whose requests are shown step by step
+MAX_PRINTED_VIOLATIONS = 12
+MAX_PRINTED_TIMELINES = 4  # violations for which the timelines of their requests are printed
 CLIENT_REQUEST_ID_LENGTH = 16
-SIGNAL_EXIT_BASE = 128  # to which shells add the signal's number
+SIGNAL_EXIT_BASE = 128  # shells report 128 plus the signal's number as the exit status
 
 
-def _seeds(text: str) -> list[int]:
+def _parse_seeds(text: str) -> list[int]:
     first_seed, _, last_seed = text.partition("-")
     return list(range(int(first_seed), int(last_seed or first_seed) + 1))
 
 
-def _arguments() -> argparse.Namespace:
+def _parse_arguments() -> argparse.Namespace:
     parser = argparse.ArgumentParser(prog="fault_soak", description=__doc__)
-    parser.add_argument("--seeds", type=_seeds, default=[1], help="one seed or a range: 3 or 1-20")
+    parser.add_argument("--seeds", type=_parse_seeds, default=[1], help="one seed or a range: 3 or 1-20")
     parser.add_argument("--root", type=Path, default=Path.cwd(), help="the tree whose built program is run")
     parser.add_argument("--seconds", type=float, default=14.0, help="of load in each run")
     parser.add_argument("--faults", type=int, default=10, help="how many in each run")
@@ -43,10 +43,10 @@
 
 
 def _describe(fault: ScheduledFault) -> str:
-    return f"{fault.name}@{fault.begins_after_s:.1f}+{fault.lasts_s:.1f}"
+    return f"{fault.name}@{fault.start_delay_s:.1f}+{fault.duration_s:.1f}"
 
 
-def _print(result: Result, folder: Path) -> None:
+def _print_result(result: Result, folder: Path) -> None:
     print(result.summary(), flush=True)
     if not result.violations:
         return
@@ -54,20 +54,20 @@
     print("  faults " + " ".join(map(_describe, result.schedule)))
     for path_fault in result.observations.path_faults:
         print(f"  path {path_fault}")
-    for violation in result.violations[:MAX_SHOWN]:
+    for violation in result.violations[:MAX_PRINTED_VIOLATIONS]:
         print(f"  {violation.promise}: {violation.detail}")
-    for violation in result.violations[:MAX_TIMELINES]:
-        for part in violation.detail.replace(",", " ").split():
-            if len(part) == CLIENT_REQUEST_ID_LENGTH and part.isalnum():
-                print("    " + "\n    ".join(request_timeline(result, folder, part)))
+    for violation in result.violations[:MAX_PRINTED_TIMELINES]:
+        for word in violation.detail.replace(",", " ").split():
+            if len(word) == CLIENT_REQUEST_ID_LENGTH and word.isalnum():
+                print("    " + "\n    ".join(request_timeline(result, folder, word)))
     sys.stdout.flush()
 
 
-def _end_at_sigterm(deployment: Deployment) -> None:
-    """Let SIGTERM end this process and those of the deployment."""
+def _exit_on_sigterm(deployment: Deployment) -> None:
+    """Make SIGTERM end this process and all processes of the deployment."""
 
     def end() -> None:
-        """Run by the loop, so that no process is just being started."""
+        """Runs as a callback of the event loop, so it cannot interrupt the start of a process."""
         deployment.close()
         sys.stdout.flush()
         os._exit(SIGNAL_EXIT_BASE + signal.SIGTERM)
@@ -76,24 +76,24 @@
 
 
 def main() -> int:
-    """Run the seeds one after the other; 1 if any of them broke a promise."""
-    arguments = _arguments()
-    base = arguments.keep or Path(tempfile.mkdtemp(prefix="fault-soak-"))
-    base.mkdir(parents=True, exist_ok=True)
-    library = build_shim(base)
+    """Run the seeds one after the other; return 1 if any run has violated a promise, else 0."""
+    arguments = _parse_arguments()
+    base_folder = arguments.keep or Path(tempfile.mkdtemp(prefix="fault-soak-"))
+    base_folder.mkdir(parents=True, exist_ok=True)
+    library = build_shim(base_folder)
     layouts = tuple(Layout(name) for name in arguments.layouts.split(","))
     only = tuple(name for name in arguments.only.split(",") if name)
     broken = 0
     for seed in arguments.seeds:
-        folder = base / f"seed-{seed}"
+        folder = base_folder / f"seed-{seed}"
         shutil.rmtree(folder, ignore_errors=True)
         folder.mkdir()
         plan = Plan(
             seed, arguments.seconds, layouts, client_count=arguments.clients,
             fault_count=arguments.faults, only=only,
         )  # fmt: skip
-        result = asyncio.run(run(plan, arguments.root.resolve(), folder, library, _end_at_sigterm))
-        _print(result, folder)
+        result = asyncio.run(run(plan, arguments.root.resolve(), folder, library, _exit_on_sigterm))
+        _print_result(result, folder)
         broken += bool(result.violations)
         if not result.violations and not arguments.keep:
             shutil.rmtree(folder)
--- a/bench/fault_soak/clients.py
+++ b/bench/fault_soak/clients.py
@@ -1,4 +1,4 @@
-"""Clients of the platform's protocol: correct, slow, leaving early, or sending garbage."""
+"""Clients of the platform's HTTP protocol: correct, slow, disconnecting early or sending invalid data."""
 
 import asyncio
 import contextlib
@@ -22,23 +22,23 @@
 )
 from bench.fault_soak.statements import draw_column, draw_table
 
-CLOSE_CROSSING_S = 0.05  # a request may cross the close of its connection so long; clients then repeat it
+CLOSE_RACE_S = 0.05  # how long a request may race with a close of its connection; clients then repeat it
 READ_LIMIT = 1 << 20
 RECONNECT_PAUSE_S = 0.05
 
 
 @dataclass(slots=True)
-class Gate:
-    """A gateway as clients reach it; `admitted`: the front sends clients there."""
+class GatewayTarget:
+    """A gateway as clients reach it; while `in_rotation`, the front routes new connections to it."""
 
     name: str
     port: int
-    admitted: bool = True
+    in_rotation: bool = True
 
 
 @dataclass(slots=True)
 class Connection:
-    """One connection of a client."""
+    """A client connection; `used` is set once a request was written to it."""
 
     reader: asyncio.StreamReader
     writer: asyncio.StreamWriter
@@ -47,9 +47,9 @@
 
 @dataclass(slots=True)
 class Population:
-    """All clients of a run; each request leaves a record."""
+    """All HTTP clients of a run; every request is recorded."""
 
-    gates: list[Gate]
+    targets: list[GatewayTarget]
     random: random.Random
     longest_deadline_s: float
     spacing: KeySpacing = field(default_factory=KeySpacing)
@@ -57,87 +57,91 @@
     stopped: bool = False
 
     async def run_client(self) -> None:
-        """One client: request after request, on a connection that it mostly keeps.
+        """Send requests in sequence, on a connection that is replaced only now and then.
 
-        It goes on using an open connection to a gateway to which no new one is made.
+        An open connection stays in use after its gateway has left the rotation.
         """
         connection: Connection | None = None
-        gate: Gate | None = None
+        target: GatewayTarget | None = None
         while not self.stopped:
-            if connection is None or gate is None or (gate.admitted and self.random.random() < 0.2):
+            if connection is None or target is None or (target.in_rotation and self.random.random() < 0.2):
                 if connection:
                     connection.writer.close()
-                gate, connection = await self._connect()
-                if connection is None or gate is None:
+                target, connection = await self._connect()
+                if connection is None or target is None:
                     await asyncio.sleep(RECONNECT_PAUSE_S)
                     continue
-            connection = await self._one_request(gate, connection)
+            connection = await self._one_request(target, connection)
             await asyncio.sleep(self.random.expovariate(1 / 0.12))
         if connection:
             connection.writer.close()
 
     async def run_key_pair_client(self, number: int) -> None:
-        """Pairs of loads of one key: the first on a new connection, the other on one that was open before.
+        """Send pairs of loads of one key: the first on a new connection, the second on an existing one.
 
-        The second is written as soon behind the first as the platform's clients do it.
+        The second is written as soon after the first as the spacing of the platform's clients allows.
         """
         key = f"{number:08x}{'f' * 8}"
         while not self.stopped:
-            gate, opened = await self._connect()
-            while gate and opened and gate.admitted and not self.stopped:
-                _, fresh = await self._connect_to(gate)
-                if fresh is None or not await self._key_pair(gate, key, fresh, opened):
+            target, open_connection = await self._connect()
+            while target and open_connection and target.in_rotation and not self.stopped:
+                _, new_connection = await self._connect_to(target)
+                if new_connection is None or not await self._send_key_pair(
+                    target, key, new_connection, open_connection
+                ):
                     break
                 await asyncio.sleep(
                     self.random.uniform(NEW_CONNECTION_SPACING_S, 2 * NEW_CONNECTION_SPACING_S)
                 )
-            if opened:
-                opened.writer.close()
+            if open_connection:
+                open_connection.writer.close()
             await asyncio.sleep(RECONNECT_PAUSE_S)
 
-    async def _key_pair(self, gate: Gate, key: str, fresh: Connection, opened: Connection) -> bool:
-        """Send both and wait for both answers; whether the open connection can be used again."""
-        first, second = self._new_load(gate, key, reused=False), self._new_load(gate, key, reused=True)
-        if not await self._write_all(fresh, [first], self._encode(first)):
-            fresh.writer.close()
+    async def _send_key_pair(
+        self, target: GatewayTarget, key: str, new_connection: Connection, open_connection: Connection
+    ) -> bool:
+        """Send both loads and await both answers; return whether the existing connection is reusable."""
+        first, second = self._new_load(target, key, reused=False), self._new_load(target, key, reused=True)
+        if not await self._write_all(new_connection, [first], self._encode(first)):
+            new_connection.writer.close()
             return True
-        first_answer = asyncio.create_task(self._await_answer(fresh, first, None))
+        first_answer = asyncio.create_task(self._await_answer(new_connection, first, None))
         await asyncio.sleep(NEW_CONNECTION_SPACING_S)
-        is_written = await self._write_all(opened, [second], self._encode(second))
-        is_usable = is_written and await self._await_answer(opened, second, None)
+        is_written = await self._write_all(open_connection, [second], self._encode(second))
+        is_usable = is_written and await self._await_answer(open_connection, second, None)
         await first_answer
-        fresh.writer.close()
+        new_connection.writer.close()
         return is_usable
 
-    def _new_load(self, gate: Gate, key: str, reused: bool) -> ClientRecord:
+    def _new_load(self, target: GatewayTarget, key: str, reused: bool) -> ClientRecord:
         record = ClientRecord(
-            uuid4().hex[:16], gate.name, LOAD, self.longest_deadline_s, key, uuid4().hex, reused
+            uuid4().hex[:16], target.name, LOAD, self.longest_deadline_s, key, uuid4().hex, reused
         )
         self.records.append(record)
         return record
 
-    async def _connect(self) -> tuple[Gate | None, Connection | None]:
-        admitted = [gate for gate in self.gates if gate.admitted]
-        if not admitted:
+    async def _connect(self) -> tuple[GatewayTarget | None, Connection | None]:
+        candidates = [target for target in self.targets if target.in_rotation]
+        if not candidates:
             return None, None
-        return await self._connect_to(self.random.choice(admitted))
+        return await self._connect_to(self.random.choice(candidates))
 
     @staticmethod
-    async def _connect_to(gate: Gate) -> tuple[Gate, Connection | None]:
+    async def _connect_to(target: GatewayTarget) -> tuple[GatewayTarget, Connection | None]:
         try:
             reader, writer = await asyncio.wait_for(
-                asyncio.open_connection("127.0.0.1", gate.port, limit=READ_LIMIT), 1.0
+                asyncio.open_connection("127.0.0.1", target.port, limit=READ_LIMIT), 1.0
             )
         except (TimeoutError, OSError):
-            return gate, None
-        return gate, Connection(reader, writer)
+            return target, None
+        return target, Connection(reader, writer)
 
-    def _new_record(self, gate: Gate, reused: bool) -> ClientRecord:
+    def _new_record(self, target: GatewayTarget, reused: bool) -> ClientRecord:
         request_class = self.random.choices(CLASSES, CLASS_WEIGHTS)[0]
         ttl = self.longest_deadline_s * self.random.choice(TIMEOUT_SHARES)
-        record = ClientRecord(uuid4().hex[:16], gate.name, request_class, ttl, reused_connection=reused)
+        record = ClientRecord(uuid4().hex[:16], target.name, request_class, ttl, reused_connection=reused)
         if request_class == LOAD:
-            key = self.spacing.reserve(gate.name, self.random, time.monotonic())
+            key = self.spacing.reserve(target.name, self.random, time.monotonic())
             record.request_class = LOAD if key else LOOKUP
             record.key, record.idempotency_key = key or "", uuid4().hex if key else ""
         self.records.append(record)
@@ -158,31 +162,31 @@
         lines = "".join(f"{name}: {value}\r\n" for name, value in headers.items())
         return f"POST /svc/{record.request_class} HTTP/1.1\r\n{lines}\r\n{statement}".encode()
 
-    async def _one_request(self, gate: Gate, connection: Connection) -> Connection | None:
-        """Send one request, as this client happens to; return the connection if it can be used again."""
-        manner = self.random.random()
-        if manner < 0.02:
-            await self._misbehave(connection)
+    async def _one_request(self, target: GatewayTarget, connection: Connection) -> Connection | None:
+        """Send one request with randomly drawn behaviour; return the connection if it is reusable."""
+        behaviour_draw = self.random.random()
+        if behaviour_draw < 0.02:
+            await self._send_invalid_data(connection)
             return None
-        if manner < 0.06:
-            return await self._pipeline(gate, connection)
-        record = self._new_record(gate, connection.used)
+        if behaviour_draw < 0.06:
+            return await self._pipeline(target, connection)
+        record = self._new_record(target, connection.used)
         data = self._encode(record)
-        is_written = await self._write(connection, record, data, slowly=manner > 0.94)
-        self._note_written([record])
+        is_written = await self._write(connection, record, data, slowly=behaviour_draw > 0.94)
+        self._report_written([record])
         if not is_written:
             return None
-        leaves_after = self.random.uniform(0.0, 0.6) if 0.06 <= manner < 0.13 else None
-        usable = await self._await_answer(connection, record, leaves_after)
+        disconnect_after_s = self.random.uniform(0.0, 0.6) if 0.06 <= behaviour_draw < 0.13 else None
+        usable = await self._await_answer(connection, record, disconnect_after_s)
         return connection if usable else None
 
-    async def _pipeline(self, gate: Gate, connection: Connection) -> Connection | None:
-        """Several requests in one write: their time runs from then on, answers come one after the other."""
-        records = [self._new_record(gate, connection.used) for _ in range(3)]
+    async def _pipeline(self, target: GatewayTarget, connection: Connection) -> Connection | None:
+        """Send several requests in one write; their deadlines start then, and answers arrive in sequence."""
+        records = [self._new_record(target, connection.used) for _ in range(3)]
         for record in records[1:]:
             record.pipelined = True
         is_written = await self._write_all(connection, records, b"".join(map(self._encode, records)))
-        self._note_written(records)
+        self._report_written(records)
         if not is_written:
             return None
         for position, record in enumerate(records):
@@ -192,8 +196,8 @@
                 return None
         return connection
 
-    def _note_written(self, records: list[ClientRecord]) -> None:
-        """Their keys may be used again after a while."""
+    def _report_written(self, records: list[ClientRecord]) -> None:
+        """Start the spacing of the keys of these requests."""
         for record in records:
             if record.key:
                 is_first = not record.reused_connection
@@ -201,7 +205,7 @@
 
     @staticmethod
     def _mark_not_accepted(ended: ClientRecord, following: list[ClientRecord]) -> None:
-        """Requests pipelined after the last one that was answered: the client is to send them again."""
+        """Mark the requests pipelined after the last answered one, which the client has to send again."""
         for record in following:
             record.ending, record.detail = Ending.NOT_ACCEPTED, f"pipelined behind {ended.ending.value}"
             record.left_at = record.ended_at = ended.ended_at
@@ -232,31 +236,31 @@
         return True
 
     async def _await_answer(
-        self, connection: Connection, record: ClientRecord, leaves_after: float | None
+        self, connection: Connection, record: ClientRecord, disconnect_after_s: float | None
     ) -> bool:
-        """Wait for the answer as long as it may take; whether the connection can be used again."""
+        """Await the answer until its deadline plus the slack; return whether the connection is reusable."""
         give_up_at = max(record.sent_at + record.ttl, record.turn_at) + ANSWER_SLACK_S
-        if leaves_after is not None:
-            give_up_at = min(give_up_at, record.sent_at + leaves_after)
+        if disconnect_after_s is not None:
+            give_up_at = min(give_up_at, record.sent_at + disconnect_after_s)
         try:
             remaining = max(0.0, give_up_at - time.monotonic())
-            closing = await asyncio.wait_for(self._read_answer(connection, record), remaining)
+            ends_connection = await asyncio.wait_for(self._read_answer(connection, record), remaining)
         except TimeoutError:
-            if leaves_after is not None:
+            if disconnect_after_s is not None:
                 record.ending, record.left_at = Ending.LEFT, time.monotonic()
             connection.writer.transport.abort() if self.random.random() < 0.3 else connection.writer.close()
-            closing = True
+            ends_connection = True
         except (OSError, asyncio.IncompleteReadError) as error:
-            record.ending, record.detail, closing = Ending.CLOSED, type(error).__name__, True
+            record.ending, record.detail, ends_connection = Ending.CLOSED, type(error).__name__, True
         except (ValueError, KeyError, IndexError) as error:
-            record.ending, record.detail, closing = Ending.UNREADABLE, repr(error)[:200], True
+            record.ending, record.detail, ends_connection = Ending.UNREADABLE, repr(error)[:200], True
         record.ended_at = time.monotonic()
-        if closing:
+        if ends_connection:
             connection.writer.close()
-        return not closing
+        return not ends_connection
 
     async def _read_answer(self, connection: Connection, record: ClientRecord) -> bool:
-        """Read one answer; whether the connection ends with it."""
+        """Read one answer; return whether the gateway closes the connection after it."""
         head = (await connection.reader.readuntil(b"\r\n\r\n")).decode()
         lines = head.split("\r\n")
         status = int(lines[0].split(" ")[1])
@@ -274,8 +278,8 @@
             record.detail = f"{status} {body.get('failure')}"
         return headers.get("connection") == "close"
 
-    async def _misbehave(self, connection: Connection) -> None:
-        """Garbage, a flood or half a request, and away."""
+    async def _send_invalid_data(self, connection: Connection) -> None:
+        """Send invalid bytes, a burst of requests or an incomplete request, then abort the connection."""
         data = self.random.choice(
             (b"\x16\x03\x01\x02\x00" * 40, b"POST /svc/lookup HT", b"GET / HTTP/1.1\r\n\r\n" * 400)
         )
@@ -284,12 +288,12 @@
             await asyncio.sleep(self.random.uniform(0, 0.2))
         connection.writer.transport.abort()
 
-    def open_idle_connections(self, gate: Gate, count: int) -> list[socket.socket]:
-        """A crowd of clients that say nothing; the caller closes them."""
-        crowd = []
+    def open_idle_connections(self, target: GatewayTarget, count: int) -> list[socket.socket]:
+        """Open connections that send nothing; the caller closes the returned sockets."""
+        sockets = []
         for _ in range(count):
             sock = socket.socket()
             sock.setblocking(False)
-            sock.connect_ex(("127.0.0.1", gate.port))
-            crowd.append(sock)
-        return crowd
+            sock.connect_ex(("127.0.0.1", target.port))
+            sockets.append(sock)
+        return sockets
--- a/bench/fault_soak/control.py
+++ b/bench/fault_soak/control.py
@@ -1,4 +1,4 @@
-"""The shim's control file: which system calls of a process fail, how often, and its clock's offset."""
+"""The shim's control file: which system calls of a process fail and how often, and its clock offset."""
 
 import mmap
 import os
@@ -8,13 +8,13 @@
 from pathlib import Path
 
 SOURCE = Path(__file__).with_name("shim.c")
-LAYOUT = struct.Struct("=q 12I 4I")  # `struct control` in shim.c
+LAYOUT = struct.Struct("=q 12I 4I")  # the same as `struct control` in shim.c
 CONTROL_VARIABLE = "SOAK_SHIM_CONTROL"
 
 
 @dataclass(slots=True)
 class CallFault:
-    """A system call fails in `rate` of a thousand cases with `error`."""
+    """A system call fails with `error` (an errno) in `rate` of a thousand calls."""
 
     rate: int = 0
     error: int = 0
@@ -22,7 +22,7 @@
 
 @dataclass(slots=True)
 class ShimState:
-    """What the shim does; all zero: nothing. Rates are in parts per thousand."""
+    """The faults that the shim injects, none if all fields are zero. Rates are in parts per thousand."""
 
     clock_offset_ns: int = 0
     accept: CallFault = field(default_factory=CallFault)
@@ -36,7 +36,7 @@
     close_interrupt_rate: int = 0
 
     def pack(self) -> bytes:
-        """The bytes of `struct control`."""
+        """Encode the state as `struct control`."""
         values = [getattr(self, item.name) for item in fields(self)]
         faults = [value for value in values if isinstance(value, CallFault)]
         pairs = [number for fault in faults for number in (fault.rate, fault.error)]
@@ -45,10 +45,10 @@
 
 
 class ShimControl:
-    """The mapped control file of one gateway; `apply` takes effect at once in all of its processes."""
+    """The memory-mapped control file of a gateway; `apply` takes effect at once in all its processes."""
 
     def __init__(self, path: Path) -> None:
-        """Create the file, with nothing wrong."""
+        """Create the file with no fault set."""
         self.path, self.state = path, ShimState()
         path.write_bytes(self.state.pack())
         with path.open("r+b") as file:
@@ -59,12 +59,12 @@
         self._mapped[:] = self.state.pack()
 
     def environment(self, library: Path) -> dict[str, str]:
-        """The variables that load the shim into a process."""
+        """The environment variables that load the shim into a process."""
         return {"LD_PRELOAD": str(library), CONTROL_VARIABLE: str(self.path)}
 
 
 def build_shim(folder: Path) -> Path:
-    """Compile the shim into a folder; raises CalledProcessError."""
+    """Compile the shim into the folder; raises CalledProcessError."""
     library = folder / "shim.so"
     compiler = os.environ.get("CC", "cc")
     command = [
--- a/bench/fault_soak/deployment.py
+++ b/bench/fault_soak/deployment.py
@@ -1,4 +1,4 @@
-"""All processes of a run: starts them, and kills, stops and upgrades gateways as the faults require."""
+"""All processes of a run: starts them, and kills, stops and upgrades gateways for the faults."""
 
 import asyncio
 import contextlib
@@ -13,7 +13,7 @@
 
 from bench.fault_soak.discovery import Discovery
 from bench.fault_soak.engine_host import EngineHost, start_engine_host
-from bench.fault_soak.gateway_process import DiscoveryView, GatewayProcess, Layout, create_gateway_process
+from bench.fault_soak.gateway_process import DiscoverySettings, GatewayProcess, Layout, create_gateway_process
 from bench.fault_soak.records import Observations, Outage, OutageKind, SuccessorStart
 from bench.fault_soak.settings import Deadlines
 from bench.loopback_ports import PortReservations
@@ -21,48 +21,48 @@
 START_TIMEOUT_S = 15.0
 READY_POLL_S = 0.05
 EXIT_POLL_S = 0.02
-FRONT_NOTICES_AFTER_S = 0.3  # that a gateway ends
-EARLY_STOP_AFTER_S = 0.1  # of the successor's start
-LATE_START_AFTER_S = 1.0  # of the predecessor's SIGTERM
-KILL_UNCERTAINTY_S = 0.05  # a successor may have accepted a request so long before it was killed
-FURTHER_SIGNALS_MAX_S = 0.2  # between two signals of a series
+ROTATION_REMOVAL_DELAY_S = 0.3  # from a gateway's end until the front stops routing to it
+EARLY_STOP_AFTER_S = 0.1  # after the successor's start
+LATE_START_AFTER_S = 1.0  # after the predecessor's SIGTERM
+KILL_RACE_S = 0.05  # how long before its recorded kill a successor may have accepted a request that is lost
+MAX_SIGNAL_INTERVAL_S = 0.2  # between two signals of a sequence
 
 
 @dataclass(frozen=True, slots=True)
 class DeploymentPaths:
-    """Where a deployment's program and files are."""
+    """The folders and files of a deployment."""
 
-    root: Path  # the tree whose program is run, with its virtual environment
-    folder: Path  # for logs
+    root: Path  # the source tree that is run, with its virtual environment
+    folder: Path  # of logs and events
     shim_library: Path
 
 
 @dataclass(frozen=True, slots=True)
 class SignalAfter:
-    """A signal of a series, so many seconds after the one before."""
+    """A signal of a sequence, sent `seconds` after the previous one."""
 
     number: int
     seconds: float
 
 
 class StandInEndedError(Exception):
-    """An engine or a proxy of the run itself has ended."""
+    """A stand-in engine or its proxy ended during the run, which makes the run's result invalid."""
 
 
-class UpgradeWay(Enum):
-    """How a hot upgrade goes."""
+class UpgradeVariant(Enum):
+    """The variants of a hot upgrade."""
 
     PLAIN = "plain"
     EARLY_STOP = "early stop"  # SIGTERM before the successor is ready
     LOST_SUCCESSOR = "lost successor"  # the successor is killed as soon as it is ready
-    LATE_START = "late start"  # the successor starts when its predecessor has closed its listeners
+    LATE_START = "late start"  # the successor starts after its predecessor has closed its listeners
 
 
 class Deployment:
-    """All processes of one run; `close` ends those that are left."""
+    """All processes of one run; `close` ends those that still run."""
 
     def __init__(self, paths: DeploymentPaths, observations: Observations, longest_deadline_s: float) -> None:
-        """Nothing is started yet."""
+        """Create the deployment without starting a process."""
         self.root, self.folder, self.shim_library = paths.root, paths.folder, paths.shim_library
         self.deadlines = Deadlines(longest_deadline_s)
         self.observations = observations
@@ -72,36 +72,36 @@
         self.gateways: list[GatewayProcess] = []
 
     def start_engines(self, count: int, seed: int) -> None:
-        """Start engines and their proxies, and list them."""
+        """Start the engines and their proxies, and publish them to the discovery service."""
         for number in range(count):
             engine = start_engine_host(self.folder, f"e{number}", seed + number, self.port_reservations)
             self.engines.append(engine)
-        self.discovery.publish(*(engine.listed() for engine in self.engines))
+        self.discovery.publish(*(engine.discovery_entry() for engine in self.engines))
 
     async def add_gateway(self, layout: Layout, number: int, count: int) -> None:
-        """Make a gateway's files and start it."""
+        """Create a gateway's files and start it."""
         gateway = create_gateway_process(self.folder, layout, number, self.port_reservations)
         await self.discovery.listen(gateway.name)
         gateway.write_operator_file()
         self.gateways.append(gateway)
         self.write_configuration(gateway, count)
-        gateway.spawn(self.root, self.shim_library)
+        gateway.start(self.root, self.shim_library)
 
     def write_configuration(
         self, gateway: GatewayProcess, gateway_count: int, latency_objective_share: float = 0.5
     ) -> None:
-        """Write the file that a start or a reload reads, with the present endpoint list."""
+        """Write the configuration that a start or a reload reads, with the current endpoint list."""
         endpoint_list = self.discovery.initial_list(gateway.name)
-        view = DiscoveryView(self.discovery.ports[gateway.name], endpoint_list)
+        discovery_settings = DiscoverySettings(self.discovery.ports[gateway.name], endpoint_list)
         deadlines = replace(self.deadlines, latency_objective_share=latency_objective_share)
-        gateway.write_configuration(view, gateway_count, deadlines)
+        gateway.write_configuration(discovery_settings, gateway_count, deadlines)
 
     async def wait_until_ready(self, gateway: GatewayProcess) -> bool:
-        """Wait until the gateway answers that it is live; False if it does not in time."""
+        """Poll the gateway until it reports that it is live; return False on a timeout or if it ends."""
         deadline = time.monotonic() + START_TIMEOUT_S
         while time.monotonic() < deadline and gateway.running:
-            if await self._is_live(gateway.gate.port):
-                gateway.gate.admitted = True
+            if await self._is_live(gateway.target.port):
+                gateway.target.in_rotation = True
                 return True
             await asyncio.sleep(READY_POLL_S)
         return False
@@ -118,32 +118,33 @@
         return b" 200 " in status
 
     async def kill(self, gateway: GatewayProcess, gateway_count: int) -> None:
-        """SIGKILL to all processes of the gateway, and a new start soon after."""
+        """Send SIGKILL to all processes of the gateway and restart it."""
         began_at = time.monotonic()
         gateway.expected_to_end = True
         gateway.signal_group(signal.SIGKILL)
-        await asyncio.sleep(FRONT_NOTICES_AFTER_S)
-        gateway.gate.admitted = False  # clients keep connecting until the front has noticed
+        await asyncio.sleep(ROTATION_REMOVAL_DELAY_S)
+        gateway.target.in_rotation = False  # the front has detected the end
         await self._restart(gateway, gateway_count, OutageKind.KILLED, began_at, began_at)
 
     async def stop(
-        self, gateway: GatewayProcess, gateway_count: int, further_signals: Sequence[SignalAfter] = ()
+        self, gateway: GatewayProcess, gateway_count: int, later_signals: Sequence[SignalAfter] = ()
     ) -> None:
-        """SIGTERM, new connections for up to 0.4 s more, SIGKILL as early as it may come, and a new start.
+        """Send SIGTERM, then SIGKILL at the end of the shortest grace period, and restart the gateway.
 
-        `further_signals` follow the SIGTERM one after the other.
+        Clients open new connections until `ROTATION_REMOVAL_DELAY_S` after SIGTERM. `later_signals` are
+        sent after the SIGTERM, in sequence.
         """
         began_at = time.monotonic()
         assert gateway.process
         gateway.expected_to_end = True
         gateway.process.send_signal(signal.SIGTERM)
-        sending = asyncio.create_task(self._send_signals(gateway.process, further_signals))
-        await asyncio.sleep(FRONT_NOTICES_AFTER_S)
-        gateway.gate.admitted = False
+        sending = asyncio.create_task(self._send_signals(gateway.process, later_signals))
+        await asyncio.sleep(ROTATION_REMOVAL_DELAY_S)
+        gateway.target.in_rotation = False
         kill_at = began_at + self.deadlines.kill_after_s
         while gateway.running and time.monotonic() < kill_at:
             await asyncio.sleep(EXIT_POLL_S)
-        # A supervisor exits with the code of a process of its own that was killed
+        # A supervisor exits with SIGKILL's number if one of its child processes was killed
         if not gateway.running and gateway.process.returncode not in (0, signal.SIGKILL):
             self.observations.crashes.append(
                 f"{gateway.name}: code {gateway.process.returncode} after SIGTERM"
@@ -155,10 +156,10 @@
 
     @staticmethod
     async def _send_signals(process: subprocess.Popen[bytes], signals: Sequence[SignalAfter]) -> None:
-        for following in signals:
-            await asyncio.sleep(following.seconds)
+        for later_signal in signals:
+            await asyncio.sleep(later_signal.seconds)
             if process.poll() is None:
-                process.send_signal(following.number)
+                process.send_signal(later_signal.number)
 
     async def _restart(
         self, gateway: GatewayProcess, gateway_count: int, kind: OutageKind, began_at: float, killed_at: float
@@ -166,16 +167,16 @@
         assert gateway.process
         gateway.process.wait()
         self.write_configuration(gateway, gateway_count)
-        gateway.spawn(self.root, self.shim_library)
+        gateway.start(self.root, self.shim_library)
         ready = await self.wait_until_ready(gateway)
         if not ready:
             self.observations.crashes.append(f"{gateway.name}: not ready after it was {kind.value}")
         outage = Outage(gateway.name, kind, began_at, killed_at, time.monotonic())
         self.observations.outages.append(outage)
 
-    async def upgrade(self, gateway: GatewayProcess, way: UpgradeWay, gateway_count: int) -> None:
-        """A hot upgrade: a second process beside the first, which then gets SIGTERM."""
-        if way is UpgradeWay.LATE_START:
+    async def upgrade(self, gateway: GatewayProcess, variant: UpgradeVariant, gateway_count: int) -> None:
+        """Start a second process beside the first, which then gets SIGTERM."""
+        if variant is UpgradeVariant.LATE_START:
             await self._start_late(gateway)
             return
         predecessor = gateway.process
@@ -183,17 +184,15 @@
         log_before = gateway.log_path.stat().st_size
         self.observations.successor_starts.append(SuccessorStart(gateway.name, time.monotonic()))
         successor = gateway.start_process(self.root, self.shim_library)
-        if way is UpgradeWay.EARLY_STOP:
+        if variant is UpgradeVariant.EARLY_STOP:
             await asyncio.sleep(EARLY_STOP_AFTER_S)
         else:
             await self._wait_for_successor(gateway, log_before)
-        if way is UpgradeWay.LOST_SUCCESSOR:
+        if variant is UpgradeVariant.LOST_SUCCESSOR:
             killed_at = time.monotonic()
-            successor.kill()  # requests that it had accepted are lost
+            successor.kill()  # the requests that it has accepted are lost
             successor.wait()
-            outage = Outage(
-                gateway.name, OutageKind.KILLED, killed_at - KILL_UNCERTAINTY_S, killed_at, killed_at
-            )
+            outage = Outage(gateway.name, OutageKind.KILLED, killed_at - KILL_RACE_S, killed_at, killed_at)
             self.observations.outages.append(outage)
             return
         gateway.expected_to_end = True
@@ -202,14 +201,14 @@
         gateway.process, gateway.expected_to_end = successor, False
 
     async def _start_late(self, gateway: GatewayProcess) -> None:
-        """SIGTERM, and a new process while the old one finishes what it has open."""
+        """Send SIGTERM, and start the successor while the predecessor completes its open requests."""
         predecessor, began_at = gateway.process, time.monotonic()
         assert predecessor
         gateway.expected_to_end = True
         predecessor.send_signal(signal.SIGTERM)
-        await asyncio.sleep(FRONT_NOTICES_AFTER_S)
-        gateway.gate.admitted = False
-        await asyncio.sleep(LATE_START_AFTER_S - FRONT_NOTICES_AFTER_S)
+        await asyncio.sleep(ROTATION_REMOVAL_DELAY_S)
+        gateway.target.in_rotation = False
+        await asyncio.sleep(LATE_START_AFTER_S - ROTATION_REMOVAL_DELAY_S)
         self.observations.successor_starts.append(SuccessorStart(gateway.name, time.monotonic()))
         gateway.process = gateway.start_process(self.root, self.shim_library)
         ready, _ = await asyncio.gather(
@@ -239,7 +238,7 @@
             await asyncio.sleep(EXIT_POLL_S)
 
     def check_crashes(self) -> None:
-        """Note gateways that have ended and were not stopped, killed or upgraded."""
+        """Record gateways that have ended though the run did not stop, kill or upgrade them."""
         for gateway in self.gateways:
             if not gateway.running and not gateway.expected_to_end and gateway.process:
                 gateway.expected_to_end = True
@@ -248,13 +247,13 @@
                 )
 
     def check_stand_ins(self) -> None:
-        """Raise StandInEndedError for a stand-in that has ended: the run would test less than it says."""
+        """Raise StandInEndedError if a stand-in has ended, as the run then tests less than it reports."""
         for engine in self.engines:
             if ended := engine.ended_processes:
                 raise StandInEndedError(f"{engine.name}: {', '.join(ended)}")
 
     def close(self) -> None:
-        """End every process that this deployment has started."""
+        """Kill every process that the deployment has started."""
         for gateway in self.gateways:
             gateway.close()
         for engine in self.engines:
--- a/bench/fault_soak/discovery.py
+++ b/bench/fault_soak/discovery.py
@@ -1,4 +1,4 @@
-"""A stand-in discovery service: numbered events by long poll, one port for each gateway."""
+"""A stand-in discovery service: numbered events over long polling, with a port for each gateway."""
 
 import asyncio
 import contextlib
@@ -14,17 +14,17 @@
 
 @dataclass(frozen=True, slots=True)
 class SentEvent:
-    """An event as it was sent to one gateway."""
+    """An event that was sent to a gateway."""
 
     gateway: str
     position: int
 
 
 class Discovery:
-    """The endpoint list as events. `notified_at` holds when each gateway was sent each event, in order."""
+    """Publishes the endpoint list as events; `notified_at` holds when each event was sent to each gateway."""
 
     def __init__(self, port_reservations: PortReservations) -> None:
-        """Begin without an event; each gateway's port is reserved there."""
+        """Start with no event; the gateways' ports come from `port_reservations`."""
         self.port_reservations = port_reservations
         self.events: list[dict[str, Any]] = []  # the event at index N has position N + 1
         self.hosts: dict[str, dict[str, Any]] = {}
@@ -32,17 +32,17 @@
         self.servers: dict[str, asyncio.Server] = {}
         self.ports: dict[str, int] = {}
         self.changed = asyncio.Event()
-        self.outages = 0  # that overlap now
+        self.outages = 0  # that are active now
         self.silent = False  # polls are accepted and not answered
         self.writers: set[asyncio.StreamWriter] = set()
 
     @property
     def position(self) -> int:
-        """The number of the last event."""
+        """The position of the last event."""
         return len(self.events)
 
     def publish(self, *hosts: dict[str, Any]) -> int:
-        """Add an event with the engines that changed and return its position."""
+        """Append an event with the changed engines and return its position."""
         for host in hosts:
             self.hosts[host["host"]] = host
         self.events.append(self._event(len(self.events) + 1, not self.events, list(hosts)))
@@ -52,7 +52,7 @@
         return self.position
 
     def times_notified(self, gateway: str, position: int) -> list[float]:
-        """When a gateway was sent this event or a later one, in order."""
+        """The times at which a gateway was sent the event at this position or a later one, sorted."""
         return sorted(
             sent_at
             for sent, times in self.notified_at.items()
@@ -65,7 +65,7 @@
         return {"pos": position, "hosts": {"seq": position, "whole": snapshot, "hosts": hosts}}
 
     def initial_list(self, gateway: str) -> dict[str, Any]:
-        """The list as a gateway's configuration holds it at its start."""
+        """The endpoint list for a gateway's configuration; counts as a notification of that gateway."""
         self.notified_at.setdefault(SentEvent(gateway, self.position), [time.monotonic()])
         return {
             "pos": self.position,
@@ -73,23 +73,23 @@
         }
 
     async def listen(self, gateway: str) -> None:
-        """Serve a gateway, at its port of before if it had one."""
+        """Serve a gateway, on the same port as before if it has one."""
         if gateway not in self.ports:
             self.ports[gateway] = self.port_reservations.reserve()
         self.servers[gateway] = await asyncio.start_server(
             lambda reader, writer: self._serve(gateway, reader, writer), "127.0.0.1", self.ports[gateway]
         )
 
-    async def go_down(self) -> None:
-        """Refuse connections and break those that are open, until `come_back` was called as often."""
+    async def start_outage(self) -> None:
+        """Refuse connections and abort the open ones until every outage has been ended with `end_outage`."""
         self.outages += 1
         for server in self.servers.values():
             server.close()
         for writer in list(self.writers):
             writer.transport.abort()
 
-    async def come_back(self) -> None:
-        """End one outage; after the last one all gateways are served again."""
+    async def end_outage(self) -> None:
+        """End one outage; serve all gateways again when none is left."""
         self.outages -= 1
         for gateway in list(self.servers) if not self.outages else ():
             await self.listen(gateway)
--- a/bench/fault_soak/engine.py
+++ b/bench/fault_soak/engine.py
@@ -1,8 +1,8 @@
-"""A stand-in engine as a process: the engines' line protocol, with fault modes.
+"""A stand-in engine process that speaks the engines' line protocol, with fault modes.
 
     python -m bench.fault_soak.engine PORT SEED
 
-Its mode is set by lines on standard input: the values of `EngineMode`.
+Lines on standard input set its mode; each is a value of `EngineMode`.
 """
 
 import asyncio
@@ -19,15 +19,15 @@
 
 
 class Engine:
-    """Answers requests after a random time, in its present mode."""
+    """Answers requests after a random run time, according to its current mode."""
 
     def __init__(self, seed: int) -> None:
-        """Begin without a fault."""
+        """Start with no fault injected."""
         self.random = random.Random(seed)
         self.switch = ModeSwitch()
 
     async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        """One connection."""
+        """Serve one connection."""
         running: dict[str, asyncio.Task[None]] = {}
         with contextlib.suppress(OSError, asyncio.IncompleteReadError):
             while line := await reader.readline():
@@ -47,16 +47,16 @@
 
     @staticmethod
     def page(client_request_id: str, number: int) -> bytes:
-        """A page that names the request it belongs to."""
+        """A result page that holds the identifier of its request, so that clients detect a mix-up."""
         return f"{client_request_id}\t{number}\tx\n".encode()
 
     @staticmethod
     def send(writer: asyncio.StreamWriter, head: str, body: bytes = b"") -> None:
-        """One answer line with its body."""
+        """Write one answer line with its body."""
         writer.write(f"{head} {len(body)}\r\n".encode() + (body + b"\r\n" if body else b""))
 
     async def run(self, client_request_id: str, writer: asyncio.StreamWriter) -> None:
-        """One request to its end."""
+        """Run one request and answer it."""
         mode = self.switch.mode
         if mode is EngineMode.RESET:
             writer.transport.abort()
--- a/bench/fault_soak/engine_host.py
+++ b/bench/fault_soak/engine_host.py
@@ -1,4 +1,4 @@
-"""Starts and steers the stand-in engines of a run, each behind a fault proxy for either wire."""
+"""Starts and controls the stand-in engines of a run, each behind one fault proxy per wire protocol."""
 
 import contextlib
 import subprocess
@@ -9,23 +9,23 @@
 from bench.fault_soak.engine_mode import EngineMode
 from bench.loopback_ports import PortReservations
 
-FLIGHT_SUFFIX = "@flight"  # of an engine's name where it is observed on the Flight wire
+FLIGHT_SUFFIX = "@flight"  # of the engine's name in events that are observed on the Flight wire
 
 
 @dataclass(slots=True)
 class EngineHost:
-    """One engine with its proxies; `close` ends their processes."""
+    """An engine on both wires with its proxies; `close` ends their processes."""
 
     name: str
-    port: int  # of the proxy
-    flight_port: int
+    port: int  # of the proxy on the platform's wire
+    flight_port: int  # of the proxy on the Flight wire
     engines: tuple[subprocess.Popen[bytes], ...]  # of the platform's wire and of Flight SQL
     proxies: tuple[subprocess.Popen[bytes], ...]
-    started_at_ms: int = 0  # of the wall clock; 0: long ago
+    started_at_ms: int = 0  # wall clock; 0: long before the run
     health: str = "up"
 
-    def listed(self) -> dict[str, object]:
-        """The engine as the discovery service lists it, in the words of its wire."""
+    def discovery_entry(self) -> dict[str, object]:
+        """The engine's entry in the endpoint list, with the field names of the discovery protocol."""
         return {
             "host": self.name, "dial": f"127.0.0.1:{self.port}", "site": "hall-a", "class": "std-16",
             "block": 0, "health": self.health, "share": 1, "born_ms": self.started_at_ms,
@@ -34,29 +34,29 @@
 
     @property
     def ended_processes(self) -> list[str]:
-        """The commands of its processes that have ended by themselves."""
+        """The commands of its processes that have ended unexpectedly."""
         processes = (*self.engines, *self.proxies)
         return [str(process.args) for process in processes if process.poll() is not None]
 
     def set_mode(self, mode: EngineMode) -> None:
-        """How the engine answers from now on."""
+        """Set how the engine answers from now on, on both wires."""
         for engine in self.engines:
             _send_line(engine, mode.value)
 
-    def order(self, order: str) -> None:
-        """What the proxies do from now on."""
+    def send_to_proxies(self, command: str) -> None:
+        """Send a command to both proxies; the commands are listed in `proxy`."""
         for proxy in self.proxies:
-            _send_line(proxy, order)
+            _send_line(proxy, command)
 
     def close(self) -> None:
-        """End all processes."""
+        """Kill all processes of the engine."""
         for process in (*self.engines, *self.proxies):
             process.kill()
             process.wait()
 
 
 def start_engine_host(folder: Path, name: str, seed: int, port_reservations: PortReservations) -> EngineHost:
-    """Start one engine on both wires with its proxies; their events go to a file in the folder."""
+    """Start an engine on both wires with its proxies; they append their events to a file in the folder."""
     ports = [port_reservations.reserve() for _ in range(4)]
     event_file = str(folder / f"{name}.events")
     engines = (
--- a/bench/fault_soak/event_file.py
+++ b/bench/fault_soak/event_file.py
@@ -1,4 +1,4 @@
-"""The file of events that engines and proxies observe: a JSON line for each `records.EngineEvent`."""
+"""The file of events that engines and proxies observe: one JSON line per `records.EngineEvent`."""
 
 import json
 import time
@@ -8,14 +8,14 @@
 
 
 class EventFile:
-    """Appends the events of one engine."""
+    """Appends the events of one engine to an event file."""
 
     def __init__(self, engine: str, file: TextIO) -> None:
-        """`engine`: its name in each event; `file`: open and buffered by line, closed by the caller."""
+        """`engine` is its name in each event; `file` is line-buffered and closed by the caller."""
         self.engine, self.file = engine, file
 
     def write(self, kind: EngineEventKind, client_request_id: str, **details: object) -> None:
-        """Append an event that is observed now. `details`: further fields of `EngineEvent`."""
+        """Append an event with the current time; `details` are further fields of `EngineEvent`."""
         event = {
             "observed_at": time.monotonic(),
             "kind": kind.value,
--- a/bench/fault_soak/evidence.py
+++ b/bench/fault_soak/evidence.py
@@ -1,4 +1,4 @@
-"""The observations of a run, arranged for the oracle's checks, and the spans in which they prove nothing."""
+"""The observations of a run, indexed for the oracle's checks, and the spans in which they are unreliable."""
 
 from collections import defaultdict
 from collections.abc import Iterator
@@ -15,41 +15,41 @@
 from bench.fault_soak.settings import NOTIFICATION_DEADLINE_S
 
 NEVER_RAN_OUTCOMES = ("refused", "stale")
-STALL_MARGIN_S = 0.5  # around a stall of the soak's own process
+STALL_MARGIN_S = 0.5  # before and after a stall of the soak's own process
 UNREAD_MARGIN_S = 0.5  # after a span in which requests waited unread
 KILL_MARGIN_BEFORE_S, KILL_MARGIN_AFTER_S = 0.05, 0.2
-CROWD_MARGIN_S = 0.5  # until a crowd's connections have been closed on both sides
-UNANSWERED_S = 4.0  # that a request without an end counts as open
+IDLE_CLIENTS_MARGIN_S = 0.5  # until both sides have closed the connections of idle clients
+ASSUMED_OPEN_S = 4.0  # how long a request without a recorded end counts as open
 
 
 @dataclass(slots=True)
 class Attempt:
-    """A request as it reached an engine, until its end."""
+    """One execution of a request at an engine, as observed from outside."""
 
     request: EngineEvent
     ended_at: float
-    outcome: str = ""  # of its end; empty: given up or broken
-    given_up: bool = False
+    outcome: str = ""  # as the engine answered; empty if it was cancelled or its connection ended
+    interrupted: bool = False
 
     @property
     def never_ran(self) -> bool:
-        """Whether the engine has answered that it did not run the request."""
+        """Whether the engine answered that it did not run the request."""
         return self.outcome in NEVER_RAN_OUTCOMES
 
 
 @dataclass(frozen=True, slots=True)
 class ClientAttempt:
-    """An attempt with the client's record of its request."""
+    """An attempt and the client's record of its request."""
 
     client: ClientRecord
     attempt: Attempt
 
 
 class Evidence:
-    """The observations of one run, with the attempts of each request in order of their begin."""
+    """The observations of one run, with the attempts of each request ordered by their start."""
 
     def __init__(self, observations: Observations) -> None:
-        """Sort what was observed."""
+        """Index the observations by request."""
         self.observations = observations
         self.clients = {record.client_request_id: record for record in observations.clients}
         self.attempts = self._collect_attempts()
@@ -68,31 +68,31 @@
         for attempt in attempts:
             if attempt.request.engine == event.engine and attempt.ended_at == float("inf"):
                 attempt.ended_at, attempt.outcome = event.observed_at, event.outcome
-                attempt.given_up = event.kind is not EngineEventKind.END
+                attempt.interrupted = event.kind is not EngineEventKind.END
 
     def client_attempts(self) -> Iterator[ClientAttempt]:
-        """Every attempt of a request that a client of the run has sent."""
+        """Every attempt whose request was sent by a client of the run."""
         for client_request_id, attempts in self.attempts.items():
             if record := self.clients.get(client_request_id):
                 for attempt in attempts:
                     yield ClientAttempt(record, attempt)
 
-    def in_stall(self, at: float) -> bool:
-        """Whether the soak's own process did not run around this time, so that nothing is proven."""
+    def is_in_driver_stall(self, at: float) -> bool:
+        """Whether the soak's own process was stalled around this time, so that observations prove nothing."""
         return any(
             stall.began_at - STALL_MARGIN_S <= at <= stall.ended_at + STALL_MARGIN_S
             for stall in self.observations.driver_stalls
         )
 
-    def is_crowded(self, gateway: str, at: float) -> bool:
-        """Whether idle clients filled a gateway's connections around a time."""
+    def is_filled_by_idle_clients(self, gateway: str, at: float) -> bool:
+        """Whether idle clients occupied a gateway's connections around a time."""
         return any(
-            crowd.gateway == gateway and crowd.began_at <= at <= crowd.ended_at + CROWD_MARGIN_S
-            for crowd in self.observations.crowds
+            span.gateway == gateway and span.began_at <= at <= span.ended_at + IDLE_CLIENTS_MARGIN_S
+            for span in self.observations.idle_client_spans
         )
 
     def driver_delay(self, began_at: float, ended_at: float) -> float:
-        """For how long the soak's own process may not have looked within the span, at a time."""
+        """The longest delay of the soak's own process that overlaps the span, in seconds."""
         delays = (
             delay.ended_at - delay.began_at
             for delay in self.observations.driver_delays
@@ -101,18 +101,18 @@
         return max(delays, default=0.0)
 
     def is_unread(self, engine: str, at: float) -> bool:
-        """Whether what was observed then may have waited in the machine's buffers: its time is not known."""
+        """Whether an event observed then may have waited in kernel buffers, so that its time is unknown."""
         return any(
             span.engine == engine and span.began_at <= at <= span.ended_at + UNREAD_MARGIN_S
             for span in self.observations.unread_spans
         )
 
-    def was_ended(self, record: ClientRecord) -> bool:
-        """Whether the gateway was killed, with no time to answer, while the request was open.
+    def was_open_at_kill(self, record: ClientRecord) -> bool:
+        """Whether the gateway was killed without a grace period while the request was open.
 
-        After SIGTERM a gateway has the time to answer all that it has taken before SIGKILL comes.
+        A gateway that got SIGTERM first has time to answer all accepted requests before SIGKILL.
         """
-        until = record.ended_at or record.sent_at + UNANSWERED_S
+        until = record.ended_at or record.sent_at + ASSUMED_OPEN_S
         return any(
             outage.gateway == record.gateway
             and outage.kind is OutageKind.KILLED
@@ -121,18 +121,18 @@
             for outage in self.observations.outages
         )
 
-    def crosses_outage(self, gateway: str, began_at: float, ended_at: float) -> bool:
-        """Whether the gateway was away at any time within the span."""
+    def overlaps_outage(self, gateway: str, began_at: float, ended_at: float) -> bool:
+        """Whether an outage of the gateway overlaps the span."""
         return any(
             outage.gateway == gateway and began_at <= outage.ready_at and ended_at >= outage.began_at
             for outage in self.observations.outages
         )
 
     def notified_at(self, change: EngineChange, gateway: str, at: float) -> float:
-        """When the process of a gateway that acts at a time knew of a change, or counts as having known.
+        """When the gateway process that acts at time `at` was notified of a change, or counts as notified.
 
-        From the start of a successor on it may be that one, whose own notification is the next after its
-        start and after the first.
+        After the start of a successor the acting process may be the successor. Its own notification is the
+        first one after its start, other than the gateway's first.
         """
         first_at = change.notified_at.get(gateway, float("inf"))
         for start in self.observations.successor_starts:
@@ -142,7 +142,7 @@
         return min(first_at, change.changed_at + NOTIFICATION_DEADLINE_S)
 
     def next_change_at(self, change: EngineChange) -> float:
-        """When the same engine changed next; infinite if it did not."""
+        """The time of the engine's next change; infinite if there is none."""
         later = (
             other.changed_at
             for other in self.observations.changes
--- a/bench/fault_soak/fault_schedule.py
+++ b/bench/fault_soak/fault_schedule.py
@@ -1,4 +1,4 @@
-"""The schedule of a run's faults, drawn from its seed: which fault begins when, and how long it lasts."""
+"""The fault schedule of a run, drawn from its seed: the start time and duration of each fault."""
 
 import asyncio
 import random
@@ -16,41 +16,43 @@
     "path": 2,
     "engine-restart": 2,
     "drain": 2,
-}  # others: 1
-FIRST_FAULT_S, LAST_FAULT_BEFORE_END_S = 0.5, 3.0
-MIN_FAULT_S, MAX_FAULT_S = 0.5, 4.0
+}  # default: 1
+FIRST_FAULT_AFTER_S, LAST_FAULT_BEFORE_END_S = 0.5, 3.0
+MIN_FAULT_DURATION_S, MAX_FAULT_DURATION_S = 0.5, 4.0
 
 
 @dataclass(frozen=True, slots=True, order=True)
 class ScheduledFault:
-    """One fault of a schedule; times are seconds."""
+    """One fault of a schedule; times in seconds."""
 
-    begins_after_s: float  # since the schedule's begin
-    name: str  # in `FAULTS`
-    lasts_s: float
+    start_delay_s: float  # after the start of the schedule
+    name: str  # a key of `FAULTS`
+    duration_s: float
 
 
 def draw_schedule(
-    names: list[str], source: random.Random, count: int, seconds: float
+    names: list[str], random_source: random.Random, count: int, seconds: float
 ) -> list[ScheduledFault]:
-    """Draw `count` faults within `seconds` seconds, in the order of their begin; they may overlap."""
+    """Draw `count` faults within `seconds` seconds, ordered by their start; they may overlap."""
     weights = [WEIGHTS.get(name, 1) for name in names]
-    drawn = source.choices(names, weights, k=count)
-    return sorted(_draw_fault(name, source, seconds) for name in drawn)
+    drawn = random_source.choices(names, weights, k=count)
+    return sorted(_draw_fault(name, random_source, seconds) for name in drawn)
 
 
-def _draw_fault(name: str, source: random.Random, seconds: float) -> ScheduledFault:
-    begins_after_s = source.uniform(FIRST_FAULT_S, seconds - LAST_FAULT_BEFORE_END_S)
-    return ScheduledFault(begins_after_s, name, source.uniform(MIN_FAULT_S, MAX_FAULT_S))
+def _draw_fault(name: str, random_source: random.Random, seconds: float) -> ScheduledFault:
+    start_delay_s = random_source.uniform(FIRST_FAULT_AFTER_S, seconds - LAST_FAULT_BEFORE_END_S)
+    return ScheduledFault(
+        start_delay_s, name, random_source.uniform(MIN_FAULT_DURATION_S, MAX_FAULT_DURATION_S)
+    )
 
 
-async def play_schedule(context: FaultContext, schedule: list[ScheduledFault]) -> None:
-    """Inject every fault of a schedule at its time, and return when the last one is over."""
+async def run_schedule(context: FaultContext, schedule: list[ScheduledFault]) -> None:
+    """Inject each fault at its scheduled time, and return when the last one has ended."""
     began_at = time.monotonic()
 
     async def inject(fault: ScheduledFault) -> None:
-        """Inject one fault at its time."""
-        await asyncio.sleep(max(0.0, began_at + fault.begins_after_s - time.monotonic()))
-        await FAULTS[fault.name](context, fault.lasts_s)
+        """Wait for the start time of the fault, then inject it."""
+        await asyncio.sleep(max(0.0, began_at + fault.start_delay_s - time.monotonic()))
+        await FAULTS[fault.name](context, fault.duration_s)
 
     await asyncio.gather(*(inject(fault) for fault in schedule))
--- a/bench/fault_soak/faults.py
+++ b/bench/fault_soak/faults.py
@@ -1,4 +1,4 @@
-"""The faults of a run: each is a coroutine that makes something go wrong for a while and then mends it."""
+"""The faults of a run: each is a coroutine that injects a failure for a given time and then removes it."""
 
 import asyncio
 import contextlib
@@ -13,11 +13,11 @@
 
 from bench.fault_soak.clients import Population
 from bench.fault_soak.control import CallFault
-from bench.fault_soak.deployment import FURTHER_SIGNALS_MAX_S, Deployment, SignalAfter, UpgradeWay
+from bench.fault_soak.deployment import MAX_SIGNAL_INTERVAL_S, Deployment, SignalAfter, UpgradeVariant
 from bench.fault_soak.engine_host import FLIGHT_SUFFIX, EngineHost
 from bench.fault_soak.engine_mode import EngineMode
 from bench.fault_soak.gateway_process import GatewayProcess, Layout
-from bench.fault_soak.records import Crowd, EngineChange, EngineChangeKind, UnreadSpan
+from bench.fault_soak.records import EngineChange, EngineChangeKind, IdleClientSpan, UnreadSpan
 from bench.fault_soak.settings import SECOND
 
 ACCEPT_ERRORS = (errno.ENFILE, errno.EMFILE, errno.ECONNABORTED, errno.ENOBUFS, errno.ENOMEM)
@@ -32,19 +32,19 @@
 )  # fmt: skip
 CLOCK_STEPS_S = (3600, -3600, 7, -7, 1.5, -1.5)
 CONNECTION_ENDING_RATE = 15  # of a thousand calls
-TOTAL_FAILURE_RATE = 900  # of a thousand calls, from which on nearly every call fails
+TOTAL_FAILURE_RATE = 900  # of a thousand calls; at this rate and above nearly every call fails
 MAX_TOTAL_FAILURE_S = 0.4
 MAX_PAUSE_S = 0.4
-IDLE_CLIENT_COUNTS = (120, 400)  # below and above the limit of a gateway
+IDLE_CLIENT_COUNTS = (120, 400)  # below and above a gateway's limit on descriptors
 MAX_WORKER_PAUSE_S = 2.0
 NOTIFICATION_POLL_S, NOTIFICATION_POLLS = 0.1, 100
 
-InjectFault = Callable[["FaultContext", float], Awaitable[None]]  # for so many seconds
+InjectFault = Callable[["FaultContext", float], Awaitable[None]]  # the context and the duration in seconds
 
 
 @dataclass(slots=True)
 class FaultContext:
-    """What faults act on, with a random source of their own."""
+    """What faults act on, with a random source that only faults use."""
 
     deployment: Deployment
     population: Population
@@ -52,31 +52,31 @@
 
     @property
     def gateway_count(self) -> int:
-        """The gateways that share an engine's budget."""
+        """The number of gateways that share the engines' capacity."""
         return len(self.deployment.gateways)
 
     def choose_gateway(self) -> GatewayProcess:
-        """One of the gateways that run."""
+        """A random gateway, preferably one that runs and is in rotation."""
         running = [
-            gateway for gateway in self.deployment.gateways if gateway.running and gateway.gate.admitted
+            gateway for gateway in self.deployment.gateways if gateway.running and gateway.target.in_rotation
         ]
         return self.random.choice(running or self.deployment.gateways)
 
     def choose_engine(self) -> EngineHost:
-        """One of the engines."""
+        """A random engine."""
         return self.random.choice(self.deployment.engines)
 
     def publish(self, engine: EngineHost, kind: EngineChangeKind) -> None:
-        """Let the discovery service publish a change, and note it for the oracle."""
+        """Publish a change in the discovery service and record it for the oracle."""
         discovery = self.deployment.discovery
         changed_at = time.monotonic()
-        position = discovery.publish(engine.listed())
+        position = discovery.publish(engine.discovery_entry())
         change = EngineChange(engine.name, kind, changed_at)
         self.deployment.observations.changes.append(change)
-        asyncio.create_task(self._note_notifications(change, position))
+        asyncio.create_task(self._record_notifications(change, position))
 
-    async def _note_notifications(self, change: EngineChange, position: int) -> None:
-        """Keep `notified_at` up to date while gateways learn of the change."""
+    async def _record_notifications(self, change: EngineChange, position: int) -> None:
+        """Update the notification times of a change while gateways are notified of it."""
         for _ in range(NOTIFICATION_POLLS):
             for gateway in self.deployment.gateways:
                 times = self.deployment.discovery.times_notified(gateway.name, position)
@@ -88,7 +88,7 @@
 
 @contextmanager
 def exclusive_use(gateway: GatewayProcess) -> Iterator[None]:
-    """Mark a gateway as being killed, stopped or upgraded, so that no second such fault begins on it."""
+    """Mark a gateway as busy, so that no second kill, stop, pause or upgrade starts on it."""
     gateway.busy = True
     try:
         yield
@@ -97,30 +97,30 @@
 
 
 async def clock_step(context: FaultContext, seconds: float) -> None:
-    """The wall clock of one machine, or of all, is stepped, and perhaps stepped back."""
+    """Step the wall clock of one gateway or of all, and in half of the cases revert the step."""
     step = int(context.random.choice(CLOCK_STEPS_S) * SECOND)
     gateways = context.deployment.gateways if context.random.random() < 0.5 else [context.choose_gateway()]
-    steps_back = context.random.random() < 0.5
+    is_reverted = context.random.random() < 0.5
     for gateway in gateways:
         gateway.shim.state.clock_offset_ns += step
         gateway.shim.apply()
     await asyncio.sleep(seconds)
-    for gateway in gateways if steps_back else ():
+    for gateway in gateways if is_reverted else ():
         gateway.shim.state.clock_offset_ns -= step
         gateway.shim.apply()
 
 
 def call_fault(name: str, errors: tuple[int, ...], rates: tuple[int, ...]) -> InjectFault:
-    """Let one kind of system call fail in one gateway."""
+    """Return a fault that makes one kind of system call fail in one gateway."""
 
     async def inject(context: FaultContext, seconds: float) -> None:
-        """Choose a gateway, an error and a rate, and let calls fail."""
+        """Choose a gateway, an error and a rate, and apply them."""
         gateway, error = context.choose_gateway(), context.random.choice(errors)
         ends_connection = error in CONNECTION_ENDING_ERRORS
         rate = CONNECTION_ENDING_RATE if ends_connection else context.random.choice(rates)
         setattr(gateway.shim.state, name, CallFault(rate, error))
         gateway.shim.apply()
-        # A gateway whose every call fails cannot answer clients that wait 0.15 s: such a fault is kept short
+        # A gateway in which nearly every call fails cannot answer clients that wait 0.15 s: keep it short
         await asyncio.sleep(min(seconds, MAX_TOTAL_FAILURE_S) if rate >= TOTAL_FAILURE_RATE else seconds)
         setattr(gateway.shim.state, name, CallFault())
         gateway.shim.apply()
@@ -128,8 +128,8 @@
     return inject
 
 
-async def rough_calls(context: FaultContext, seconds: float) -> None:
-    """Short reads and writes, interrupted waits and closes."""
+async def short_and_interrupted_calls(context: FaultContext, seconds: float) -> None:
+    """Inject short reads and writes and interrupted waits and closes in one gateway."""
     gateway = context.choose_gateway()
     state = gateway.shim.state
     state.short_io_rate, state.interrupt_rate, state.close_interrupt_rate = 300, 200, 100
@@ -140,8 +140,8 @@
 
 
 async def engine_fault_mode(context: FaultContext, seconds: float) -> None:
-    """One or two engines answer in a fault mode."""
-    # Two draws for each engine: the faults of a seed follow from the number of draws before them
+    """Put one or two engines into a fault mode."""
+    # Two draws per engine: removing one would change the later draws and so the faults of every seed
     engines = {context.choose_engine().name: context.choose_engine() for _ in range(2)}.values()
     for engine in engines:
         engine.set_mode(context.random.choice(ENGINE_FAULT_MODES))
@@ -150,28 +150,28 @@
         engine.set_mode(EngineMode.OK)
 
 
-async def broken_path(context: FaultContext, seconds: float) -> None:
-    """The path to an engine stalls, does not read, comes up late, or breaks."""
+async def path_fault(context: FaultContext, seconds: float) -> None:
+    """Make the connections to an engine stall, stay unread, get established late or break."""
     engine = context.choose_engine()
-    order = context.random.choice(("stall", "unread", "late", "reset", "idle-close"))
-    if order == "late":
-        engine.order("reset")
+    command = context.random.choice(("stall", "unread", "late", "reset", "idle-close"))
+    if command == "late":
+        engine.send_to_proxies("reset")
     began_at = time.monotonic()
-    engine.order(order)
+    engine.send_to_proxies(command)
     await asyncio.sleep(seconds)
-    engine.order("pass")
+    engine.send_to_proxies("pass")
     observations = context.deployment.observations
-    description = f"{engine.name} {order} {began_at:.3f} to {time.monotonic():.3f}"
+    description = f"{engine.name} {command} {began_at:.3f} to {time.monotonic():.3f}"
     observations.path_faults.append(description)
-    if order in ("stall", "unread", "late"):  # Flight requests are observed behind the proxy
+    if command in ("stall", "unread", "late"):  # Flight requests are observed at the engine, behind the proxy
         flight_name = f"{engine.name}{FLIGHT_SUFFIX}"
         observations.unread_spans.append(UnreadSpan(flight_name, began_at, time.monotonic()))
-    if order in ("unread", "late"):  # complete requests may wait until the proxy accepts their connections
+    if command in ("unread", "late"):  # requests may wait in kernel buffers until the proxy accepts
         observations.unread_spans.append(UnreadSpan(engine.name, began_at, time.monotonic()))
 
 
 async def drain(context: FaultContext, seconds: float) -> None:
-    """An engine drains and comes back."""
+    """Publish an engine as draining, and as up again afterwards."""
     engine = context.choose_engine()
     if engine.health != "up":
         return
@@ -183,58 +183,58 @@
 
 
 async def engine_restart(context: FaultContext, seconds: float) -> None:
-    """An engine's process starts again, in slow start; its connections break."""
+    """Publish an engine as restarted, hence in slow start, and reset its connections."""
     engine = context.choose_engine()
     if engine.health != "up":
         return
-    engine.order("reset")
+    engine.send_to_proxies("reset")
     engine.started_at_ms = int(time.time() * 1000)
     context.publish(engine, EngineChangeKind.RESTARTED)
     await asyncio.sleep(seconds)
 
 
 async def discovery_outage(context: FaultContext, seconds: float) -> None:
-    """The discovery service is down, or accepts polls and answers none."""
+    """Make the discovery service refuse connections, or accept polls without answering them."""
     discovery = context.deployment.discovery
     if context.random.random() < 0.5:
         discovery.silent = True
         await asyncio.sleep(seconds)
         discovery.silent = False
     else:
-        await discovery.go_down()
+        await discovery.start_outage()
         await asyncio.sleep(seconds)
-        await discovery.come_back()
+        await discovery.end_outage()
 
 
 async def gateway_kill(context: FaultContext, seconds: float) -> None:
-    """A gateway is killed and starts again."""
+    """Kill a gateway and restart it."""
     gateway = context.choose_gateway()
-    if gateway.gate.admitted and not gateway.busy:
+    if gateway.target.in_rotation and not gateway.busy:
         with exclusive_use(gateway):
             await context.deployment.kill(gateway, context.gateway_count)
 
 
-def _further_signals(source: random.Random) -> list[SignalAfter]:
-    """What a gateway may get behind its SIGTERM."""
-    numbers = source.choices((signal.SIGTERM, signal.SIGHUP), k=source.randrange(4))
-    return [SignalAfter(number, source.uniform(0.0, FURTHER_SIGNALS_MAX_S)) for number in numbers]
+def _draw_later_signals(random_source: random.Random) -> list[SignalAfter]:
+    """Draw the signals that a gateway gets after its SIGTERM."""
+    numbers = random_source.choices((signal.SIGTERM, signal.SIGHUP), k=random_source.randrange(4))
+    return [SignalAfter(number, random_source.uniform(0.0, MAX_SIGNAL_INTERVAL_S)) for number in numbers]
 
 
 async def gateway_stop(context: FaultContext, seconds: float) -> None:
-    """A gateway gets SIGTERM, further signals behind it, and starts again; perhaps twice in a row."""
+    """Stop a gateway with SIGTERM and later signals, and restart it; in a third of the cases twice."""
     gateway = context.choose_gateway()
     for _ in range(context.random.choice((1, 1, 2))):
-        if gateway.gate.admitted and not gateway.busy:
+        if gateway.target.in_rotation and not gateway.busy:
             with exclusive_use(gateway):
-                further_signals = _further_signals(context.random)
-                await context.deployment.stop(gateway, context.gateway_count, further_signals)
+                later_signals = _draw_later_signals(context.random)
+                await context.deployment.stop(gateway, context.gateway_count, later_signals)
 
 
-async def gateway_pauses(context: FaultContext, seconds: float) -> None:
-    """All processes of a gateway are stopped and go on, several times, with SIGHUP in between."""
+async def gateway_pause(context: FaultContext, seconds: float) -> None:
+    """Pause and resume all processes of a gateway, up to four times, sometimes with SIGHUP in between."""
     gateway = context.choose_gateway()
     for _ in range(context.random.choice((1, 2, 4))):
-        if gateway.busy or not gateway.running or not gateway.gate.admitted:
+        if gateway.busy or not gateway.running or not gateway.target.in_rotation:
             return
         with exclusive_use(gateway):
             gateway.signal_group(signal.SIGSTOP)
@@ -246,13 +246,13 @@
 
 
 async def gateway_upgrade(context: FaultContext, seconds: float) -> None:
-    """A hot upgrade, in one of several ways."""
+    """Run a random variant of a hot upgrade on one gateway."""
     candidates = [
         gateway
         for gateway in context.deployment.gateways
         if gateway.layout is not Layout.PROCESSES
         and gateway.running
-        and gateway.gate.admitted
+        and gateway.target.in_rotation
         and not gateway.expected_to_end
         and not gateway.busy
     ]
@@ -260,15 +260,15 @@
         return
     gateway = context.random.choice(candidates)
     with exclusive_use(gateway):
-        way = context.random.choice(list(UpgradeWay))
-        await context.deployment.upgrade(gateway, way, context.gateway_count)
+        variant = context.random.choice(list(UpgradeVariant))
+        await context.deployment.upgrade(gateway, variant, context.gateway_count)
 
 
 async def gateway_reload(context: FaultContext, seconds: float) -> None:
-    """New configurations in quick succession."""
+    """Reload a gateway with up to three new configurations in quick succession."""
     gateway = context.choose_gateway()
     for _ in range(context.random.choice((1, 2, 3))):
-        if gateway.process and gateway.running and gateway.gate.admitted:
+        if gateway.process and gateway.running and gateway.target.in_rotation:
             latency_objective_share = context.random.choice((0.4, 0.5, 0.6))
             context.deployment.write_configuration(gateway, context.gateway_count, latency_objective_share)
             gateway.process.send_signal(signal.SIGHUP)
@@ -276,24 +276,24 @@
 
 
 async def worker_fault(context: FaultContext, seconds: float) -> None:
-    """A planner of a gateway, or all its parsers, stall or are killed."""
+    """Kill or pause one planner of a gateway or, if it has none, all its parsers."""
     gateways = [
         gateway
         for gateway in context.deployment.gateways
-        if gateway.layout is not Layout.PLAIN and gateway.gate.admitted
+        if gateway.layout is not Layout.PLAIN and gateway.target.in_rotation
     ]
     if not gateways:
         return
     gateway = context.random.choice(gateways)
-    victims = gateway.parser_pids()
+    pids = gateway.parser_pids()
     if planners := gateway.planner_pids():
-        victims = [context.random.choice(planners)]
+        pids = [context.random.choice(planners)]
     if context.random.random() < 0.5:
-        _signal_all(victims, signal.SIGKILL)
+        _signal_all(pids, signal.SIGKILL)
     else:
-        _signal_all(victims, signal.SIGSTOP)
+        _signal_all(pids, signal.SIGSTOP)
         await asyncio.sleep(min(seconds, MAX_WORKER_PAUSE_S))
-        _signal_all(victims, signal.SIGCONT)
+        _signal_all(pids, signal.SIGCONT)
 
 
 def _signal_all(pids: list[int], number: int) -> None:
@@ -303,15 +303,15 @@
 
 
 async def idle_clients(context: FaultContext, seconds: float) -> None:
-    """Idle clients fill a gateway's descriptors."""
+    """Occupy a gateway's descriptors with idle connections."""
     gateway = context.choose_gateway()
     count, began_at = context.random.choice(IDLE_CLIENT_COUNTS), time.monotonic()
-    sockets = context.population.open_idle_connections(gateway.gate, count)
+    sockets = context.population.open_idle_connections(gateway.target, count)
     await asyncio.sleep(seconds)
     for sock in sockets:
         sock.close()
-    crowd = Crowd(gateway.name, began_at, time.monotonic())
-    context.deployment.observations.crowds.append(crowd)
+    span = IdleClientSpan(gateway.name, began_at, time.monotonic())
+    context.deployment.observations.idle_client_spans.append(span)
 
 
 FAULTS: dict[str, InjectFault] = {
@@ -322,15 +322,15 @@
     "read": call_fault("read", READ_ERRORS, (50, 300)),
     "write": call_fault("write", WRITE_ERRORS, (50, 300)),
     "disk": call_fault("disk", DISK_ERRORS, (500, 1000)),
-    "rough-calls": rough_calls,
+    "rough-calls": short_and_interrupted_calls,
     "mood": engine_fault_mode,
-    "path": broken_path,
+    "path": path_fault,
     "drain": drain,
     "engine-restart": engine_restart,
     "discovery": discovery_outage,
     "kill": gateway_kill,
     "stop": gateway_stop,
-    "pause": gateway_pauses,
+    "pause": gateway_pause,
     "upgrade": gateway_upgrade,
     "reload": gateway_reload,
     "worker": worker_fault,
--- a/bench/fault_soak/flight_clients.py
+++ b/bench/fault_soak/flight_clients.py
@@ -1,4 +1,4 @@
-"""Clients of the Flight SQL front: queries and updates, some of which are cancelled."""
+"""Clients of the Flight SQL front that send queries and updates and cancel some of them."""
 
 import asyncio
 import contextlib
@@ -9,7 +9,7 @@
 
 import h2.exceptions
 
-from bench.fault_soak.clients import Gate
+from bench.fault_soak.clients import GatewayTarget
 from bench.fault_soak.grpc_peer import GrpcPeer, Headers, PeerCall
 from bench.fault_soak.key_spacing import KeySpacing
 from bench.fault_soak.records import ClientRecord, Ending
@@ -22,27 +22,27 @@
 
 @dataclass(slots=True)
 class FlightPopulation:
-    """All Flight clients of a gateway; each call leaves a record in the shared list."""
+    """All Flight clients of a gateway; every call is recorded in the shared list."""
 
-    gate: Gate
+    target: GatewayTarget
     port: int
     random: random.Random
     records: list[ClientRecord]
     spacing: KeySpacing
     longest_deadline_s: float
     stopped: bool = False
-    is_first_call: bool = True  # of the connection that was made last
+    is_first_call: bool = True  # of the connection that was opened last
     receiving: set[asyncio.Task[None]] = field(default_factory=set)
 
     async def run_client(self) -> None:
-        """One client: call after call on a connection that it keeps while it can."""
+        """Send calls in sequence, on a connection that is mostly kept as long as it is usable."""
         peer: GrpcPeer | None = None
         while not self.stopped:
             is_usable = peer is not None and not peer.closed and not peer.draining
-            if not self.gate.admitted and not is_usable:
+            if not self.target.in_rotation and not is_usable:
                 await asyncio.sleep(0.05)
                 continue
-            if not is_usable or (self.gate.admitted and self.random.random() < 0.05):
+            if not is_usable or (self.target.in_rotation and self.random.random() < 0.05):
                 peer, self.is_first_call = await self._connect(), True
             if peer is not None and not await self._call(peer):
                 peer.writer.close()
@@ -68,9 +68,9 @@
     def _new_record(self) -> ClientRecord:
         request_class = self.random.choices((LOOKUP, REPORT, LOAD), (70, 15, 15))[0]
         ttl = self.longest_deadline_s * self.random.choice(TIMEOUT_SHARES[1:])
-        record = ClientRecord(uuid4().hex[:16], self.gate.name, request_class, ttl)
+        record = ClientRecord(uuid4().hex[:16], self.target.name, request_class, ttl)
         if request_class == LOAD:
-            key = self.spacing.reserve(self.gate.name, self.random, time.monotonic())
+            key = self.spacing.reserve(self.target.name, self.random, time.monotonic())
             record.request_class = LOAD if key else LOOKUP
             record.key, record.idempotency_key = key or "", uuid4().hex if key else ""
         self.records.append(record)
@@ -88,7 +88,7 @@
         return headers
 
     async def _call(self, peer: GrpcPeer) -> bool:
-        """One query or update to its end; whether the connection can be used again."""
+        """Send a query or an update and await its end; return whether the connection is reusable."""
         record = self._new_record()
         table, column = draw_table(self.random), draw_column(self.random)
         if record.request_class == LOAD:
@@ -103,37 +103,37 @@
         try:
             call = peer.open_call(self._headers(record, method), message)
         except (h2.exceptions.ProtocolError, OSError):
-            self._note_written(record)
+            self._report_written(record)
             return False
         record.sent_at, record.ending = time.monotonic(), Ending.SILENT
-        self._note_written(record)
-        leaves = self.random.random() < CANCELLED_SHARE
-        waits_s = self.random.uniform(0, 0.5) if leaves else record.ttl + ANSWER_SLACK_S
+        self._report_written(record)
+        is_cancelled_early = self.random.random() < CANCELLED_SHARE
+        wait_s = self.random.uniform(0, 0.5) if is_cancelled_early else record.ttl + ANSWER_SLACK_S
         with contextlib.suppress(TimeoutError):
-            await asyncio.wait_for(self._wait(call), waits_s)
+            await asyncio.wait_for(self._wait_for_end(call), wait_s)
         record.ended_at = time.monotonic()
-        self._record_ending(record, call, leaves)
+        self._record_ending(record, call, is_cancelled_early)
         if not call.ended:
             peer.reset(call.stream_id)
         return not peer.closed and not peer.draining
 
-    def _note_written(self, record: ClientRecord) -> None:
-        """Its key may be used again after a while."""
+    def _report_written(self, record: ClientRecord) -> None:
+        """Start the spacing of the record's key."""
         if record.key:
-            self.spacing.on_written(self.gate.name, record.key, time.monotonic(), self.is_first_call)
+            self.spacing.on_written(self.target.name, record.key, time.monotonic(), self.is_first_call)
         self.is_first_call = False
 
     @staticmethod
-    async def _wait(call: PeerCall) -> None:
+    async def _wait_for_end(call: PeerCall) -> None:
         while not call.ended:
             call.changed.clear()
             await call.changed.wait()
 
     @staticmethod
-    def _record_ending(record: ClientRecord, call: PeerCall, leaves: bool) -> None:
+    def _record_ending(record: ClientRecord, call: PeerCall, is_cancelled_early: bool) -> None:
         status = call.headers.get("grpc-status")
         if not call.ended:
-            if leaves:
+            if is_cancelled_early:
                 record.ending, record.left_at = Ending.LEFT, record.ended_at
             return
         if call.refused:
--- a/bench/fault_soak/flight_engine.py
+++ b/bench/fault_soak/flight_engine.py
@@ -1,9 +1,9 @@
-"""A stand-in engine on the Flight SQL wire as a process; it observes its requests itself.
+"""A stand-in engine process on the Flight SQL wire, which records the events of its own requests.
 
     python -m bench.fault_soak.flight_engine PORT SEED NAME EVENT_FILE
 
-Its mode is set by lines on standard input: the values of `EngineMode`. `torn` and `drip` have
-no effect on this wire.
+Lines on standard input set its mode; each is a value of `EngineMode`. `torn` and `drip` have no
+effect on this wire.
 """
 
 import asyncio
@@ -18,24 +18,24 @@
 from bench.fault_soak.settings import MEAN_WORK_S
 from query_gateway.flight import messages
 
-UNITS_S = {"H": 3600.0, "M": 60.0, "S": 1.0, "m": 1e-3, "u": 1e-6, "n": 1e-9}
+TIMEOUT_UNITS_S = {"H": 3600.0, "M": 60.0, "S": 1.0, "m": 1e-3, "u": 1e-6, "n": 1e-9}
 OK, REFUSED, INTERNAL = "0", "8", "13"
 
 
 class FlightEngine:
-    """Plans and runs statements after a random time, in its present mode."""
+    """Plans and runs statements with a random run time, according to its current mode."""
 
     def __init__(self, seed: int, events: EventFile) -> None:
-        """Begin without a fault."""
+        """Start with no fault injected."""
         self.random, self.events = random.Random(seed), events
         self.switch = ModeSwitch()
 
     async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        """One connection."""
+        """Serve one connection."""
         peer = GrpcPeer(reader, writer, is_client=False)
         running: dict[int, asyncio.Task[None]] = {}
         open_requests: dict[int, str] = {}
-        planned: set[str] = set()  # planned, with a result that is not requested yet
+        pending_results: set[str] = set()  # requests that are planned and whose result was not requested yet
         while changed := await peer.receive():
             for stream_id in changed:
                 call = peer.calls[stream_id]
@@ -46,14 +46,14 @@
                 elif call.ended and stream_id not in running and not call.reset:
                     client_request_id = call.headers.get("x-txn", "")
                     open_requests[stream_id] = client_request_id
-                    planned.discard(client_request_id)
+                    pending_results.discard(client_request_id)
                     if not call.headers[":path"].endswith(messages.FlightMethod.DO_GET.value):
                         self._write_request_event(client_request_id, call)
-                    run = self._run(peer, stream_id, call, open_requests, planned)
+                    run = self._run(peer, stream_id, call, open_requests, pending_results)
                     running[stream_id] = asyncio.create_task(run)
         for task in running.values():
             task.cancel()
-        for client_request_id in (*open_requests.values(), *planned):
+        for client_request_id in (*open_requests.values(), *pending_results):
             self.events.write(EngineEventKind.BROKEN, client_request_id)
         writer.close()
 
@@ -62,7 +62,7 @@
         self.events.write(
             EngineEventKind.REQUEST,
             client_request_id,
-            budget=int(timeout[:-1]) * UNITS_S[timeout[-1]],
+            budget=int(timeout[:-1]) * TIMEOUT_UNITS_S[timeout[-1]],
             idempotency_key=call.headers.get("x-txn-key", ""),
             began_at=time.monotonic(),
         )
@@ -73,7 +73,7 @@
         stream_id: int,
         call: PeerCall,
         open_requests: dict[int, str],
-        planned: set[str],
+        pending_results: set[str],
     ) -> None:
         method, mode = call.headers[":path"].rpartition("/")[2], self.switch.mode
         client_request_id = call.headers.get("x-txn", "")
@@ -93,7 +93,7 @@
             answers = [f"{client_request_id} {number}".encode() for number in range(3)]
         open_requests.pop(stream_id, None)
         if is_plan and status == OK:
-            planned.add(client_request_id)
+            pending_results.add(client_request_id)
         else:
             outcome = {OK: "ok", REFUSED: "refused"}.get(status, "error")
             self.events.write(EngineEventKind.END, client_request_id, outcome=outcome)
--- a/bench/fault_soak/gateway_process.py
+++ b/bench/fault_soak/gateway_process.py
@@ -1,4 +1,4 @@
-"""One gateway of a run: its files, its shim and its process."""
+"""A gateway of a run: its files, its shim and its process."""
 
 import contextlib
 import json
@@ -13,30 +13,30 @@
 from pathlib import Path
 from typing import Any
 
-from bench.fault_soak.clients import Gate
+from bench.fault_soak.clients import GatewayTarget
 from bench.fault_soak.control import ShimControl
 from bench.fault_soak.settings import Deadlines, settings
 from bench.loopback_ports import PortReservations
 
-DESCRIPTORS = 256
+DESCRIPTOR_LIMIT = 256
 
 
 def _limit_descriptors() -> None:
-    """Give a process the limit on descriptors that its configuration names; runs in the new process."""
-    resource.setrlimit(resource.RLIMIT_NOFILE, (DESCRIPTORS, DESCRIPTORS))
+    """Set the descriptor limit that the configuration names; runs in the child process before exec."""
+    resource.setrlimit(resource.RLIMIT_NOFILE, (DESCRIPTOR_LIMIT, DESCRIPTOR_LIMIT))
 
 
 class Layout(Enum):
-    """How a gateway is laid out in processes, and which fronts it has."""
+    """The processes and fronts of a gateway."""
 
     PLAIN = "plain"  # one process, as the platform starts it
-    FLIGHT = "flight"  # one process with the Flight SQL front and the classification of statements
+    FLIGHT = "flight"  # one process with the Flight SQL front and statement classification
     PROCESSES = "processes"  # a supervisor, two forwarders and two planners
 
 
 @dataclass(frozen=True, slots=True)
-class DiscoveryView:
-    """The discovery service in a configuration: its port, and the endpoint list to start with."""
+class DiscoverySettings:
+    """The discovery service's port and the initial endpoint list of a configuration."""
 
     port: int
     endpoint_list: dict[str, Any]
@@ -44,48 +44,50 @@
 
 @dataclass(slots=True)
 class GatewayProcess:
-    """One gateway: its configuration, its shim, and its process while it runs."""
+    """A gateway with its configuration, its shim and, while it runs, its process."""
 
     name: str
     layout: Layout
     folder: Path
-    gate: Gate
+    target: GatewayTarget
     shim: ShimControl
     number: int
     process: subprocess.Popen[bytes] | None = None
-    started: list[subprocess.Popen[bytes]] = field(default_factory=list)  # every process, first ones first
+    started: list[subprocess.Popen[bytes]] = field(default_factory=list)  # every process, oldest first
     expected_to_end: bool = False
-    busy: bool = False  # it is being stopped, killed or upgraded
+    busy: bool = False  # it is being stopped, killed, paused or upgraded
     planner_ports: list[int] = field(default_factory=list)
     flight_port: int = 0
 
     @property
     def log_path(self) -> Path:
-        """Everything that its processes have logged."""
+        """The log of all its processes."""
         return self.folder / "log.txt"
 
     @property
     def trace_path(self) -> Path:
-        """Every step of every request, of all its processes."""
+        """The trace steps of every request, written by all its processes."""
         return self.folder / "trace.txt"
 
     @property
     def last_log_line(self) -> str:
-        """What it has logged last, as a start that fails says why there."""
+        """The last line of the log, which states the cause of a failed start."""
         lines = self.log_path.read_text(errors="replace").splitlines() if self.log_path.exists() else []
         return lines[-1] if lines else "nothing logged"
 
     @property
     def running(self) -> bool:
-        """Whether its first process runs."""
+        """Whether its main process runs."""
         return self.process is not None and self.process.poll() is None
 
-    def write_configuration(self, discovery: DiscoveryView, gateway_count: int, deadlines: Deadlines) -> None:
-        """Write the file that a start or a reload reads, in the platform's words."""
+    def write_configuration(
+        self, discovery: DiscoverySettings, gateway_count: int, deadlines: Deadlines
+    ) -> None:
+        """Write the configuration that a start or a reload reads, in the platform's format."""
         configuration = {
-            "name": self.name, "listen": f"127.0.0.1:{self.gate.port}",
+            "name": self.name, "listen": f"127.0.0.1:{self.target.port}",
             "seed": f"{time.monotonic_ns():x}"[:16],
-            "limits": {"cores": 1.0, "memory_mb": 192, "sockets": DESCRIPTORS},
+            "limits": {"cores": 1.0, "memory_mb": 192, "sockets": DESCRIPTOR_LIMIT},
             "journal": f"127.0.0.1:{discovery.port}", "known": discovery.endpoint_list,
             "settings": settings(self.number, gateway_count, deadlines),
         }  # fmt: skip
@@ -94,7 +96,7 @@
         os.replace(path.with_suffix(".new"), path)
 
     def write_operator_file(self) -> None:
-        """Write the operator's file of the layout; empty for a plain gateway."""
+        """Write the operator's file for the layout; it is empty for a plain gateway."""
         text = ""
         if self.layout is Layout.FLIGHT:
             text = (
@@ -108,14 +110,14 @@
             text = f"[processes]\nplanners = [{planners}]\nforwarders = 2\n"
         (self.folder / "operator.toml").write_text(text)
 
-    def spawn(self, root: Path, shim_library: Path) -> None:
-        """Start the gateway's process from nothing; its log goes on in the same file."""
+    def start(self, root: Path, shim_library: Path) -> None:
+        """Start the gateway with an empty temporary folder; its log is appended to the same file."""
         shutil.rmtree(self.folder / "tmp", ignore_errors=True)
         (self.folder / "tmp").mkdir(exist_ok=True)
         self.process = self.start_process(root, shim_library)
 
     def start_process(self, root: Path, shim_library: Path) -> subprocess.Popen[bytes]:
-        """Start a process of the gateway with the shim loaded, beside the one that may run."""
+        """Start a process of the gateway with the shim loaded; another one may still run."""
         environment = os.environ | self.shim.environment(shim_library)
         environment |= {
             "ROUTER_CONFIG": str(self.folder / "config.json"),
@@ -136,21 +138,21 @@
         return process
 
     def signal_group(self, number: int) -> None:
-        """Send a signal to all processes of the gateway that started with the present one."""
+        """Send a signal to the process group of the gateway's current process."""
         assert self.process
         with contextlib.suppress(ProcessLookupError):
             os.killpg(self.process.pid, number)
 
     def planner_pids(self) -> list[int]:
-        """The planner processes that the gateway's first process has started."""
+        """The process ids of the planners that the gateway's main process has started."""
         return self._child_pids("environ", b"QUERY_GATEWAY_PART=planner")
 
     def parser_pids(self) -> list[int]:
-        """The parser processes that the gateway's first process has started."""
+        """The process ids of the parsers that the gateway's main process has started."""
         return self._child_pids("cmdline", b"query_gateway.parsing.worker")
 
     def _child_pids(self, file_name: str, content: bytes) -> list[int]:
-        """The children of the first process whose file under /proc holds these bytes."""
+        """The children of the main process whose file of this name under /proc contains `content`."""
         assert self.process
         children = Path(f"/proc/{self.process.pid}/task/{self.process.pid}/children")
         pids = []
@@ -161,7 +163,7 @@
         return pids
 
     def close(self) -> None:
-        """End every process of the gateway, also one that is not the present one."""
+        """Kill every process of the gateway, including predecessors that still run."""
         for process in self.started:
             if process.returncode is None or process is self.process:
                 with contextlib.suppress(ProcessLookupError):
@@ -172,7 +174,7 @@
 def create_gateway_process(
     folder: Path, layout: Layout, number: int, port_reservations: PortReservations
 ) -> GatewayProcess:
-    """Make a gateway's folders and choose its ports; nothing is started."""
+    """Create a gateway's folders and reserve its ports without starting it."""
     name = f"g{number}-{layout.value}"
     gateway_folder = folder / name
     (gateway_folder / "tmp").mkdir(parents=True)
@@ -181,7 +183,7 @@
         name,
         layout,
         gateway_folder,
-        Gate(name, port_reservations.reserve(), admitted=False),
+        GatewayTarget(name, port_reservations.reserve(), in_rotation=False),
         ShimControl(gateway_folder / "shim"),
         number,
         planner_ports=[port_reservations.reserve(), port_reservations.reserve()],
--- a/bench/fault_soak/grpc_peer.py
+++ b/bench/fault_soak/grpc_peer.py
@@ -1,4 +1,4 @@
-"""The peer's side of a gRPC connection for the soak's own engines and clients: h2 on asyncio streams."""
+"""A gRPC connection for the soak's stand-in engines and clients, on h2 and asyncio streams."""
 
 import asyncio
 import contextlib
@@ -12,35 +12,35 @@
 from query_gateway.rpc.framing import MessageDecoder, encode_message
 
 READ_SIZE = 65_536
-FRAME_HEAD_BYTES, FRAME_TYPE_AT, GOAWAY_TYPE = 9, 3, 7
+FRAME_HEADER_BYTES, FRAME_TYPE_OFFSET, GOAWAY_TYPE = 9, 3, 7
 PREFACE = b"PRI * HTTP/2.0\r\n\r\nSM\r\n\r\n"
 Headers = list[tuple[str, str]]
 
 
 @dataclass(slots=True)
 class PeerCall:
-    """One call as it is seen here."""
+    """One call as this side of the connection sees it."""
 
     stream_id: int
     headers: dict[str, str] = field(default_factory=dict)
     messages: list[bytes] = field(default_factory=list)
     decoder: MessageDecoder = field(default_factory=MessageDecoder)
-    ended: bool = False  # by the other side: END_STREAM or a reset
+    ended: bool = False  # by the other side, with END_STREAM or a reset
     reset: bool = False
-    refused: bool = False  # it crossed the other side's GOAWAY
+    refused: bool = False  # its stream is above the last one that the other side's GOAWAY accepts
     changed: asyncio.Event = field(default_factory=asyncio.Event)
 
 
 class GrpcPeer:
-    """One connection with its calls."""
+    """One connection and its calls."""
 
     def __init__(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter, is_client: bool) -> None:
-        """Send the preface."""
+        """Send the connection preface."""
         self.reader, self.writer = reader, writer
         config = h2.config.H2Configuration(client_side=is_client, header_encoding="utf-8")
         self.h2 = h2.connection.H2Connection(config)
         self.calls: dict[int, PeerCall] = {}
-        self.draining = False  # the other side takes no further call
+        self.draining = False  # the other side has sent GOAWAY and accepts no further call
         self.closed = False
         self._preface_bytes_left = 0 if is_client else len(PREFACE)
         self._buffer = bytearray()
@@ -48,12 +48,12 @@
         self.flush()
 
     def flush(self) -> None:
-        """Write what h2 has ready."""
+        """Write the pending output of h2."""
         if data := self.h2.data_to_send():
             self.writer.write(data)
 
     def open_call(self, headers: Headers, message: bytes) -> PeerCall:
-        """Begin a call with its one message; raises h2's ProtocolError if the connection takes none."""
+        """Start a call with a single message; raises h2's ProtocolError if no stream can be opened."""
         stream_id = self.h2.get_next_available_stream_id()
         call = self.calls[stream_id] = PeerCall(stream_id)
         self.h2.send_headers(stream_id, headers)
@@ -62,7 +62,7 @@
         return call
 
     def answer(self, stream_id: int, messages: list[bytes], trailers: Headers) -> None:
-        """Answer a call completely: headers, messages and trailers."""
+        """Send the complete answer to a call: headers, messages and trailers."""
         with contextlib.suppress(h2.exceptions.ProtocolError):
             self.h2.send_headers(stream_id, [(":status", "200"), ("content-type", "application/grpc")])
             for message in messages:
@@ -71,17 +71,17 @@
             self.flush()
 
     def reset(self, stream_id: int) -> None:
-        """Cancel a call."""
+        """Cancel a call with RST_STREAM (CANCEL)."""
         with contextlib.suppress(h2.exceptions.ProtocolError):
             self.h2.reset_stream(stream_id, 8)
             self.flush()
 
     async def receive(self) -> list[int]:
-        """The calls that changed with what was read next; empty at the end of the connection."""
+        """Read until calls change and return their stream ids; none at the end of the connection."""
         while not self.closed:
             try:
                 data = await self.reader.read(READ_SIZE)
-                events = self.h2.receive_data(self._without_goaway(data)) if data else []
+                events = self.h2.receive_data(self._remove_goaway(data)) if data else []
             except (OSError, h2.exceptions.ProtocolError):
                 data, events = b"", []
             if not data:
@@ -97,20 +97,20 @@
             call.changed.set()
         return []
 
-    def _without_goaway(self, data: bytes) -> bytes:
-        """The complete frames that have come, without GOAWAY: h2 drops data of open calls after one."""
+    def _remove_goaway(self, data: bytes) -> bytes:
+        """Return the complete frames received, without GOAWAY, after which h2 discards data of open calls."""
         self._buffer += data
         passed = bytes(self._buffer[: self._preface_bytes_left])
         del self._buffer[: len(passed)]
         self._preface_bytes_left -= len(passed)
-        while len(self._buffer) >= FRAME_HEAD_BYTES:
-            end = FRAME_HEAD_BYTES + int.from_bytes(self._buffer[:3], "big")
+        while len(self._buffer) >= FRAME_HEADER_BYTES:
+            end = FRAME_HEADER_BYTES + int.from_bytes(self._buffer[:3], "big")
             if len(self._buffer) < end:
                 break
             frame = bytes(self._buffer[:end])
             del self._buffer[:end]
-            if frame[FRAME_TYPE_AT] == GOAWAY_TYPE:
-                self._on_goaway(int.from_bytes(frame[FRAME_HEAD_BYTES : FRAME_HEAD_BYTES + 4], "big"))
+            if frame[FRAME_TYPE_OFFSET] == GOAWAY_TYPE:
+                self._on_goaway(int.from_bytes(frame[FRAME_HEADER_BYTES : FRAME_HEADER_BYTES + 4], "big"))
             else:
                 passed += frame
         return passed
@@ -123,7 +123,7 @@
                 call.changed.set()
 
     def _apply(self, event: h2.events.Event) -> int:
-        """Note an event; the call that it concerns, 0 if none does."""
+        """Apply an event to its call; return the stream id, or 0 if it concerns no call."""
         stream_id = int(getattr(event, "stream_id", 0) or 0)
         if not stream_id:
             return 0
--- a/bench/fault_soak/oracle.py
+++ b/bench/fault_soak/oracle.py
@@ -1,7 +1,7 @@
-"""The oracle: which promises a run has broken. Pure: observations in, violations out.
+"""The oracle: a pure function from a run's observations to the promises that the run violated.
 
-Each check names the promise as `docs/promises.md` does. Where the soak's own processes did not run, what they
-measured meanwhile proves nothing, so such spans are left out and counted.
+Each check names its promise as `docs/promises.md` does. Observations made while the soak's own process was
+stalled are unreliable, so violations in such spans are dropped and the length of the spans is reported.
 """
 
 from collections import defaultdict
@@ -9,7 +9,7 @@
 from dataclasses import dataclass
 from itertools import permutations
 
-from bench.fault_soak.clients import CLOSE_CROSSING_S
+from bench.fault_soak.clients import CLOSE_RACE_S
 from bench.fault_soak.evidence import Attempt, Evidence
 from bench.fault_soak.key_spacing import SPACING_S
 from bench.fault_soak.records import ClientRecord, Ending, EngineChange, EngineChangeKind, Observations
@@ -24,17 +24,17 @@
     request_allowance_in_slow_start,
 )
 
-MEASUREMENT_S = 0.06  # by which the soak's own processes may observe an event late
-ABANDONED_GRACE_S = 0.1  # an attempt may begin so long after its client has left
+OBSERVATION_DELAY_S = 0.06  # upper bound on how late the soak's own processes observe an event
+ABANDONED_GRACE_S = 0.1  # an attempt may start this long after its client has disconnected
 BUDGET_SLACK_S = 0.15
-SPACING_TOLERANCE_S = 0.01  # by which clients note late when they have written
+SPACING_TOLERANCE_S = 0.01  # how late clients may record the time of a write
 NEVER = float("inf")
-KEY_QUARANTINE_S = 0.3  # after an attempt with unknown outcome
+KEY_QUARANTINE_S = 0.3  # after an attempt whose outcome is unknown
 
 
 @dataclass(slots=True, frozen=True)
 class Violation:
-    """One broken promise."""
+    """One violation of a promise."""
 
     promise: str
     at: float
@@ -45,58 +45,60 @@
 
 
 class Oracle:
-    """Checks one run."""
+    """Checks the observations of one run."""
 
     def __init__(self, observations: Observations) -> None:
-        """Arrange what was observed."""
+        """Index the observations."""
         self.evidence = Evidence(observations)
 
     def violations(self) -> list[Violation]:
-        """All broken promises, in the order of their time."""
-        found = [
+        """All violations, ordered by their time."""
+        violations = [
             violation
             for check in CHECKS
             for violation in check(self.evidence)
-            if not self.evidence.in_stall(violation.at)
+            if not self.evidence.is_in_driver_stall(violation.at)
         ]
-        return sorted(found, key=lambda violation: violation.at)
+        return sorted(violations, key=lambda violation: violation.at)
 
 
 # ---- clients
 
 
 def lost_requests(evidence: Evidence) -> Iterator[Violation]:
-    """Requests without an answer, and late ones."""
+    """Requests that were not answered or were answered late."""
     promise = "one final answer in time"
     for record in evidence.observations.clients:
-        if not record.sent_at or evidence.was_ended(record):
+        if not record.sent_at or evidence.was_open_at_kill(record):
             continue
-        due_at = max(record.sent_at + record.ttl, record.turn_at) + ANSWER_SLACK_S + MEASUREMENT_S
+        due_at = max(record.sent_at + record.ttl, record.turn_at) + ANSWER_SLACK_S + OBSERVATION_DELAY_S
         is_answered = record.ending in (Ending.SERVED, Ending.REJECTED, Ending.FAILED)
         if record.ending is Ending.SILENT and record.ended_at:
             yield Violation(promise, record.ended_at, _describe(record, "no answer"))
-        elif record.ending is Ending.CLOSED and not _crossed_close(evidence, record):
+        elif record.ending is Ending.CLOSED and not _raced_with_close(evidence, record):
             yield Violation(promise, record.ended_at, _describe(record, "closed unanswered"))
         elif is_answered and record.ended_at > due_at:
             yield Violation(promise, record.ended_at, _describe(record, "late"))
 
 
-def _crossed_close(evidence: Evidence, record: ClientRecord) -> bool:
-    """Whether a request was written as the gateway closed a connection with no request open on it.
+def _raced_with_close(evidence: Evidence, record: ClientRecord) -> bool:
+    """Whether a request was written while the gateway closed its idle connection.
 
-    It was not read, and its client saw the close within the time in which it sends the request once more. New
-    connections may be closed so in a crowd alone.
+    The gateway has then not read the request, and the client sees the close within the time in which it
+    repeats the request. A new connection may be closed like this only while idle clients fill the gateway.
     """
     if record.client_request_id in evidence.observations.read_requests:
         return False
-    if not record.reused_connection and not evidence.is_crowded(record.gateway, record.sent_at):
+    if not record.reused_connection and not evidence.is_filled_by_idle_clients(
+        record.gateway, record.sent_at
+    ):
         return False
     delay_s = evidence.driver_delay(record.sent_at, record.ended_at)
-    return record.ended_at - record.sent_at <= CLOSE_CROSSING_S + delay_s
+    return record.ended_at - record.sent_at <= CLOSE_RACE_S + delay_s
 
 
 def unreadable_answers(evidence: Evidence) -> Iterator[Violation]:
-    """Answers that are incomplete, malformed or another request's."""
+    """Answers that are incomplete, malformed or belong to another request."""
     promise = "the answer is whole and the request's own"
     for record in evidence.observations.clients:
         if record.ending is Ending.UNREADABLE:
@@ -104,26 +106,26 @@
 
 
 def attempts_after_client_left(evidence: Evidence) -> Iterator[Violation]:
-    """Attempts that begin though their client has closed its connection."""
+    """Attempts that start although their client has closed its connection."""
     promise = "nothing begins for a client that left"
-    for found in evidence.client_attempts():
-        request = found.attempt.request
-        late_s = request.began_at - found.client.left_at
-        if found.client.left_at and late_s > ABANDONED_GRACE_S + MEASUREMENT_S:
+    for client_attempt in evidence.client_attempts():
+        request = client_attempt.attempt.request
+        late_s = request.began_at - client_attempt.client.left_at
+        if client_attempt.client.left_at and late_s > ABANDONED_GRACE_S + OBSERVATION_DELAY_S:
             detail = f"sent to {request.engine} {late_s:.3f} s after its client left"
-            yield Violation(promise, request.observed_at, _describe(found.client, detail))
+            yield Violation(promise, request.observed_at, _describe(client_attempt.client, detail))
 
 
 def exceeded_budgets(evidence: Evidence) -> Iterator[Violation]:
-    """Attempts that an engine may run for longer than the client waits."""
+    """Attempts whose deadline at the engine is later than the client's."""
     promise = "the deadline passed on is the client's"
-    for found in evidence.client_attempts():
-        record, request = found.client, found.attempt.request
+    for client_attempt in evidence.client_attempts():
+        record, request = client_attempt.client, client_attempt.attempt.request
         if not record.sent_at:
             continue
         remaining_s = record.sent_at + record.ttl - request.observed_at
         excess_s = request.budget - max(0.0, remaining_s)
-        if excess_s > BUDGET_SLACK_S + MEASUREMENT_S:
+        if excess_s > BUDGET_SLACK_S + OBSERVATION_DELAY_S:
             detail = f"{request.budget:.3f} s passed on with {remaining_s:.3f} s left"
             yield Violation(promise, request.observed_at, _describe(record, detail))
 
@@ -132,20 +134,20 @@
 
 
 def concurrent_attempts(evidence: Evidence) -> Iterator[Violation]:
-    """Two attempts of one request at two engines at once."""
+    """Attempts of one request that overlap at two engines."""
     for client_request_id, attempts in evidence.attempts.items():
         for earlier, later in zip(attempts, attempts[1:], strict=False):
             overlap_s = earlier.ended_at - later.request.observed_at
             if evidence.is_unread(earlier.request.engine, earlier.ended_at):
-                continue  # its end was observed late
-            if overlap_s > MEASUREMENT_S and earlier.request.engine != later.request.engine:
+                continue  # its end may have been observed late
+            if overlap_s > OBSERVATION_DELAY_S and earlier.request.engine != later.request.engine:
                 detail = f"at {earlier.request.engine} and {later.request.engine} for {overlap_s:.3f} s"
                 record = evidence.clients.get(client_request_id)
                 yield Violation("one attempt out", later.request.observed_at, _describe(record, detail))
 
 
 def doubled_effects(evidence: Evidence) -> Iterator[Violation]:
-    """Repeats of requests whose effect may then come twice."""
+    """Repeated requests whose effect may be applied twice."""
     promise = "no doubled effect"
     for client_request_id, attempts in evidence.attempts.items():
         record = evidence.clients.get(client_request_id)
@@ -158,7 +160,7 @@
             yield Violation(promise, last.observed_at, _describe(record, detail))
         elif (
             record.request_class == LOAD
-            and last.began_at - earliest.observed_at > DEDUPLICATION_WINDOW_S + MEASUREMENT_S
+            and last.began_at - earliest.observed_at > DEDUPLICATION_WINDOW_S + OBSERVATION_DELAY_S
         ):
             detail = f"repeated {last.observed_at - earliest.observed_at:.3f} s after its first attempt"
             yield Violation(promise, last.observed_at, _describe(record, detail))
@@ -166,14 +168,14 @@
 
 @dataclass(frozen=True, slots=True)
 class GatewayKey:
-    """A key as one gateway orders its requests."""
+    """A key at one gateway, the scope of per-key ordering."""
 
     gateway: str
     key: str
 
 
 def key_order(evidence: Evidence) -> Iterator[Violation]:
-    """Loads of one key and gateway run one at a time."""
+    """Loads of one key at one gateway that overlap or start before the end of a key quarantine."""
     groups: dict[GatewayKey, list[Attempt]] = defaultdict(list)
     for client_request_id, attempts in evidence.attempts.items():
         if (record := evidence.clients.get(client_request_id)) and record.request_class == LOAD:
@@ -185,7 +187,7 @@
 
 
 def key_order_as_sent(evidence: Evidence) -> Iterator[Violation]:
-    """Loads that begin at an engine while one of their key, which was sent earlier, has no answer."""
+    """Loads that start while a load of the same key that was sent earlier is unanswered."""
     groups: dict[GatewayKey, list[ClientRecord]] = defaultdict(list)
     for record in evidence.observations.clients:
         if record.request_class == LOAD and record.sent_at and not record.pipelined:
@@ -206,10 +208,10 @@
     )
     for attempt in evidence.attempts.get(later.client_request_id, []):
         began_at = attempt.request.began_at
-        if began_at >= earlier_waits_until - MEASUREMENT_S:
+        if began_at >= earlier_waits_until - OBSERVATION_DELAY_S:
             continue
-        if evidence.crosses_outage(earlier.gateway, earlier.sent_at, began_at):
-            continue  # what a gateway had taken before it ended is lost
+        if evidence.overlaps_outage(earlier.gateway, earlier.sent_at, began_at):
+            continue  # a gateway that ends loses its accepted requests and their order
         detail = (
             f"overtook {earlier.client_request_id}, sent {later.sent_at - earlier.sent_at:.3f} s before it "
             f"and open for {earlier_waits_until - began_at:.3f} s more"
@@ -218,27 +220,27 @@
 
 
 def _check_consecutive(evidence: Evidence, earlier: Attempt, later: Attempt) -> Iterator[Violation]:
-    """Two attempts of one key, one directly after the other."""
+    """Check two consecutive attempts of one key."""
     if earlier.request.client_request_id == later.request.client_request_id:
         return
     earlier_client = evidence.clients[earlier.request.client_request_id]
     later_client = evidence.clients[later.request.client_request_id]
     later_at = later.request.observed_at
-    if evidence.crosses_outage(earlier_client.gateway, earlier.request.observed_at, later_at):
-        return  # a gateway that starts again knows nothing of its earlier attempts
-    earlier_ended_at = _end_known_outside(evidence, earlier, earlier_client)
-    if earlier_ended_at - later_at > MEASUREMENT_S:
+    if evidence.overlaps_outage(earlier_client.gateway, earlier.request.observed_at, later_at):
+        return  # a restarted gateway does not know its earlier attempts
+    earlier_ended_at = _earliest_known_end(evidence, earlier, earlier_client)
+    if earlier_ended_at - later_at > OBSERVATION_DELAY_S:
         detail = f"runs beside {earlier_client.client_request_id} of its key"
         yield Violation("loads of one key run in turn", later_at, _describe(later_client, detail))
-    elif earlier.given_up and later_at - earlier_ended_at < KEY_QUARANTINE_S - MEASUREMENT_S:
+    elif earlier.interrupted and later_at - earlier_ended_at < KEY_QUARANTINE_S - OBSERVATION_DELAY_S:
         waited_s = later_at - earlier_ended_at
         detail = f"{waited_s:.3f} s after {earlier_client.client_request_id} was given up"
         yield Violation("keys rest after a doubt", later_at, _describe(later_client, detail))
 
 
-def _end_known_outside(evidence: Evidence, attempt: Attempt, client: ClientRecord) -> float:
-    """When an attempt ended. A STOP that waited unread had left by the time the client got its answer."""
-    was_stop_unread = attempt.given_up and evidence.is_unread(attempt.request.engine, attempt.ended_at)
+def _earliest_known_end(evidence: Evidence, attempt: Attempt, client: ClientRecord) -> float:
+    """When an attempt ended. A STOP that waited unread was sent before the client got its answer."""
+    was_stop_unread = attempt.interrupted and evidence.is_unread(attempt.request.engine, attempt.ended_at)
     return min(attempt.ended_at, client.ended_at) if was_stop_unread else attempt.ended_at
 
 
@@ -246,35 +248,37 @@
 
 
 def sends_to_draining_engines(evidence: Evidence) -> Iterator[Violation]:
-    """Attempts that begin at an engine too long after it was published as draining."""
+    """Attempts that start at a draining engine after the gateway's notification and the drain grace."""
     promise = "nothing to a draining engine"
     for change in evidence.observations.changes:
         if change.kind is not EngineChangeKind.DRAINING:
             continue
         back_at = evidence.next_change_at(change)
-        for found in evidence.client_attempts():
-            request = found.attempt.request
-            if _listed_name(request.engine) != change.engine:
+        for client_attempt in evidence.client_attempts():
+            request = client_attempt.attempt.request
+            if _base_engine_name(request.engine) != change.engine:
                 continue
             if not change.changed_at <= request.began_at < back_at:
                 continue
-            late_s = request.began_at - evidence.notified_at(change, found.client.gateway, request.began_at)
-            if late_s > DRAIN_GRACE_S + MEASUREMENT_S:
+            late_s = request.began_at - evidence.notified_at(
+                change, client_attempt.client.gateway, request.began_at
+            )
+            if late_s > DRAIN_GRACE_S + OBSERVATION_DELAY_S:
                 detail = f"sent {late_s:.3f} s after notification that {change.engine} is {change.kind.value}"
-                yield Violation(promise, request.observed_at, _describe(found.client, detail))
+                yield Violation(promise, request.observed_at, _describe(client_attempt.client, detail))
 
 
 def overloads_in_slow_start(evidence: Evidence) -> Iterator[Violation]:
-    """Engines in slow start that get more requests within a window than they are allowed."""
+    """Engines in slow start that get more requests within a window than is allowed."""
     for change in evidence.observations.changes:
         if change.kind is not EngineChangeKind.RESTARTED:
             continue
         times = _requests_in_slow_start(evidence, change)
-        window_begin = 0
+        window_start = 0
         for position, at in enumerate(times):
-            while at - times[window_begin] > OVERLOAD_WINDOW_S:
-                window_begin += 1
-            count = position - window_begin + 1
+            while at - times[window_start] > OVERLOAD_WINDOW_S:
+                window_start += 1
+            count = position - window_start + 1
             allowed = request_allowance_in_slow_start(at - change.changed_at)
             if count > allowed:
                 detail = f"{change.engine}: {count} requests in {OVERLOAD_WINDOW_S} s, {allowed:.1f} allowed"
@@ -283,22 +287,24 @@
 
 
 def _requests_in_slow_start(evidence: Evidence, change: EngineChange) -> list[float]:
-    """When the engine got requests from gateways that knew of its restart, in order."""
+    """The sorted times at which the engine got requests from gateways notified of its restart."""
     return sorted(
-        found.attempt.request.observed_at
-        for found in evidence.client_attempts()
-        if _listed_name(found.attempt.request.engine) == change.engine
-        and found.attempt.request.observed_at < change.changed_at + SLOW_START_S
-        and found.attempt.request.observed_at
-        >= evidence.notified_at(change, found.client.gateway, found.attempt.request.observed_at)
+        client_attempt.attempt.request.observed_at
+        for client_attempt in evidence.client_attempts()
+        if _base_engine_name(client_attempt.attempt.request.engine) == change.engine
+        and client_attempt.attempt.request.observed_at < change.changed_at + SLOW_START_S
+        and client_attempt.attempt.request.observed_at
+        >= evidence.notified_at(
+            change, client_attempt.client.gateway, client_attempt.attempt.request.observed_at
+        )
     )
 
 
-# ---- the gateways' processes
+# ---- gateway processes
 
 
 def process_faults(evidence: Evidence) -> Iterator[Violation]:
-    """Crashes, and what the gateways have logged of their own faults."""
+    """Crashes, failed starts, and internal errors and invariant violations that gateways have logged."""
     for crash in evidence.observations.crashes:
         yield Violation("no crash, no failed start", 0.0, crash)
     for line in evidence.observations.log_faults:
@@ -314,8 +320,8 @@
 )  # fmt: skip
 
 
-def _listed_name(engine: str) -> str:
-    """The engine's name in the endpoint list, whichever wire it was observed on."""
+def _base_engine_name(engine: str) -> str:
+    """The engine's name in the endpoint list, without the suffix of the wire."""
     return engine.partition("@")[0]
 
 
--- a/bench/fault_soak/proxy.py
+++ b/bench/fault_soak/proxy.py
@@ -1,12 +1,13 @@
-"""The fault proxy in front of one engine, as a process: it relays, observes every request, and breaks things.
+"""The fault proxy process in front of one engine: relays, records every request and injects faults.
 
     python -m bench.fault_soak.proxy PORT ENGINE_PORT ENGINE_NAME EVENT_FILE [opaque]
 
-With `opaque` it relays what it does not understand, and observes nothing.
+With `opaque` it relays bytes without parsing them, and records no requests.
 
-Orders come as lines on standard input: `pass`, `stall` (connections stay open and quiet), `unread` (nothing
-is read from the gateways), `late` (no connection comes up), `reset` (all connections break once),
-`idle-close` (idle connections are closed once). Events go to the file as JSON lines: `records.EngineEvent`.
+Commands are lines on standard input: `pass`, `stall` (connections stay open and nothing is relayed), `unread`
+(nothing is read from the gateways), `late` (no connection is accepted), `reset` (all present connections are
+reset), `idle-close` (all present idle connections are closed). Events are appended to the file as JSON lines
+of `records.EngineEvent`.
 """
 
 import asyncio
@@ -25,22 +26,22 @@
 BACKLOG_FILLERS = 12
 REFILL_AFTER_S = 0.02
 READ_SIZE = 65_536
-# Their last word is no length, though it may consist of digits: a number, or an id such as 6402819666044852
+# Their last word may consist of digits, such as a number or the id 6402819666044852, but is not a length
 COMMANDS_WITHOUT_BODY = ("NICE", "FETCH", "STOP", "END")
 FINAL_OUTCOMES = ("ok", "refused", "error", "stale")
 
 
 class FrameObserver:
-    """Follows the lines of one direction of a connection and calls `on_frame` for each with its begin."""
+    """Parses the frames of one direction of a connection and reports each with its start time."""
 
     def __init__(self, on_frame: Callable[[list[str], float], None]) -> None:
-        """`on_frame(words, began_at)` is called when a line and its body are complete."""
+        """`on_frame(words, began_at)` is called for each line once its body is complete."""
         self.on_frame = on_frame
         self.buffer = bytearray()
         self.began_at = 0.0
 
     def feed(self, data: bytes) -> None:
-        """Take what was read just now."""
+        """Parse bytes that have just been read."""
         if not self.buffer:
             self.began_at = time.monotonic()
         self.buffer += data
@@ -54,28 +55,28 @@
         words = self.buffer[:end].decode("ascii", "replace").split()
         has_body = bool(words) and words[-1].isdigit() and words[0] not in COMMANDS_WITHOUT_BODY
         length = int(words[-1]) if has_body else 0
-        total = end + 1 + (length + 2 if length else 0)
-        if len(self.buffer) < total:
+        frame_length = end + 1 + (length + 2 if length else 0)
+        if len(self.buffer) < frame_length:
             return False
-        del self.buffer[:total]
+        del self.buffer[:frame_length]
         if words:
             self.on_frame(words, self.began_at)
         return True
 
 
 class RelayedConnection:
-    """One relayed connection and the requests that are open on it."""
+    """A relayed connection and the requests in flight on it."""
 
     def __init__(self, proxy: "Proxy", gateway: asyncio.StreamWriter, engine: asyncio.StreamWriter) -> None:
-        """Relay between the two."""
+        """Relay between a gateway and the engine."""
         self.proxy, self.gateway, self.engine = proxy, gateway, engine
-        self.open: set[str] = set()
+        self.open_requests: set[str] = set()
         self.closed = False
 
     def on_request_frame(self, words: list[str], began_at: float) -> None:
-        """A line of the gateway."""
+        """Record a request or a cancellation that the gateway has sent."""
         if words[0] == "REQ":
-            self.open.add(words[1])
+            self.open_requests.add(words[1])
             fields = dict(pair.split("=") for pair in words[2].split(",") if "=" in pair)
             self.proxy.events.write(
                 EngineEventKind.REQUEST,
@@ -84,22 +85,22 @@
                 idempotency_key=fields.get("uniq", ""),
                 began_at=began_at,
             )
-        elif words[0] == "STOP" and words[1] in self.open:
-            self.open.discard(words[1])
+        elif words[0] == "STOP" and words[1] in self.open_requests:
+            self.open_requests.discard(words[1])
             self.proxy.events.write(EngineEventKind.STOP, words[1])
 
     def on_answer_frame(self, words: list[str], _: float) -> None:
-        """A line of the engine, which is relayed right after this."""
-        if len(words) > 1 and words[1] in FINAL_OUTCOMES and words[0] in self.open:
-            self.open.discard(words[0])
+        """Record a final answer of the engine, just before it is relayed."""
+        if len(words) > 1 and words[1] in FINAL_OUTCOMES and words[0] in self.open_requests:
+            self.open_requests.discard(words[0])
             self.proxy.events.write(EngineEventKind.END, words[0], outcome=words[1])
 
     def close(self, reset: bool = False) -> None:
-        """End the connection on both sides; the requests open on it end as broken."""
+        """Close both sides of the connection; requests in flight on it end as broken."""
         if self.closed:
             return
         self.closed = True
-        for client_request_id in self.open:
+        for client_request_id in self.open_requests:
             self.proxy.events.write(EngineEventKind.BROKEN, client_request_id)
         self.proxy.connections.discard(self)
         if reset:
@@ -113,14 +114,14 @@
 
 
 class Proxy:
-    """Accepts the gateways' connections to one engine."""
+    """Accepts gateway connections to one engine and relays them."""
 
     def __init__(self, port: int, engine_port: int, events: EventFile, observes: bool) -> None:
-        """Listen at once."""
+        """Start to listen; with `observes`, frames are parsed and recorded."""
         self.observes = observes
         self.engine_port, self.events = engine_port, events
         self.connections: set[RelayedConnection] = set()
-        self.order = "pass"
+        self.command = "pass"
         self.passing, self.reading, self.accepting = asyncio.Event(), asyncio.Event(), asyncio.Event()
         self.fillers: list[socket.socket] = []
         self.listener = socket.socket()
@@ -129,22 +130,22 @@
         self.listener.bind(("127.0.0.1", port))
         self.listener.listen(BACKLOG)
         self.listener.setblocking(False)
-        self.obey("pass")
+        self.apply_command("pass")
 
-    def obey(self, order: str) -> None:
-        """Change how connections are relayed."""
-        if order in ("reset", "idle-close"):
+    def apply_command(self, command: str) -> None:
+        """Apply a command: change how connections are relayed, or break the present ones."""
+        if command in ("reset", "idle-close"):
             for connection in list(self.connections):
-                if order == "reset" or not connection.open:
-                    connection.close(reset=order == "reset")
+                if command == "reset" or not connection.open_requests:
+                    connection.close(reset=command == "reset")
             return
-        self.order = order
-        (self.passing.clear if order == "stall" else self.passing.set)()
-        (self.reading.clear if order == "unread" else self.reading.set)()
-        if order == "late":
+        self.command = command
+        (self.passing.clear if command == "stall" else self.passing.set)()
+        (self.reading.clear if command == "unread" else self.reading.set)()
+        if command == "late":
             self.accepting.clear()
             self._fill_backlog()
-            # The accept that was under way takes one of them, so the backlog is filled again
+            # The pending accept removes one connection from the backlog, so the backlog is refilled
             asyncio.get_running_loop().call_later(REFILL_AFTER_S, self._fill_backlog)
         else:
             self.accepting.set()
@@ -162,7 +163,7 @@
             self.fillers.append(filler)
 
     async def accept(self) -> None:
-        """Accept until cancelled, except while connections are to come up late."""
+        """Accept until cancelled, except while the command is `late`."""
         loop = asyncio.get_running_loop()
         while True:
             await self.accepting.wait()
@@ -188,13 +189,13 @@
         self, connection: RelayedConnection, reader: asyncio.StreamReader, writer: asyncio.StreamWriter,
         observer: FrameObserver, from_gateway: bool,
     ) -> None:  # fmt: skip
-        """Relay one direction until its end; what a gateway sends is observed when it comes."""
-        unsent: asyncio.Queue[bytes] = asyncio.Queue()
+        """Relay one direction until it ends; frames of a gateway are recorded when they are read."""
+        pending: asyncio.Queue[bytes] = asyncio.Queue()
 
         async def forward() -> None:
-            """Write what was read as soon as connections do not stall."""
+            """Write pending data except while connections are stalled."""
             while True:
-                data = await unsent.get()
+                data = await pending.get()
                 await self.passing.wait()
                 if not from_gateway and self.observes:
                     observer.feed(data)
@@ -212,26 +213,26 @@
                     break
                 if from_gateway and self.observes:
                     observer.feed(data)
-                unsent.put_nowait(data)
-        while not from_gateway and not unsent.empty() and not connection.closed:
-            await asyncio.sleep(0.01)  # what the engine wrote before its end still arrives
+                pending.put_nowait(data)
+        while not from_gateway and not pending.empty() and not connection.closed:
+            await asyncio.sleep(0.01)  # data that the engine wrote before it closed is still relayed
         forwarding.cancel()
         connection.close()
 
 
 async def main() -> None:
-    """Obey standard input until it ends."""
+    """Serve and apply the commands on standard input until it ends."""
     port, engine_port, engine, path = int(sys.argv[1]), int(sys.argv[2]), sys.argv[3], sys.argv[4]
     with open(path, "a", buffering=1) as file:
         events = EventFile(engine, file)
         proxy = Proxy(port, engine_port, events, "opaque" not in sys.argv)
         accepting = asyncio.create_task(proxy.accept())
-        orders = asyncio.StreamReader()
+        commands = asyncio.StreamReader()
         await asyncio.get_running_loop().connect_read_pipe(
-            lambda: asyncio.StreamReaderProtocol(orders), sys.stdin
+            lambda: asyncio.StreamReaderProtocol(commands), sys.stdin
         )
-        while line := await orders.readline():
-            proxy.obey(line.decode().strip())
+        while line := await commands.readline():
+            proxy.apply_command(line.decode().strip())
         accepting.cancel()
 
 
--- a/bench/fault_soak/records.py
+++ b/bench/fault_soak/records.py
@@ -1,20 +1,20 @@
-"""What the soak observes, as typed values. All times are seconds of the machine's monotonic clock."""
+"""Records of what the soak observes. All times are in seconds of the machine's monotonic clock."""
 
 from dataclasses import dataclass, field
 from enum import Enum
 
 
 class Ending(Enum):
-    """How a client's request ended, as the client saw it."""
+    """How a request ended, as its client saw it."""
 
     SERVED = "served"
     REJECTED = "rejected"
     FAILED = "failed"
     LEFT = "left"  # the client closed its connection first
     CLOSED = "closed"  # the gateway ended the connection without an answer
-    SILENT = "silent"  # nothing came within the time and its slack
-    NOT_ACCEPTED = "not accepted"  # no connection, or it broke before the request was written
-    UNREADABLE = "unreadable"  # an answer that is no answer, or a second one
+    SILENT = "silent"  # no answer arrived within the deadline and its slack
+    NOT_ACCEPTED = "not accepted"  # not written completely, refused, or pipelined behind an unanswered one
+    UNREADABLE = "unreadable"  # a malformed answer, or one that belongs to another request
 
 
 @dataclass(slots=True)
@@ -27,41 +27,41 @@
     ttl: float
     key: str = ""
     idempotency_key: str = ""
-    reused_connection: bool = False  # it was open for a while before, used or not
-    pipelined: bool = False  # sent behind another one without waiting for its answer
-    sent_at: float = 0.0  # when its last byte was written; 0: it was not written completely
-    turn_at: float = 0.0  # when the answer before it on its connection had come; 0: none was due
+    reused_connection: bool = False  # the connection was already open before, whether used or not
+    pipelined: bool = False  # sent after another request without waiting for its answer
+    sent_at: float = 0.0  # when its last byte was written; 0 if it was not written completely
+    turn_at: float = 0.0  # when the previous answer on its connection ended; 0 if there was none
     ended_at: float = 0.0
-    left_at: float = 0.0  # when its client closed the connection; 0: it did not
+    left_at: float = 0.0  # when its client closed the connection; 0 if it did not
     ending: Ending = Ending.NOT_ACCEPTED
     detail: str = ""
 
 
 class EngineEventKind(Enum):
-    """What was seen between the gateways and an engine."""
+    """The kinds of events between the gateways and an engine."""
 
-    REQUEST = "request"  # a complete request came
-    END = "end"  # its end was written
+    REQUEST = "request"  # a complete request arrived
+    END = "end"  # its final answer was observed
     STOP = "stop"  # the gateway cancelled it
-    BROKEN = "broken"  # its connection ended
+    BROKEN = "broken"  # its connection ended first
 
 
 @dataclass(slots=True, frozen=True)
 class EngineEvent:
-    """One event between the gateways and an engine."""
+    """An event between a gateway and an engine."""
 
     observed_at: float
     kind: EngineEventKind
     engine: str
     client_request_id: str
-    outcome: str = ""  # of an end, as the engine wrote it
-    budget: float = 0.0  # of a request, in seconds
+    outcome: str = ""  # of an END, as the engine wrote it
+    budget: float = 0.0  # of a REQUEST, in seconds
     idempotency_key: str = ""
-    began_at: float = 0.0  # of a request: when its first byte came
+    began_at: float = 0.0  # of a REQUEST: when its first byte arrived
 
 
 class EngineChangeKind(Enum):
-    """How an engine changed in the endpoint list."""
+    """The kinds of changes of an engine in the endpoint list."""
 
     UP = "up"
     DRAINING = "draining"
@@ -70,20 +70,20 @@
 
 @dataclass(slots=True, frozen=True)
 class EngineChange:
-    """A change of an engine, and when each gateway had been notified of it.
+    """A change of an engine, and when each gateway was notified of it.
 
-    A successor of a hot upgrade is notified by itself, later than its predecessor.
+    The successor in a hot upgrade gets its own notification, later than its predecessor.
     """
 
     engine: str
     kind: EngineChangeKind
     changed_at: float
-    notified_at: dict[str, float] = field(default_factory=dict)  # by gateway, first
-    notified_again_at: dict[str, list[float]] = field(default_factory=dict)  # by gateway, later
+    notified_at: dict[str, float] = field(default_factory=dict)  # by gateway: the first time
+    notified_again_at: dict[str, list[float]] = field(default_factory=dict)  # by gateway: later times
 
 
 class OutageKind(Enum):
-    """How a gateway ended."""
+    """How the run ended a gateway."""
 
     KILLED = "killed"
     STOPPED = "stopped"
@@ -91,7 +91,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Outage:
-    """A span in which a gateway was not there: from its signal until it was ready again."""
+    """A span in which a gateway was unavailable: from the signal until it was ready again."""
 
     gateway: str
     kind: OutageKind
@@ -102,7 +102,7 @@
 
 @dataclass(slots=True, frozen=True)
 class SuccessorStart:
-    """When a process was started beside another one of its gateway."""
+    """The start of a gateway process while its predecessor still ran."""
 
     gateway: str
     started_at: float
@@ -110,7 +110,7 @@
 
 @dataclass(slots=True, frozen=True)
 class UnreadSpan:
-    """A span in which requests to an engine may have waited in the machine's buffers."""
+    """A span in which requests to an engine may have waited in kernel buffers."""
 
     engine: str
     began_at: float
@@ -119,15 +119,15 @@
 
 @dataclass(slots=True, frozen=True)
 class DriverStall:
-    """A span in which the soak's own process did not run."""
+    """A span in which the soak's own process was not scheduled."""
 
     began_at: float
     ended_at: float
 
 
 @dataclass(slots=True, frozen=True)
-class Crowd:
-    """A span in which idle clients filled a gateway's connections."""
+class IdleClientSpan:
+    """A span in which idle clients occupied a gateway's connections."""
 
     gateway: str
     began_at: float
@@ -136,7 +136,7 @@
 
 @dataclass(slots=True)
 class Observations:
-    """Everything that one run has shown."""
+    """Everything that was observed in one run."""
 
     clients: list[ClientRecord] = field(default_factory=list)
     engine_events: list[EngineEvent] = field(default_factory=list)
@@ -145,12 +145,10 @@
     crashes: list[str] = field(default_factory=list)
     successor_starts: list[SuccessorStart] = field(default_factory=list)
     unread_spans: list[UnreadSpan] = field(default_factory=list)
-    crowds: list[Crowd] = field(default_factory=list)
-    path_faults: list[str] = field(default_factory=list)  # faults of paths, which the schedule does not show
-    log_faults: list[str] = field(default_factory=list)  # lines of the gateways' logs that report a fault
-    invariant_lines: list[str] = field(
-        default_factory=list
-    )  # violations that the gateways counted themselves
+    idle_client_spans: list[IdleClientSpan] = field(default_factory=list)
+    path_faults: list[str] = field(default_factory=list)  # which paths, how and when; not in the schedule
+    log_faults: list[str] = field(default_factory=list)  # log lines of gateways that report internal errors
+    invariant_lines: list[str] = field(default_factory=list)  # invariant violations that gateways logged
     driver_stalls: list[DriverStall] = field(default_factory=list)
-    driver_delays: list[DriverStall] = field(default_factory=list)  # shorter ones too
-    read_requests: set[str] = field(default_factory=set)  # that a gateway has read, by their traces
+    driver_delays: list[DriverStall] = field(default_factory=list)  # shorter ones included
+    read_requests: set[str] = field(default_factory=set)  # that a gateway has read, according to its trace
--- a/bench/fault_soak/run.py
+++ b/bench/fault_soak/run.py
@@ -1,4 +1,4 @@
-"""One run of the soak: start everything, run clients and faults against it, then check its promises."""
+"""One run of the soak: starts a deployment, runs clients and faults against it and checks the promises."""
 
 import asyncio
 import json
@@ -11,7 +11,7 @@
 
 from bench.fault_soak.clients import Population
 from bench.fault_soak.deployment import Deployment, DeploymentPaths
-from bench.fault_soak.fault_schedule import ScheduledFault, draw_schedule, play_schedule
+from bench.fault_soak.fault_schedule import ScheduledFault, draw_schedule, run_schedule
 from bench.fault_soak.faults import FAULTS, FaultContext
 from bench.fault_soak.flight_clients import FlightPopulation
 from bench.fault_soak.gateway_process import Layout
@@ -20,9 +20,9 @@
 from bench.fault_soak.settings import ANSWER_SLACK_S, DEADLINES_S
 
 WATCH_INTERVAL_S = 0.02
-STALL_S = 0.15  # by how much longer a wait takes that counts as a stall of the soak itself
-DELAY_S = 0.01  # the same, by which clients notice late what has come
-LOG_TIME = r"\S+Z \S+ "  # wall clock and monotonic clock
+STALL_S = 0.15  # a wait that overruns by more than this counts as a stall of the soak itself
+DELAY_S = 0.01  # a wait that overruns by more than this delays what clients observe
+LOG_TIME = r"\S+Z \S+ "  # the prefix of a log line: wall clock and monotonic clock
 FAULT_LINES = re.compile(rf"^({LOG_TIME}fault |{LOG_TIME}planner a planner broke|Traceback|.*Error: )")
 INVARIANT_LINES = re.compile(rf"^{LOG_TIME}invariant ")
 WARM_UP_S = 1.0
@@ -30,7 +30,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Plan:
-    """What a run consists of; everything random follows from the seed."""
+    """The parameters of a run; all random choices derive from the seed."""
 
     seed: int
     seconds: float = 14.0
@@ -38,10 +38,10 @@
     engine_count: int = 4
     client_count: int = 40
     key_pair_client_count: int = 8
-    flight_client_count: int = 8  # of each gateway with that front
+    flight_client_count: int = 8  # for each gateway with the Flight SQL front
     fault_count: int = 10
-    only: tuple[str, ...] = ()  # names of faults to draw from; empty: all
-    deadline_s: float | None = None  # the longest of the deployment; None: drawn
+    only: tuple[str, ...] = ()  # names of the faults to draw from; all if empty
+    deadline_s: float | None = None  # the longest of the deployment; drawn if None
 
     @property
     def longest_deadline_s(self) -> float:
@@ -52,7 +52,7 @@
 
 @dataclass(slots=True)
 class Result:
-    """What a run has shown."""
+    """The schedule, the observations and the violations of a run."""
 
     plan: Plan
     schedule: list[ScheduledFault]
@@ -60,7 +60,7 @@
     violations: list[Violation] = field(default_factory=list)
 
     def summary(self) -> str:
-        """One line: how many requests, how they ended, what broke."""
+        """One line with the number of requests by ending and of violations by promise."""
         endings: dict[str, int] = {}
         for record in self.observations.clients:
             endings[record.ending.value] = endings.get(record.ending.value, 0) + 1
@@ -69,9 +69,9 @@
             promises[violation.promise] = promises.get(violation.promise, 0) + 1
         verdict = "broken " + json.dumps(promises) if promises else "kept"
         stalls = sum(stall.ended_at - stall.began_at for stall in self.observations.driver_stalls)
-        blind = f" blind {stalls:.1f} s" if stalls else ""
+        stall_note = f" blind {stalls:.1f} s" if stalls else ""
         plan = f"seed {self.plan.seed} deadline {self.plan.longest_deadline_s} s"
-        return f"{plan} {json.dumps(endings)}{blind}: {verdict}"
+        return f"{plan} {json.dumps(endings)}{stall_note}: {verdict}"
 
 
 async def run(
@@ -79,17 +79,17 @@
     root: Path,
     folder: Path,
     shim_library: Path,
-    on_begin: Callable[[Deployment], None] = lambda deployment: None,
+    on_start: Callable[[Deployment], None] = lambda deployment: None,
 ) -> Result:
-    """Play one plan with the program in `root`; logs and events stay in `folder`.
+    """Execute a plan with the source tree in `root`; logs and events are written to `folder`.
 
-    `on_begin` is called with the deployment before its first process starts.
+    `on_start` is called with the deployment before its first process starts.
     """
-    source = random.Random(plan.seed)
-    seen = Observations()
+    random_source = random.Random(plan.seed)
+    observations = Observations()
     paths = DeploymentPaths(root, folder, shim_library)
-    deployment = Deployment(paths, seen, plan.longest_deadline_s)
-    on_begin(deployment)
+    deployment = Deployment(paths, observations, plan.longest_deadline_s)
+    on_start(deployment)
     try:
         deployment.start_engines(plan.engine_count, plan.seed)
         count = len(plan.layouts)
@@ -97,31 +97,33 @@
             await deployment.add_gateway(layout, number, count)
         for gateway in deployment.gateways:
             if not await deployment.wait_until_ready(gateway):
-                seen.crashes.append(f"{gateway.name}: not ready at the start: {gateway.last_log_line}")
+                observations.crashes.append(
+                    f"{gateway.name}: not ready at the start: {gateway.last_log_line}"
+                )
         deployment.check_stand_ins()
-        schedule = draw_schedule(list(plan.only or FAULTS), source, plan.fault_count, plan.seconds)
-        await _play(plan, deployment, source, schedule)
+        schedule = draw_schedule(list(plan.only or FAULTS), random_source, plan.fault_count, plan.seconds)
+        await _run_clients_and_faults(plan, deployment, random_source, schedule)
         deployment.check_stand_ins()
     finally:
         deployment.close()
-    _collect(deployment)
-    return Result(plan, schedule, seen, Oracle(seen).violations())
+    _collect_observations(deployment)
+    return Result(plan, schedule, observations, Oracle(observations).violations())
 
 
-async def _play(
-    plan: Plan, deployment: Deployment, source: random.Random, schedule: list[ScheduledFault]
+async def _run_clients_and_faults(
+    plan: Plan, deployment: Deployment, random_source: random.Random, schedule: list[ScheduledFault]
 ) -> None:
-    seen = deployment.observations
-    gates = [gateway.gate for gateway in deployment.gateways]
-    population = Population(gates, random.Random(source.random()), plan.longest_deadline_s)
+    observations = deployment.observations
+    targets = [gateway.target for gateway in deployment.gateways]
+    population = Population(targets, random.Random(random_source.random()), plan.longest_deadline_s)
     clients = [asyncio.create_task(population.run_client()) for _ in range(plan.client_count)]
     for number in range(plan.key_pair_client_count):
         clients.append(asyncio.create_task(population.run_key_pair_client(number)))
     flight_populations = [
         FlightPopulation(
-            gateway.gate,
+            gateway.target,
             gateway.flight_port,
-            random.Random(source.random()),
+            random.Random(random_source.random()),
             population.records,
             population.spacing,
             plan.longest_deadline_s,
@@ -132,24 +134,24 @@
     for flight_population in flight_populations:
         for _ in range(plan.flight_client_count):
             clients.append(asyncio.create_task(flight_population.run_client()))
-    watching = asyncio.create_task(_watch(deployment))
-    context = FaultContext(deployment, population, random.Random(source.random()))
+    watch_task = asyncio.create_task(_watch_processes(deployment))
+    context = FaultContext(deployment, population, random.Random(random_source.random()))
     await asyncio.sleep(WARM_UP_S)
     schedule_ends_at = time.monotonic() + plan.seconds
-    await play_schedule(context, schedule)
+    await run_schedule(context, schedule)
     await asyncio.sleep(max(0.0, schedule_ends_at - time.monotonic()))
     population.stopped = True
     for flight_population in flight_populations:
         flight_population.stopped = True
     await asyncio.wait(clients, timeout=3 * (plan.longest_deadline_s + ANSWER_SLACK_S))
-    watching.cancel()
+    watch_task.cancel()
     for task in asyncio.all_tasks() - {asyncio.current_task()}:
         task.cancel()
-    seen.clients = population.records
+    observations.clients = population.records
 
 
-async def _watch(deployment: Deployment) -> None:
-    """Note crashes, and spans in which this process did not run."""
+async def _watch_processes(deployment: Deployment) -> None:
+    """Record crashes, and spans in which this process was not scheduled."""
     last_run_at = time.monotonic()
     while True:
         await asyncio.sleep(WATCH_INTERVAL_S)
@@ -163,26 +165,26 @@
         deployment.check_crashes()
 
 
-def _collect(deployment: Deployment) -> None:
-    """Read what the proxies and the gateways have written."""
-    seen = deployment.observations
+def _collect_observations(deployment: Deployment) -> None:
+    """Read the event files, traces and logs of the run."""
+    observations = deployment.observations
     for path in sorted(deployment.folder.glob("*.events")):
         for line in path.read_text().splitlines():
             raw = json.loads(line)
-            seen.engine_events.append(EngineEvent(kind=EngineEventKind(raw.pop("kind")), **raw))
+            observations.engine_events.append(EngineEvent(kind=EngineEventKind(raw.pop("kind")), **raw))
     for gateway in deployment.gateways:
         if gateway.trace_path.exists():
             lines = gateway.trace_path.read_text().splitlines()
-            seen.read_requests.update(line.split(" ", 4)[3] for line in lines if line.count(" ") >= 4)
+            observations.read_requests.update(line.split(" ", 4)[3] for line in lines if line.count(" ") >= 4)
         for line in gateway.log_path.read_text(errors="replace").splitlines():
             if FAULT_LINES.match(line):
-                seen.log_faults.append(f"{gateway.name}: {line[:300]}")
+                observations.log_faults.append(f"{gateway.name}: {line[:300]}")
             elif INVARIANT_LINES.match(line):
-                seen.invariant_lines.append(f"{gateway.name}: {line[:300]}")
+                observations.invariant_lines.append(f"{gateway.name}: {line[:300]}")
 
 
 def request_timeline(result: Result, folder: Path, client_request_id: str) -> list[str]:
-    """All that was observed of one request: by its client, by engines, and by the gateways themselves."""
+    """All observations of one request: its client's record, the engine events and the gateways' traces."""
     records = [
         record for record in result.observations.clients if record.client_request_id == client_request_id
     ]
--- a/bench/fault_soak/settings.py
+++ b/bench/fault_soak/settings.py
@@ -1,4 +1,4 @@
-"""The settings of the gateways in a run: one class for each kind of idempotency, and short deadlines."""
+"""The settings of the gateways in a run: one class per kind of idempotency, with short deadlines."""
 
 import math
 from dataclasses import dataclass
@@ -8,14 +8,14 @@
 LOOKUP, REPORT, LOAD = "lookup", "report", "load"
 CLASSES = (LOOKUP, REPORT, LOAD)
 CLASS_WEIGHTS = (70, 15, 15)
-DEADLINES_S = (0.6, 1.5, 3.0)  # longest deadlines of a deployment
-LONGEST_DEADLINE_COUNTED_S, KILL_MARGIN_S = 3.0, 0.7
-TIMEOUT_SHARES = (0.05, 0.13, 0.27, 0.5, 0.83, 1.0)  # of the longest deadline, that clients wait
+DEADLINES_S = (0.6, 1.5, 3.0)  # the longest deadline of a deployment is drawn from these
+MAX_COUNTED_DEADLINE_S, KILL_MARGIN_S = 3.0, 0.7
+TIMEOUT_SHARES = (0.05, 0.13, 0.27, 0.5, 0.83, 1.0)  # client timeouts, of the longest deadline
 DEDUPLICATION_WINDOW_S = 2.0
 DRAIN_GRACE_S = 0.5
-NOTIFICATION_DEADLINE_S = 7.0  # a gateway counts as notified so long after an endpoint has changed
+NOTIFICATION_DEADLINE_S = 7.0  # a gateway counts as notified this long after a change of an endpoint
 ANSWER_SLACK_S = 0.5
-CORES, MEAN_WORK_S = 4, 0.08  # as long as the engines really take
+CORES, MEAN_WORK_S = 4, 0.08  # the mean run time of the stand-in engines
 SLOW_START_S, START_CAPACITY, OVERLOAD_FACTOR, OVERLOAD_WINDOW_S = 6.0, 0.31, 2.5, 1.0
 
 
@@ -24,12 +24,12 @@
     """The deadlines of a deployment, in seconds."""
 
     longest_s: float
-    latency_objective_share: float = 0.5  # of it
+    latency_objective_share: float = 0.5  # of the longest deadline
 
     @property
     def kill_after_s(self) -> float:
-        """How long after SIGTERM a SIGKILL may come at the earliest."""
-        return min(self.longest_s, LONGEST_DEADLINE_COUNTED_S) + KILL_MARGIN_S
+        """The shortest grace period between SIGTERM and SIGKILL, in seconds."""
+        return min(self.longest_s, MAX_COUNTED_DEADLINE_S) + KILL_MARGIN_S
 
 
 def _service(name: str, repeat: str, **extra: Any) -> dict[str, Any]:
@@ -37,15 +37,15 @@
 
 
 def settings(gateway_number: int, gateway_count: int, deadlines: Deadlines) -> dict[str, Any]:
-    """The settings object of one gateway's configuration."""
-    found = _settings(gateway_number, gateway_count)
-    for service in found["services"]:
+    """The settings object of a gateway's configuration."""
+    settings_object = _base_settings(gateway_number, gateway_count)
+    for service in settings_object["services"]:
         service["give-up"] = int(deadlines.longest_s * SECOND)
         service["aim"] = int(service["give-up"] * deadlines.latency_objective_share)
-    return found
+    return settings_object
 
 
-def _settings(gateway_number: int, gateway_count: int) -> dict[str, Any]:
+def _base_settings(gateway_number: int, gateway_count: int) -> dict[str, Any]:
     return {
         "instances": gateway_count,
         "me": gateway_number,
@@ -79,7 +79,7 @@
 
 
 def request_allowance_in_slow_start(age_s: float) -> float:
-    """Requests of mean work an engine of this age may get in one window, with an allowance for chance."""
+    """Requests of mean work that an engine of this age may get in a window, plus a statistical allowance."""
     capacity = START_CAPACITY + (1 - START_CAPACITY) * min(1.0, max(0.0, age_s) / SLOW_START_S)
     allowed = OVERLOAD_FACTOR * CORES * capacity * OVERLOAD_WINDOW_S / MEAN_WORK_S
     root = math.sqrt(allowed)
--- a/bench/fault_soak/shim.c
+++ b/bench/fault_soak/shim.c
@@ -1,8 +1,9 @@
-/* A library loaded into a gateway process (LD_PRELOAD) that makes its clock and its system calls misbehave.
+/* A library that is preloaded into a gateway process (LD_PRELOAD) and injects faults into its wall clock and
+ * its system calls.
  *
- * It reads what to do from a small file that the soak maps and rewrites while the process runs; the layout is
- * `struct control`, the same as in control.py. Nothing outside the process is touched. Rates are in parts per
- * thousand. Faults apply to IPv4 sockets and to regular files that are open for writing.
+ * The faults are set in a small memory-mapped file that the soak rewrites while the process runs. Its layout
+ * is `struct control`, the same as in control.py. Nothing outside the process is affected. Rates are in parts
+ * per thousand. Faults apply to IPv4 sockets and to regular files that are open for writing.
  */
 #define _GNU_SOURCE
 #include <dlfcn.h>
@@ -29,7 +30,7 @@
 #define MAX_DESCRIPTORS 65536
 
 static struct control *control;
-static volatile uint8_t dialled[MAX_DESCRIPTORS]; /* descriptors of connections that this process has opened */
+static volatile uint8_t dialled[MAX_DESCRIPTORS]; /* by descriptor: 1 if the process has dialled it */
 static __thread unsigned int random_state;
 
 #define REAL(name) ((__typeof__(&name))real_function(#name))
@@ -40,35 +41,36 @@
     const char *path = getenv("SOAK_SHIM_CONTROL");
     int descriptor = path ? open(path, O_RDONLY) : -1;
     if (descriptor < 0) return;
-    void *mapped = mmap(NULL, sizeof(struct control), PROT_READ, MAP_SHARED, descriptor, 0);
+    void *mapping = mmap(NULL, sizeof(struct control), PROT_READ, MAP_SHARED, descriptor, 0);
     close(descriptor);
-    if (mapped != MAP_FAILED) control = mapped;
+    if (mapping != MAP_FAILED) control = mapping;
 }
 
-static int drawn(uint32_t rate) {
+static int draw_fault(uint32_t rate) {
     if (!rate) return 0;
     if (!random_state) random_state = (unsigned int)getpid() * 2654435761u + 1u;
     return (uint32_t)(rand_r(&random_state) % 1000) < rate;
 }
 
 static int is_ipv4(int descriptor) {
-    int domain = 0, saved = errno;
+    int domain = 0, saved_errno = errno;
     socklen_t size = sizeof domain;
     int failed = getsockopt(descriptor, SOL_SOCKET, SO_DOMAIN, &domain, &size);
-    errno = saved;
+    errno = saved_errno;
     return !failed && domain == AF_INET;
 }
 
-static int is_broken_by(uint32_t error) {
+static int ends_connection(uint32_t error) {
     return error == ETIMEDOUT || error == EHOSTUNREACH || error == ECONNRESET;
 }
 
-/* A socket call fails; an error that stands for a broken connection ends the connection as well. Only those
- * that the process has dialled break: a client whose connection broke has no answer to expect. */
-static int fails(struct fault *fault, int descriptor) {
-    if (!control || !fault->rate || !is_ipv4(descriptor) || !drawn(fault->rate)) return 0;
+/* Decides whether a socket call fails, and sets errno. An error that reports a broken connection also shuts
+ * the connection down. Only connections that the process has dialled are broken: a client whose connection
+ * breaks cannot get an answer. */
+static int inject_socket_fault(struct fault *fault, int descriptor) {
+    if (!control || !fault->rate || !is_ipv4(descriptor) || !draw_fault(fault->rate)) return 0;
     uint32_t error = fault->error;
-    if (is_broken_by(error)) {
+    if (ends_connection(error)) {
         if (descriptor < 0 || descriptor >= MAX_DESCRIPTORS || !dialled[descriptor]) return 0;
         shutdown(descriptor, SHUT_RDWR);
     }
@@ -76,8 +78,8 @@
     return 1;
 }
 
-static size_t shortened(size_t size) {
-    if (!control || size < 2 || !drawn(control->short_io_rate)) return size;
+static size_t shorten_io(size_t size) {
+    if (!control || size < 2 || !draw_fault(control->short_io_rate)) return size;
     return 1 + (size_t)rand_r(&random_state) % (size < 64 ? size - 1 : 64);
 }
 
@@ -110,12 +112,12 @@
 }
 
 int accept4(int descriptor, struct sockaddr *restrict address, socklen_t *restrict size, int flags) {
-    if (control && fails(&control->accept_fault, descriptor)) return -1;
+    if (control && inject_socket_fault(&control->accept_fault, descriptor)) return -1;
     return REAL(accept4)(descriptor, address, size, flags);
 }
 
 int socket(int domain, int type, int protocol) {
-    if (control && domain == AF_INET && drawn(control->socket_fault.rate)) {
+    if (control && domain == AF_INET && draw_fault(control->socket_fault.rate)) {
         errno = (int)control->socket_fault.error;
         return -1;
     }
@@ -123,33 +125,33 @@
 }
 
 int connect(int descriptor, const struct sockaddr *address, socklen_t size) {
-    if (control && fails(&control->connect_fault, descriptor)) return -1;
+    if (control && inject_socket_fault(&control->connect_fault, descriptor)) return -1;
     if (descriptor >= 0 && descriptor < MAX_DESCRIPTORS) dialled[descriptor] = 1;
     return REAL(connect)(descriptor, address, size);
 }
 
 ssize_t recv(int descriptor, void *buffer, size_t size, int flags) {
-    if (control && fails(&control->read_fault, descriptor)) return -1;
-    return REAL(recv)(descriptor, buffer, shortened(size), flags);
+    if (control && inject_socket_fault(&control->read_fault, descriptor)) return -1;
+    return REAL(recv)(descriptor, buffer, shorten_io(size), flags);
 }
 
 ssize_t send(int descriptor, const void *buffer, size_t size, int flags) {
-    if (control && fails(&control->write_fault, descriptor)) return -1;
-    if (control && control->short_io_rate && is_ipv4(descriptor)) size = shortened(size);
+    if (control && inject_socket_fault(&control->write_fault, descriptor)) return -1;
+    if (control && control->short_io_rate && is_ipv4(descriptor)) size = shorten_io(size);
     return REAL(send)(descriptor, buffer, size, flags);
 }
 
-int epoll_wait(int epoll, struct epoll_event *events, int most, int timeout) {
-    if (control && drawn(control->interrupt_rate)) {
+int epoll_wait(int epoll, struct epoll_event *events, int max_events, int timeout) {
+    if (control && draw_fault(control->interrupt_rate)) {
         errno = EINTR;
         return -1;
     }
-    return REAL(epoll_wait)(epoll, events, most, timeout);
+    return REAL(epoll_wait)(epoll, events, max_events, timeout);
 }
 
 int close(int descriptor) {
     int interrupted = control && control->close_interrupt_rate && is_ipv4(descriptor)
-        && drawn(control->close_interrupt_rate);
+        && draw_fault(control->close_interrupt_rate);
     if (descriptor >= 0 && descriptor < MAX_DESCRIPTORS) dialled[descriptor] = 0;
     int result = REAL(close)(descriptor);
     if (!interrupted || result) return result;
@@ -157,27 +159,27 @@
     return -1;
 }
 
-static int disk_fails(int descriptor) {
-    struct stat found;
+static int inject_disk_fault(int descriptor) {
+    struct stat info;
     int flags = fcntl(descriptor, F_GETFL);
     if (!control || !control->disk_fault.rate || flags < 0 || (flags & O_ACCMODE) == O_RDONLY) return 0;
-    if (fstat(descriptor, &found) || !S_ISREG(found.st_mode) || !drawn(control->disk_fault.rate)) return 0;
+    if (fstat(descriptor, &info) || !S_ISREG(info.st_mode) || !draw_fault(control->disk_fault.rate)) return 0;
     errno = (int)control->disk_fault.error;
     return 1;
 }
 
 ssize_t write(int descriptor, const void *buffer, size_t size) {
-    if (disk_fails(descriptor)) return -1;
+    if (inject_disk_fault(descriptor)) return -1;
     return REAL(write)(descriptor, buffer, size);
 }
 
 int fsync(int descriptor) {
-    if (disk_fails(descriptor)) return -1;
+    if (inject_disk_fault(descriptor)) return -1;
     return REAL(fsync)(descriptor);
 }
 
 int rename(const char *from, const char *to) {
-    if (control && drawn(control->disk_fault.rate)) {
+    if (control && draw_fault(control->disk_fault.rate)) {
         errno = (int)control->disk_fault.error;
         return -1;
     }
--- a/bench/fault_soak/statements.py
+++ b/bench/fault_soak/statements.py
@@ -1,4 +1,4 @@
-"""The statements that clients send; some have a shape that no gateway has parsed yet."""
+"""Parts of the statements that clients send; some give a statement a shape that no gateway has parsed yet."""
 
 import random
 
@@ -6,12 +6,12 @@
 NEW_SHAPE_SHARE, NEW_SHAPES = 0.3, 1_000_000
 
 
-def draw_table(source: random.Random) -> str:
-    """A table of any group."""
-    return f"lending_{source.randrange(TABLES)}.loans"
+def draw_table(random_source: random.Random) -> str:
+    """A random table name; tables belong to different table groups."""
+    return f"lending_{random_source.randrange(TABLES)}.loans"
 
 
-def draw_column(source: random.Random) -> str:
-    """A column; its name is part of a statement's shape."""
-    is_new = source.random() < NEW_SHAPE_SHARE
-    return f"a{source.randrange(NEW_SHAPES)}" if is_new else "a"
+def draw_column(random_source: random.Random) -> str:
+    """A random column name, which is part of the statement's shape."""
+    is_new = random_source.random() < NEW_SHAPE_SHARE
+    return f"a{random_source.randrange(NEW_SHAPES)}" if is_new else "a"
