--- a/query_gateway/model/budgets.py
+++ b/query_gateway/model/budgets.py
@@ -1,4 +1,4 @@
-"""Token buckets for tenant quotas and the retry budget. Rates and limits are passed in as arguments."""
+"""Token bucket of a tenant's quota, and the retry budget. Rates and limits are passed in as arguments."""
 
 from collections import deque
 from dataclasses import dataclass, field
--- a/query_gateway/model/endpoints.py
+++ b/query_gateway/model/endpoints.py
@@ -13,7 +13,7 @@
 
 
 class EndpointUpdateKind(Enum):
-    """What an update of the endpoint list contains. The values are written on the IPC."""
+    """The kind of an update of the endpoint list. The values are written on the IPC."""
 
     DELTA = "changes"
     SNAPSHOT = "full"
--- a/query_gateway/model/estimates.py
+++ b/query_gateway/model/estimates.py
@@ -10,7 +10,7 @@
 
 @dataclass(slots=True, frozen=True)
 class RemainingTimeEstimator:
-    """Estimates the remaining time of an attempt from its progress, if far enough, or else from its age."""
+    """Estimates the remaining time of an attempt from its progress, or from its age if progress is small."""
 
     trusted_progress: float  # share of the work done beyond which progress predicts the end
     extrapolation_start: float  # age, as a share of the expected run time, from which age predicts the rest
@@ -36,7 +36,7 @@
         return forecast_completions(ends, now, now + 1 + lifetime * len(ends))
 
     def lock_wait(self, engine: EngineState, query: QueryState, now: int) -> float:
-        """Expected nanoseconds until this gateway's other loads of the query's table group end there."""
+        """Expected nanoseconds until this gateway's other loads of the table group end at the engine."""
         if query.request.table_group is None:
             return 0.0
         return math.fsum(
--- a/query_gateway/model/events.py
+++ b/query_gateway/model/events.py
@@ -6,7 +6,7 @@
 from query_gateway.model.endpoints import EndpointInfo, EndpointUpdateKind
 from query_gateway.model.settings import Settings
 
-LAST_ATTEMPT = -1  # attempt number of the last attempt sent, if the exchange that counted them has ended
+LAST_ATTEMPT = -1  # stands for the number of the last attempt, where the exchange that numbers them has ended
 
 
 class OutcomeCode(Enum):
@@ -19,11 +19,11 @@
     CONNECT_FAILED = "connect_failed"
     RESET = "reset"
     CANCELLED = "cancelled"
-    NOT_SENT = "moot"  # "moot" in the trace; also if the engine declined it as already over
+    NOT_SENT = "moot"  # "moot" in the trace; also if the engine declined the attempt as already over
 
 
 class ProgressKind(Enum):
-    """What a progress note reports."""
+    """The kind of a progress note, which defines `ProgressNote.level`."""
 
     PROGRESS = 1
     SPILLING = 2
--- a/query_gateway/model/learning.py
+++ b/query_gateway/model/learning.py
@@ -18,8 +18,8 @@
     """
 
     load_decay_ns: int  # of the mean threads in use and of the weight of a load report
-    slowdown_decay_ns: int  # of an engine's slowdown
-    slowdown_decay_answers: int  # added to that decay, as a number of answers, if answers are rare
+    slowdown_decay_ns: int  # of the slowdowns of classes, engines and the fleet
+    slowdown_decay_answers: int  # added for an engine's slowdown, in mean times between two of its answers
     prior_samples: float  # weight of the prior of a decayed mean, in samples; an engine's prior is the fleet
     sample_weight: float  # minimum weight of a new sample in a class mean
     learned_samples: int  # samples at which a learned deviation weighs as much as the prior one
--- a/query_gateway/model/records.py
+++ b/query_gateway/model/records.py
@@ -1,7 +1,8 @@
 """State that a scheduler keeps about queries, attempts, queues and engines.
 
-Times and durations are in nanoseconds. Makes no decisions. The records refer to each other: a query to its
-attempts in flight, an attempt to its query and its engine, an engine to its attempts and queued queries.
+Times and durations are in nanoseconds. Nothing here makes a decision. The records refer to each other: a
+query to its attempts in flight, an attempt to its query and its engine, an engine to its attempts and queued
+queries.
 """
 
 import math
@@ -80,7 +81,7 @@
     queued_at: "EngineState | None" = None
     start_at: float = 0.0  # expected start, estimated at admission
     ended: bool = False
-    restarts: int = 0  # attempts cancelled in order to run again, not counting ejections
+    restarts: int = 0  # attempts cancelled to run again, except from ejected or removed engines
     priority: int = -1  # last priority sent to the engine; -1: none yet
 
     @property
--- a/query_gateway/model/settings.py
+++ b/query_gateway/model/settings.py
@@ -24,7 +24,7 @@
 
 
 class MemoryShortage(Enum):
-    """What an engine does when the memory granted exceeds its memory."""
+    """Behaviour of an engine when the memory granted exceeds its memory."""
 
     WAIT = "wait"  # queries wait at the engine until memory is free
     SHRINK = "shrink"  # queries run with less memory, and spill
@@ -85,7 +85,7 @@
     cross_zone_cost: float
     slow_start_initial_capacity: float  # share of its capacity with which an engine starts
     slow_start_window: int  # nanoseconds
-    slow_start_overload_factor: float  # of the capacity, within the overload window; 0: no slow start
+    slow_start_overload_factor: float  # overload limit per window, times the capacity; 0: no slow start
     slow_start_overload_window: int  # nanoseconds
     key_quarantine: int  # nanoseconds
     max_poll_interval: int  # nanoseconds; validated only: the endpoint list is watched
--- a/query_gateway/model/state.py
+++ b/query_gateway/model/state.py
@@ -1,6 +1,6 @@
 """The state shared by the modules of `policy`: one `SchedulerState` per scheduler, passed to each function.
 
-Its parts, with the modules of `policy` that modify them in addition to the methods here:
+Its parts, with the modules of `policy`, and `model.learning`, that modify them beside the methods here:
 
     classes         learning, class_lengths           settings and learned state of each class
     queries         admission, answers                requests that are open or have attempts in flight
--- a/query_gateway/policy/admission.py
+++ b/query_gateway/policy/admission.py
@@ -1,13 +1,13 @@
 """Admission (UNIT, section 3.3): decides whether a request is queued for an engine or rejected at once.
 
-The first condition that applies rejects the query:
+The first condition that applies rejects the query, with its `EndReason`:
 
     LATE               now + lag ratio * start delay + run time is not before its due time
     TOO_MANY_QUEUED    it would have to wait, and open queries hold most of the allowed client connections
     OVER_QUOTA         it exceeds its tenant's quota, and its engine is saturated
     ENDANGERS_OTHERS   it would make queries queued behind it late whose total priority weight exceeds its own
 
-Inputs: the request, the expected run time of its class and the start delay of its best route (nanoseconds),
+Input: the request, the expected run time of its class and the start delay of its best route (nanoseconds),
 the lag ratio. A query whose last attempt failed is admitted again by the same rules.
 The citation of the paper is in `scheduler`.
 """
@@ -28,7 +28,7 @@
 from query_gateway.policy.saturation import is_saturated
 from query_gateway.policy.work_estimate import expected_work
 
-MAX_CONNECTION_SHARE: Final = 0.75  # of the client connection limit from which on no query is queued
+MAX_CONNECTION_SHARE: Final = 0.75  # open queries / client connection limit, from which no query is queued
 CLIENT_JITTER_NS: Final = 1 * MS  # variation of a client's timeout between requests
 
 
--- a/query_gateway/policy/answers.py
+++ b/query_gateway/policy/answers.py
@@ -46,7 +46,7 @@
 
 
 def _record_cost(state: SchedulerState, query: QueryState, late: bool) -> None:
-    """Record the cost of a query that was given up; a client's retry was counted with its first request."""
+    """Record a query that was given up, as late or rejected; a retry was counted with its first request."""
     if not query.request.is_retry:
         weight = query.priority_weight
         record_cost(state, 0.0, 0.0 if late else weight, weight if late else 0.0)
--- a/query_gateway/policy/attempt_terms.py
+++ b/query_gateway/policy/attempt_terms.py
@@ -1,7 +1,8 @@
 """Terms of an attempt at its engine: memory grant and priority.
 
-Inputs: the request's memory estimate (MB), corrected by the mean error of its class; how the engine behaves
-when memory is short; the class and the due time. The grant is in MB, 0 for none; priority 0 is the lowest.
+Input: the request's memory estimate (MB), corrected by the mean error of its class; how the engine behaves
+when memory is short; the class and the due time.
+Result: a grant in MB, 0 for none, and a priority, of which 0 is the lowest.
 """
 
 from typing import Final
--- a/query_gateway/policy/attempts.py
+++ b/query_gateway/policy/attempts.py
@@ -67,7 +67,7 @@
 
 
 def _retry_or_give_up(state: SchedulerState, query: QueryState) -> None:
-    """Admit a query without an attempt in flight again if a retry is allowed and in time, else give it up."""
+    """Admit a query again if a further attempt is allowed and in time, else give it up."""
     if attempt_guard.has_time_for_attempt(query, state.now) and may_run_again(query, state.now):
         admission.admit(state, query)
     else:
--- a/query_gateway/policy/capacity.py
+++ b/query_gateway/policy/capacity.py
@@ -50,7 +50,7 @@
 
     With many gateways, one query from each at each engine can add up to several times the capacity of the
     fleet. The share is rounded to a whole number of queries at random, up or down, so that a share of less
-    than one query is kept on average.
+    than one query is kept on average. Without congestion, it is at least one query.
     """
     if state.settings.memory_shortage is MemoryShortage.WAIT:  # engines queue queries: no bound needed
         return True
--- a/query_gateway/policy/class_lengths.py
+++ b/query_gateway/policy/class_lengths.py
@@ -1,4 +1,4 @@
-"""Classifies query classes as short or long, and computes their shares of the work.
+"""Class lengths: which classes of queries are short and which are long, and their shares of the work.
 
 Input: the mean work of each class, in nanoseconds over all threads of a query. A class is long if its mean
 work exceeds the geometric mean of the smallest and the largest. Short and long queries have separate
--- a/query_gateway/policy/controller.py
+++ b/query_gateway/policy/controller.py
@@ -4,8 +4,10 @@
     more weight rejected than late     lag ratio divided by it: more permissive admission
     both at most `COST_FLOOR`          no step
 
-Inputs: decayed sums of the priority weight that was requested, rejected and late. In `admission`, the lag
-ratio multiplies a query's start delay. UNIT is cited in `scheduler`.
+Input: decayed sums of the priority weight that was requested, rejected and late. The metric is the share of
+the requested weight that was neither rejected nor late.
+Result: the lag ratio, by which `admission` multiplies a query's start delay. The citation of UNIT is in
+`scheduler`.
 """
 
 from typing import Final
--- a/query_gateway/policy/key_ordering.py
+++ b/query_gateway/policy/key_ordering.py
@@ -28,7 +28,7 @@
 
 
 def weight_lost_behind(key_queues: KeyQueues, query: QueryState, now: int) -> float:
-    """Priority weight lost behind the first query of a key if it runs now; 0 if `query` is not the first."""
+    """Priority weight that queries behind the first of a key lose if it runs now; 0 if `query` is another."""
     queue = key_queues.queues[query.request.key or ""]
     run_time_before, lost_weight = 0.0, 0.0
     for other in queue[1:] if queue and queue[0] is query else ():
--- a/query_gateway/policy/progress_review.py
+++ b/query_gateway/policy/progress_review.py
@@ -4,9 +4,10 @@
 cancellation:
 
     restart    the query is idempotent, there is time for one more attempt, and one of these holds:
-               the engine was ejected after the send or removed; the attempt is lost; the attempt is overdue
-               or far behind a new run, and the query was not restarted before (restarts due to an ejected
-               or removed engine do not count)
+               - the engine was ejected after the send, or removed
+               - the attempt is lost
+               - the attempt is overdue, or by its progress has more than `RESTART_GAIN` run times left, and
+                 the query was not restarted before, other than from an ejected or removed engine
     give up    the query is idempotent, and the attempt is lost, overdue where engines send no notes,
                predicted to end after its limit, or past its limit
     continue   with a new priority if that has changed
@@ -29,7 +30,7 @@
 PRIOR_LOG_SPREAD: Final = 0.7  # standard deviation of a class's log run times before it is learned
 OVERDUE_DEVIATIONS: Final = 1.8  # standard deviations of log run times above the expected one
 RESTART_GAIN: Final = 2.0  # factor by which the remaining time must exceed a new run for a restart
-HOPELESS_OVERRUN: Final = 1.3  # remaining time over time to the limit that ends an attempt: notes are rough
+HOPELESS_OVERRUN: Final = 1.3  # remaining time / time to the limit that ends an attempt; notes are imprecise
 
 
 def review_attempts(state: SchedulerState) -> None:
@@ -94,9 +95,9 @@
 def _is_overdue(state: SchedulerState, attempt: AttemptState) -> bool:
     """Whether an attempt without progress has exceeded the run time of its class, allowing for a slow engine.
 
-    A prior spread counts until the spread of a class is learned: a class whose runs never end would never
-    show its spread, and its attempts would fill all engines. Where engines send progress notes, these show
-    how far a run is, so only a learned spread counts there.
+    The spread, a standard deviation of log run times, is mixed with a prior one until it is learned: a class
+    whose runs never end would never show its spread, and its attempts would fill all engines. Where engines
+    send progress notes, these show how far a run is, so only a learned spread counts there.
     """
     query, enough = attempt.query, FLEET_ESTIMATOR.learned_samples
     error = query.request_class.run_time_error
--- a/query_gateway/policy/release.py
+++ b/query_gateway/policy/release.py
@@ -6,7 +6,7 @@
     sent                          to its own engine if it was just routed there, else to that with the least
                                   expected run time
 
-Inputs: the queue by earliest deadline, the capacity of each engine. Times are nanoseconds.
+Input: the queue by earliest deadline, the capacity of each engine. Times are nanoseconds.
 """
 
 from dataclasses import dataclass
@@ -117,7 +117,7 @@
 
 
 def _may_run_late(state: SchedulerState, query: QueryState) -> bool:
-    """Whether a query may run although it will be late, as it waited for its key and no rejection can help.
+    """Whether a query may run although it will be late: it waited for its key, which a rejection cannot undo.
 
     Its late answer must be worth more than the loss of the queries behind it in its key. No engine past slow
     start may be saturated, as other queries could be in time there instead.
--- a/query_gateway/policy/repetition.py
+++ b/query_gateway/policy/repetition.py
@@ -18,7 +18,7 @@
 from query_gateway.model.events import OutcomeCode
 from query_gateway.model.settings import ClassSettings, DeduplicationScope, Idempotency
 
-# Outcomes that rule out that the engine ran the attempt
+# Outcomes of attempts that cannot have run at the engine
 NEVER_RAN_CODES: Final = (OutcomeCode.FULL, OutcomeCode.CONNECT_FAILED, OutcomeCode.NOT_SENT)
 
 NO_DEADLINE: Final = 2**62 - 1  # later than any clock time
@@ -59,7 +59,7 @@
 
 
 def client_may_retry(settings: ClassSettings) -> bool:
-    """Whether a client may retry a request that may have run without a further effect.
+    """Whether a client's retry has no further effect, although the request may have run.
 
     The client's retry may reach any engine, so a request with an idempotency key needs all engines in one
     deduplication scope.
--- a/query_gateway/policy/routing.py
+++ b/query_gateway/policy/routing.py
@@ -2,8 +2,8 @@
 
 The route is the engine with the smallest sum of start delay (`start_times`) and expected run time. The
 expected run time is the run time of the query multiplied by a cost: 1 at a healthy idle engine, more for
-load, faults, another zone and a repeated engine, less for a warm cache. In a large fleet, only a random
-sample of the engines is considered.
+load, faults, lock conflicts, another zone and an engine that may already have run the query, less for a warm
+cache. In a large fleet, only a random sample of the engines is considered.
 """
 
 from dataclasses import dataclass
@@ -17,7 +17,7 @@
 from query_gateway.policy.slow_start import has_credit
 from query_gateway.policy.start_times import REMAINING_TIME, fleet_start_delay, start_delay
 
-SAMPLE_SIZE: Final = 12  # engines considered per query; bounds the time, and spreads the gateways
+SAMPLE_SIZE: Final = 12  # engines considered per query; bounds the time, and gateways draw different ones
 # Costs in shares of the run time
 LOAD_COST: Final = 1.0  # for one thread of this gateway per core of its share
 WARM_CACHE_GAIN: Final = 0.3  # saved where this gateway recently read the same tables
@@ -34,7 +34,7 @@
 
     engine: EngineState
     start_delay: float  # nanoseconds
-    answer_delay: float  # nanoseconds, including the costs in run time
+    answer_delay: float  # nanoseconds, including all costs as run time
 
 
 def candidates(state: SchedulerState, query: QueryState) -> list[EngineState]:
--- a/query_gateway/policy/saturation.py
+++ b/query_gateway/policy/saturation.py
@@ -3,7 +3,7 @@
     saturated at the last fleet snapshot     the engine's slowdown or its reported load exceeds a limit
     saturated since then                     this gateway alone has `saturation_threads` in use there
 
-Inputs: slowdowns as logarithms of run time over the uncontended run time, loads as busy shares of the cores,
+Input: slowdowns as logarithms of run time over the uncontended run time, loads as busy shares of the cores,
 threads in use of this gateway. Concurrency limits and the fleet share apply only at saturated engines
 (`capacity`).
 
@@ -18,8 +18,8 @@
 from query_gateway.policy.statistical_allowance import allowance
 
 SATURATED_SLOWDOWN: Final = 1.7  # run time over the uncontended one above which an engine is saturated
-SATURATED_LOAD: Final = 0.92  # reported busy share of the cores above which it is
-SATURATED_THREADS: Final = 1.1  # threads of all gateways per core from which it is
+SATURATED_LOAD: Final = 0.92  # reported busy share of the cores above which an engine is saturated
+SATURATED_THREADS: Final = 1.1  # threads of all gateways per core from which an engine is saturated
 
 
 def is_saturated(engine: EngineState) -> bool:
@@ -29,7 +29,7 @@
 
 
 def refresh_saturation(state: SchedulerState, engine: EngineState) -> None:
-    """Refresh the saturation of an engine, after its slowdown and load."""
+    """Refresh the saturation of an engine, whose slowdown and load must have been refreshed before."""
     fleet, snapshot = state.fleet, engine.snapshot
     loaded = fleet.load_reports.weight > 0 and snapshot.load > SATURATED_LOAD
     snapshot.saturated = snapshot.slowdown > math.log(SATURATED_SLOWDOWN) or loaded
@@ -41,7 +41,7 @@
 
 
 def refresh_congestion(state: SchedulerState) -> None:
-    """Refresh the congestion of the fleet, after the slowdowns and loads.
+    """Refresh the congestion of the fleet, whose slowdowns and loads must have been refreshed before.
 
     Each gateway may always have one query at an engine, which alone lets many gateways keep a fleet
     congested: queries run slowly at every engine, and none recovers. Dividing the capacity of every gateway
--- a/query_gateway/policy/scheduler.py
+++ b/query_gateway/policy/scheduler.py
@@ -3,7 +3,7 @@
 It turns events into actions (types in `query_gateway/model`; times are nanoseconds). For each batch:
 
     1. the fleet snapshot is refreshed if its period has passed
-    2. the events are handled: the endpoint list first, then outcomes and notes, requests, the timer
+    2. the events are handled: the endpoint list first, then outcomes and notes, requests, the review timer
     3. the controller steps the lag ratio if its period has passed
     4. queued queries are released to engines with capacity, or given up
 
@@ -38,7 +38,7 @@
 TIMER_PERIOD_NS: Final = 100 * MS  # how often attempts in flight are reviewed
 STALL_NS: Final = 500 * MS  # gap between two batches, with a timer set, above which this process was stalled
 WATCH_BACKOFF_NS: Final = 1 * SEC  # from a failed watch of the endpoint list to the next
-PRIOR_WORK: Final = 1 / 12  # work of a class before any sample, as a share of the client timeout per thread
+PRIOR_WORK: Final = 1 / 12  # work per thread of a class before any sample, as a share of the client timeout
 
 
 @dataclass(slots=True, frozen=True)
@@ -88,7 +88,7 @@
     """The scheduler of one gateway."""
 
     def __init__(self, settings: Settings, seed: int) -> None:
-        """Start without engines and queries. Raises ValueError if the settings contradict each other."""
+        """Start without engines and queries. Raises ValueError if the settings are invalid."""
         settings.check()
         self.state = SchedulerState(settings, Random(seed), PRIOR_WORK)
 
--- a/query_gateway/policy/slow_start.py
+++ b/query_gateway/policy/slow_start.py
@@ -10,7 +10,7 @@
 ages before this gateway knew of the start, nor for ages at which the engine has too little capacity for a few
 queries of the class.
 
-Inputs: the start of the engine (nanoseconds), its cores, the mean work of the class (nanoseconds over all
+Input: the start of the engine (nanoseconds), its cores, the mean work of the class (nanoseconds over all
 threads), the recent sends to the engine. The forwarder's slow-start budgets bound what is actually sent, as
 described in `recovery_ramp`.
 """
@@ -24,9 +24,9 @@
 from query_gateway.model.state import SchedulerState
 from query_gateway.policy.recovery_ramp import RecoveryRamp, is_in_slow_start, recovery_ramp
 
-BUDGET_SHARE: Final = 0.4  # of the overload budget that credits cover; the rest is left for delayed sends
+BUDGET_SHARE: Final = 0.4  # share of the overload budget for credits; the rest is left for delayed sends
 QUERIES_IN_BUDGET: Final = 5  # queries of a class that the budget must cover before one is sent
-LONG_CREDIT_WINDOWS: Final = 3  # lifetime of a long class's credit; with many gateways each earns one rarely
+LONG_CREDIT_WINDOWS: Final = 3  # windows a long class's credit lasts; each of many gateways earns one rarely
 RATED_BUSY_SHARE: Final = 0.85  # busy share of the cores of an engine at its rated capacity
 
 
--- a/query_gateway/policy/start_times.py
+++ b/query_gateway/policy/start_times.py
@@ -4,9 +4,10 @@
     engine with capacity, none queued before      no wait
     otherwise                                     until enough attempts of this gateway should have ended
 
-Inputs: the attempts in flight with their expected ends, the queue before the query, the concurrency limits.
-Results are nanoseconds. With thousands of attempts and queries, forecasts of ends and sums over queues are
-costly, so they are cached for a time proportional to their length.
+Input: the attempts in flight with their expected ends, the queue before the query, the concurrency limits.
+Result: nanoseconds.
+With thousands of attempts and queries, forecasts of ends and sums over queues are costly, so they are cached
+for a time proportional to their length.
 """
 
 from typing import Final
@@ -21,7 +22,8 @@
 EXACT_LENGTH: Final = 32  # queues and forecasts up to this length are never cached
 QUEUED_LIFETIME_NS: Final = MS // 5  # per queued query: how long a sum over the queue is cached
 FORECAST_LIFETIME_NS: Final = MS // 5  # per attempt in flight: how long a forecast is cached
-# Progress of 2% or less is not used; from 0.7 of the expected run time on, half the age is assumed to remain
+# Progress of 2% or less predicts little and is not used. From 0.7 of the expected run time on, half the age
+# is assumed to remain.
 REMAINING_TIME: Final = RemainingTimeEstimator(
     trusted_progress=0.02, extrapolation_start=0.7, extrapolation_ratio=0.5
 )
@@ -39,7 +41,7 @@
 
 
 def fleet_start_delay(state: SchedulerState, query: QueryState) -> float:
-    """Nanoseconds to the earliest start over all engines; 0 while the fleet share has room for the query."""
+    """Nanoseconds to the earliest start over all engines; 0 if key-ordered or within the fleet share."""
     if capacity.is_within_fleet_share(state, query) or query.is_key_ordered:
         return 0.0
     limit = capacity.fleet_limit(state, query.request_class)
--- a/query_gateway/policy/statistical_allowance.py
+++ b/query_gateway/policy/statistical_allowance.py
@@ -4,7 +4,8 @@
 one gateway vary around T/N with a variance of about T/N. A gateway limited to its even share would therefore
 queue queries while others leave their share unused.
 
-Input: the variance of this gateway's threads in use. Result: the allowance in threads.
+Input: the variance of this gateway's threads in use.
+Result: the allowance in threads.
 """
 
 import math
--- a/query_gateway/policy/tenants.py
+++ b/query_gateway/policy/tenants.py
@@ -3,9 +3,9 @@
     a request within its tenant's quota     the priority weight of its class
     a request beyond it                     that weight times `over_quota_weight`
 
-Inputs: the quotas in requests per second over all gateways, the requests counted here, and the counts that
+Input: the quotas in requests per second over all gateways, the requests counted here, and the counts that
 peers reported within `GOSSIP_LIFETIME_NS`. Gossip is sent when the controller checks the costs. The forwarder
-does not transmit it (`Forwarder.apply` drops `SendGossip`), so no peer reports anything there.
+does not transmit it (`Forwarder.apply` drops `SendGossip`), so a scheduler behind it receives no reports.
 """
 
 import math
@@ -16,11 +16,11 @@
 from query_gateway.model.state import SchedulerState
 from query_gateway.model.units import MS, SEC
 
-BURST_SECONDS: Final = 4.0  # of quota that may be used at once, as when a peer's clients move here
-GOSSIP_FANOUT: Final = 2  # peers that get the counts each period; sent to all, messages grow quadratically
+BURST_SECONDS: Final = 4.0  # seconds of quota that may be used at once, as when a peer's clients move here
+GOSSIP_FANOUT: Final = 2  # peers that get the counts each period; with all, messages would grow quadratically
 GOSSIP_PERIOD_NS: Final = 1 * SEC
 GOSSIP_LIFETIME_NS: Final = 3 * SEC  # how long a report counts; one or two lost reports are tolerated
-MIN_OBSERVED_NS: Final = 100 * MS  # minimum observation time of a gateway that has just started
+MIN_OBSERVED_NS: Final = 100 * MS  # added to the observation time, which is 0 when a gateway starts
 
 
 def request_weight(state: SchedulerState, request_class: ClassState, tenant: int) -> float:
@@ -31,7 +31,8 @@
         return weight
     state.tenants.traffic.counts[tenant].add(1.0, state.now, GOSSIP_LIFETIME_NS)
     rate = settings.tenant_quotas[tenant] * quota_share(state, tenant)
-    burst = rate * BURST_SECONDS + 1 + math.sqrt(rate * BURST_SECONDS)  # small shares arrive unevenly
+    # The square root allows for the uneven arrivals of a small share
+    burst = rate * BURST_SECONDS + 1 + math.sqrt(rate * BURST_SECONDS)
     within_quota = buckets[tenant].take(rate, burst, state.now)
     return weight * (1.0 if within_quota else settings.over_quota_weight)
 
--- a/query_gateway/policy/unresponsive.py
+++ b/query_gateway/policy/unresponsive.py
@@ -1,8 +1,9 @@
 """Unresponsive engines: those that have been silent for so long that some attempt should have been answered.
 
-Inputs: the attempts in flight at an engine with their expected run times, and when something was last
-received from it (nanoseconds). If run times are distributed exponentially, a healthy engine is idle for n
-mean runs, summed over the attempts, with the probability e^-n.
+Input: the attempts in flight at an engine with their expected run times, and when something was last
+received from it (nanoseconds).
+Rationale: if run times are distributed exponentially, a healthy engine is idle for n mean runs, summed over
+the attempts, with the probability e^-n.
 """
 
 import math
@@ -29,7 +30,7 @@
     runs, longest_ns = [], []
     for attempt in engine.in_flight.values():
         idle_ns = now - max(engine.last_received_at, attempt.sent_at)
-        # A run that already exceeded its expected run time is expected to take as long again
+        # A run past its expected run time when the engine fell silent is expected to take as long again
         runs.append(idle_ns / max(attempt.query.run_time, now - attempt.sent_at - idle_ns))
         longest_ns.append(idle_ns)
     return IdleHazard(math.fsum(runs), max(longest_ns))
