--- a/query_gateway/forwarder/__init__.py
+++ b/query_gateway/forwarder/__init__.py
@@ -10,5 +10,6 @@
 
 The package imports `query_gateway.model` and the policy rules that it shares with the planner: `repetition`,
 `recovery_ramp` and `key_quarantine`. It is imported by the servers, the engine clients, discovery, the
-configuration and the composition root, but not by the model, the policy or the planner.
+configuration, the lifecycle, the statement classification and the composition root, but not by the model, the
+policy or the planner.
 """
--- a/query_gateway/forwarder/attempt.py
+++ b/query_gateway/forwarder/attempt.py
@@ -56,7 +56,7 @@
 
     @property
     def is_open(self) -> bool:
-        """Whether any attempt may still serve the request."""
+        """Whether the exchange is neither streaming nor answered, so that any attempt may still serve it."""
 
     @property
     def answered(self) -> bool:
@@ -79,7 +79,10 @@
 
 
 def outcome_of_unknown_request(request_id: int, endpoint: str) -> AttemptOutcome:
-    """The outcome of an attempt that was not sent because its exchange, which numbers attempts, has ended."""
+    """The outcome of an attempt that was not sent because its exchange has ended.
+
+    Its attempt number is `LAST_ATTEMPT`: the exchange, which numbered the attempts, no longer exists.
+    """
     return AttemptOutcome(
         request_id=request_id,
         final=True,
--- a/query_gateway/forwarder/engine_side.py
+++ b/query_gateway/forwarder/engine_side.py
@@ -39,9 +39,9 @@
         self.wire = wire
         self.class_settings = class_settings
         self.attempts: list[Attempt] = []
-        self.next_number = 0  # the planner also counts attempts that the send guard refuses
+        self.next_number = 0  # as in the planner, attempts refused by the send guard are numbered too
         self.terms = AttemptTerms()
-        self.first_executed_at: int | None = None  # send time (clock) of the first attempt that may have run
+        self.first_executed_at: int | None = None  # clock time of sending the first attempt that may have run
 
     @property
     def current_attempt(self) -> Attempt | None:
--- a/query_gateway/forwarder/exchange.py
+++ b/query_gateway/forwarder/exchange.py
@@ -9,7 +9,8 @@
 does not respond.
 
     deadline                       the attempt in flight ends; the planner may still choose the answer
-    deadline + PLANNER_GRACE_NS    the exchange is failed if it has no answer yet
+    deadline + PLANNER_GRACE_NS    a request without an answer is failed, or rejected if no planner was
+                                   notified of it
 
 An exchange is settled, and is removed by the forwarder, once it is ANSWERED and has no attempt in flight.
 """
@@ -33,11 +34,11 @@
 
 
 class ExchangeState(Enum):
-    """What has been sent to the client. The module lists the transitions; no state is entered again."""
+    """The state of an exchange; the module docstring lists the transitions, none of which leads back."""
 
-    OPEN = "open"  # nothing yet: any attempt may still serve the request
-    STREAMING = "streaming"  # result pages: only the attempt that sent them can complete the result
-    ANSWERED = "answered"  # the final answer, or no answer is needed as the client has disconnected
+    OPEN = "open"  # nothing has been sent to the client: any attempt may still serve the request
+    STREAMING = "streaming"  # the client has result pages, which only the same attempt can complete
+    ANSWERED = "answered"  # the final answer has been sent, or the client has disconnected
 
 
 class Exchange:
@@ -78,7 +79,7 @@
 
     @property
     def is_open(self) -> bool:
-        """Whether any attempt may still serve the request."""
+        """Whether the exchange is neither streaming nor answered, so that any attempt may still serve it."""
         return self.state is ExchangeState.OPEN
 
     @property
@@ -175,7 +176,7 @@
         self.client.send_answer(answer)
 
     def _check_rejection(self) -> bool:
-        """Whether the request may be rejected, which guarantees that a retry has no second effect."""
+        """Whether the request may be rejected; a rejection guarantees that a retry has no second effect."""
         if self.is_streaming:
             return False
         if self.engine_side.may_be_rejected:
--- a/query_gateway/forwarder/exchange_context.py
+++ b/query_gateway/forwarder/exchange_context.py
@@ -14,7 +14,7 @@
 
 
 class ForwardingEngineClient(EngineClient, Protocol):
-    """An engine client with the properties that the forwarder needs."""
+    """An engine client that states whether it streams results."""
 
     streams_results: bool  # whether result pages are passed on as they arrive rather than buffered
 
--- a/query_gateway/forwarder/forwarder.py
+++ b/query_gateway/forwarder/forwarder.py
@@ -79,7 +79,7 @@
         self.predecessor_fence = PredecessorFence(
             self.router, self.key_quarantine, lambda: self.state.settings
         )
-        self.past_abort_time = False  # the process is about to exit: no new requests
+        self.past_abort_time = False  # the process is about to exit and rejects new requests
         self.early_rejections = EarlyRejections(self.counters, clock, lambda: self.context.request_trace)
         self.invariants = InvariantChecks()
         self.slow_start_budgets = SlowStartBudgets()
@@ -288,7 +288,7 @@
         self.router.add(notify, connected, settings)
 
     def on_planner_lost(self, planner_index: int) -> None:
-        """End all exchanges of a planner, and quarantine its keys until its attempts in flight have ended."""
+        """End all exchanges of a planner, and quarantine its keys, as its attempts may still be running."""
         self.planners[planner_index].connected = False
         self.key_quarantine.start(planner_index, self.settings)
         for exchange in list(self.exchanges.values()):
@@ -296,7 +296,7 @@
                 exchange.end_without_planner()
 
     def on_planner_connected(self, planner_index: int) -> None:
-        """Bring a planner that has started up to date and route requests to it from now on."""
+        """Send settings and endpoints to a planner that has started, and route requests to it from now on."""
         endpoints = tuple(endpoint.info for endpoint in self.endpoints.values())
         self.planners[planner_index].connect(endpoints)
 
--- a/query_gateway/forwarder/messages.py
+++ b/query_gateway/forwarder/messages.py
@@ -52,9 +52,9 @@
 
 @dataclass(slots=True, frozen=True)
 class RequestClass:
-    """What servers know of a request class: its number in the settings and what its requests must carry."""
+    """The properties of a request class that servers use: its number and the keys that its requests need."""
 
-    index: int
+    index: int  # in the settings
     needs_idempotency_key: bool
     ordered_by_key: bool
 
@@ -180,7 +180,7 @@
     """Starts, cancels and re-prioritizes attempts on one wire."""
 
     def start(self, attempt: AttemptHandle) -> None:
-        """Send the attempt to its endpoint, and call its `on_ended`, at once if it cannot be sent."""
+        """Send the attempt to its endpoint; call `on_ended` when it ends, or at once if it cannot be sent."""
 
     def withdraw(self, attempt: AttemptHandle) -> bool:
         """Prevent the attempt from being sent; False if some of it was sent, so that it may have run."""
--- a/query_gateway/forwarder/planner_routing.py
+++ b/query_gateway/forwarder/planner_routing.py
@@ -22,7 +22,7 @@
     index: int
     notify: Notify
     connected: bool  # whether events reach the planner
-    settings: Settings | None  # sent when it connects; None before a reload: it keeps those of its start
+    settings: Settings | None  # sent when it connects; None: no reload yet, it keeps those of its start
 
     def connect(self, endpoints: tuple[EndpointInfo, ...]) -> None:
         """Send a planner that has started the state it needs to decide: its settings, then all endpoints."""
--- a/query_gateway/forwarder/postponed_attempts.py
+++ b/query_gateway/forwarder/postponed_attempts.py
@@ -25,7 +25,7 @@
         """The current loop time."""
 
     def call_at(self, when: float, callback: Callable[[], None]) -> object:
-        """Schedule a call of `callback`."""
+        """Schedule a call of `callback` at the time `when`."""
 
 
 class PostponedAttempts:
--- a/query_gateway/forwarder/predecessor_fence.py
+++ b/query_gateway/forwarder/predecessor_fence.py
@@ -45,7 +45,7 @@
         self.state = PredecessorState.SERVING
 
     def on_draining(self) -> None:
-        """Handle the start of the predecessor's draining, from which on it accepts no requests."""
+        """Handle the start of draining at the predecessor, which accepts no further requests."""
         self.state = PredecessorState.DRAINING
         for planner in self.router.planners:
             self.key_quarantine.start_unbounded(planner.index)
--- a/query_gateway/forwarder/readiness.py
+++ b/query_gateway/forwarder/readiness.py
@@ -3,13 +3,13 @@
 The liveness path, the admin server and the BGP announcement publish it, so that clients and routers choose
 another gateway while it is not READY. Requests that arrive nevertheless are not rejected because of the
 phase, not even in STARTING and STOPPING. The only exception is a long DRAINING: `DRAIN_REJECT_AFTER_S` after
-its start the HTTP server rejects requests. The Flight server only sends its clients a GOAWAY, at
-`DRAIN_CLOSE_IDLE_AFTER_S`.
+its start the HTTP server rejects requests. The Flight server only sends its clients a GOAWAY,
+`DRAIN_CLOSE_IDLE_AFTER_S` after the start of draining.
 
-STARTING --start, and a planner is available--> READY
-READY --the last planner is lost--> STARTING
-STARTING, READY --drain--> DRAINING --undrain--> STARTING, READY
-any --stop--> STOPPING, which is terminal
+    STARTING --start, and a planner is available--> READY
+    READY --the last planner is lost--> STARTING
+    STARTING, READY --drain--> DRAINING --undrain--> STARTING, READY
+    any --stop--> STOPPING, which is terminal
 """
 
 from collections.abc import Callable
--- a/query_gateway/forwarder/send_guard.py
+++ b/query_gateway/forwarder/send_guard.py
@@ -81,11 +81,11 @@
 
     @property
     def is_open(self) -> bool:
-        """Whether any attempt may still serve the request."""
+        """Whether the exchange is neither streaming nor answered, so that any attempt may still serve it."""
 
     @property
     def abandoned(self) -> bool:
-        """Whether the client has disconnected before the answer."""
+        """Whether the client disconnected before the answer was sent."""
 
     @property
     def ended_at(self) -> int | None:
@@ -141,7 +141,7 @@
         if refusal := self._refusal_at(exchange, attempt.endpoint, now):
             return refusal
         # A client may disconnect between two polls of the event loop, and the engine would run an abandoned
-        # request. This check reads the client's socket; it follows the others because it costs a system call
+        # request. This check reads the client's socket; it follows those above because it costs a system call
         if exchange.client.has_left():
             return SendRefusal.CLIENT_LEFT
         engine = self.state.endpoints[attempt.endpoint].info
--- a/query_gateway/forwarder/slow_start_budgets.py
+++ b/query_gateway/forwarder/slow_start_budgets.py
@@ -8,7 +8,7 @@
             `slow_start_overload_window`, and this process's share of the budget
 Result:     whether another attempt may be written now
 Rationale:  within a window an engine can take `slow_start_overload_factor` times its present capacity; random
-            variation may exceed what the scheduler planned, so a statistical allowance is added
+            variation may bring more requests than the scheduler planned, so a statistical allowance is added
 
 Times are clock times in nanoseconds. Work is in nanoseconds on one core.
 """
@@ -44,7 +44,8 @@
 SMALL_BUDGET_REQUESTS: Final = 30.0  # a budget of fewer requests than this is small
 SMALL_BUDGET_ALLOWANCE: Final = StatisticalAllowance(standard_deviations=3.0, extra_requests=3.0)
 LARGE_BUDGET_ALLOWANCE: Final = StatisticalAllowance(standard_deviations=2.0, extra_requests=2.0)
-# For each process: where many processes divide a budget, the share of each may be below one request
+# The least allowance of each process: if many processes divide a budget, the share of each may be below one
+# request
 MIN_ALLOWANCE_REQUESTS: Final = 2.0
 
 
--- a/query_gateway/forwarder/table_group.py
+++ b/query_gateway/forwarder/table_group.py
@@ -123,7 +123,7 @@
 
 
 def table_group(statement: str) -> int | None:
-    """The group of the first table that has one; other names, such as columns, count only if no table has."""
+    """The group of the first table that has one, else of the first other name (such as a column) with one."""
     names = _dotted_names(_tokenize(statement))
     table_schemas = [name.parts[-2] for name in names if name.is_table]
     other_schemas = [name.parts[0] for name in names if not name.is_table]
--- a/query_gateway/planner/arrival_merge.py
+++ b/query_gateway/planner/arrival_merge.py
@@ -4,8 +4,8 @@
 another forwarder. A request therefore waits until all other forwarders have replied that they have passed on
 every request that arrived before it. A forwarder that disconnects is not waited for.
 
-Inputs  requests with a key, and the replies of forwarders
-Output  requests of which the planner may be notified, those of a key in arrival order
+Input:   requests with a key, and the replies of forwarders
+Result:  requests of which the planner may be notified, those of a key in arrival order
 """
 
 from collections.abc import Callable, Collection, Iterator
--- a/query_gateway/planner/ipc.py
+++ b/query_gateway/planner/ipc.py
@@ -71,8 +71,8 @@
         """Deliver the messages received; return a reason if the connection must end.
 
         After a message that cannot be handled, the two ends no longer agree on which requests are open, and
-        the other end would wait for its answers until each deadline. Ending the connection makes the other
-        end treat this one as lost and end the requests that it has open here.
+        the other end would wait for answers until the deadlines of its requests. Ending the connection makes
+        the other end treat this one as lost and end the requests that it has open here.
         """
         try:
             for message in self.decoder.feed(self.stream.take_inbox()):
--- a/query_gateway/planner/ipc_codec.py
+++ b/query_gateway/planner/ipc_codec.py
@@ -40,14 +40,14 @@
 
 @dataclass(slots=True, frozen=True)
 class ArrivalReply:
-    """Answers an `ArrivalQuery`, after the last of the requests that arrived before its time."""
+    """Answers an `ArrivalQuery`, once the requests that the query asks about have been passed on."""
 
     request_id: int
 
 
 IpcMessage = Event | Action | EjectedEndpoints | ArrivalQuery | ArrivalReply
 
-# The types that a planner and a forwarder accept, by the type name at the start of a line
+# By the type name at the start of a line: the types that a planner accepts, then those of a forwarder
 EVENT_TYPES: dict[str, type[Event | ArrivalReply]] = {
     message_type.__name__: message_type
     for message_type in (
--- a/query_gateway/planner/learned_state.py
+++ b/query_gateway/planner/learned_state.py
@@ -1,11 +1,11 @@
 """Encodes the learned state of a scheduler as JSON for its successor: versioned, bounded and validated.
 
-Earlier and later versions read the keys and the order of the values, so they must not change. They are used
-in this module only:
+Earlier and later versions of the program read this format, so its keys and the order of its values must not
+change. The keys are used in this module only:
 
     version, lag, usual   format version; lag ratio; mean threads in use
     paces                 slowdown of the fleet, a decayed average
-    costs                 weight requested, rejected and answered late, each a decayed average
+    costs                 priority weight of all, of rejected and of late requests, each a decayed average
     classes               by class name: the means of `MEANS`; rate (slowdown); first_span (longest timeout)
     engines               by engine name, a list: listed start, observed start, slowdown, fault rate, last
                           received at, ejected until, ejection time, warm table groups
@@ -191,7 +191,9 @@
         costs = [self._average(cost) for cost in raw["costs"]]
         lag_ratio = _number(raw["lag"])
         if len(costs) != 3 or not 0 < lag_ratio < MAX_LAG_RATIO:
-            raise LearnedStateError(f"{len(costs)} costs instead of 3, or lag ratio {lag_ratio} out of range")
+            raise LearnedStateError(
+                f"expected 3 costs and lag ratio 0 to {MAX_LAG_RATIO:g}, got {len(costs)} and {lag_ratio}"
+            )
         return LearnedState(
             lag_ratio=lag_ratio,
             mean_threads_in_use=_number(raw["usual"]),
--- a/query_gateway/planner/process.py
+++ b/query_gateway/planner/process.py
@@ -46,7 +46,7 @@
 
 @dataclass(slots=True)
 class OpenRequest:
-    """A request of a forwarder whose end this process has not been notified of."""
+    """A forwarder's request that has not ended, as far as this process has been notified."""
 
     attempt_count: int = 0
     in_flight: Forward | None = None  # the attempt whose outcome is pending
@@ -119,7 +119,10 @@
         self.process.sessions_by_request.pop(request_id, None)
 
     def query_arrivals(self, request: Request) -> None:
-        """Ask the forwarder to reply once it has passed on all requests before another forwarder's."""
+        """Ask the forwarder to reply once it has passed on all requests that arrived before `request`.
+
+        `request` was received from another forwarder.
+        """
         self.connection.send(ArrivalQuery(request.request_id, request.received_at))
 
     def send_action(self, action: RequestAction) -> None:
--- a/query_gateway/planner/process_part.py
+++ b/query_gateway/planner/process_part.py
@@ -12,7 +12,7 @@
 
 
 class ProcessKind(Enum):
-    """What a worker process runs. The value appears in the environment variable and in the log."""
+    """The kinds of worker processes; the values appear in the environment variable and in the log."""
 
     PLANNER = "planner"
     FORWARDER = "forwarder"
--- a/query_gateway/planner/supervisor.py
+++ b/query_gateway/planner/supervisor.py
@@ -9,9 +9,9 @@
 to the planners.
 
 The supervisor holds no request state. If a planner dies, its queues and its learned state are lost, and its
-forwarders answer its open requests (`forwarder`, `on_planner_lost`). If a forwarder dies, its client
-connections and open requests are lost, and its planners end those requests (`planner.process`,
-`on_session_ended`). If the supervisor dies, its workers stop as on SIGTERM.
+forwarders answer its open requests (`Forwarder.on_planner_lost`). If a forwarder dies, its client connections
+and open requests are lost, and its planners end those requests (`PlannerProcess.on_session_ended`). If the
+supervisor dies, its workers stop as on SIGTERM.
 """
 
 import os
@@ -113,7 +113,7 @@
         try:
             worker.start()
         except OSError as error:  # process, descriptor or memory limit reached
-            # `started_at` has been set, so the next try is not before `RESTART_INTERVAL_S`
+            # `started_at` has been set, so the next try is made after `RESTART_INTERVAL_S` at the earliest
             log("supervisor", f"cannot start {worker.part}: {error.strerror}")
 
     def _stop(self) -> None:
