--- a/query_gateway/composition.py
+++ b/query_gateway/composition.py
@@ -71,7 +71,7 @@
     def of(
         parts: SharedParts, handles_signals: bool, statements: "StatementService | None"
     ) -> "FrontOptions":
-        """Derive the options; `handles_signals`: whether the gateway runs as a whole process."""
+        """Derive the options; `handles_signals`: whether the process runs nothing but this gateway."""
         active, options = parts.active, parts.options
         # A successor that cannot inherit the listeners must be able to bind the same addresses
         successor_must_bind = (
@@ -127,10 +127,11 @@
 
 
 def build_forwarder(loop: Loop, active: ActiveConfiguration) -> Forwarder:
-    """Build the forwarder, with figures for every class."""
+    """Build the forwarder, with counters for every class."""
     config = active.config
-    # A planner process outlives its forwarders. If every forwarder started with the same id, it would confuse
-    # a new request with an old one of the same id; the steady clock never goes back.
+    # A planner process outlives its forwarders. If the request ids of each forwarder started at the same
+    # value, the planner would confuse a new request with an old one of the same id; the steady clock never
+    # goes back.
     first_request_id = steady_now_ns()
     forwarder = Forwarder(
         config.settings, steady_now_ns, steady_clock_scheduler(loop), max_exchanges(config), first_request_id
--- a/query_gateway/lifecycle/client_fronts.py
+++ b/query_gateway/lifecycle/client_fronts.py
@@ -14,7 +14,8 @@
     from query_gateway.flight.server import FlightServer
     from query_gateway.parsing.service import StatementService
 
-# Descriptors reserved for engines, the discovery service and the loop, but never more than half of the limit
+# At least this many descriptors are reserved for engines, the discovery service and the loop, but never more
+# than half of the limit
 MIN_RESERVED_DESCRIPTORS = 64
 
 
@@ -82,7 +83,7 @@
             self.statements.give_up_waiting()
 
     def close(self) -> None:
-        """Accept what is in the accept queue, then stop; connections are closed when they become idle."""
+        """Accept the clients in the accept queue, then stop; connections are closed when they become idle."""
         self.http_server.close()
         self.close_flight()
 
--- a/query_gateway/lifecycle/hot_upgrade.py
+++ b/query_gateway/lifecycle/hot_upgrade.py
@@ -37,8 +37,9 @@
        ^                     |                               |                  |
        +---------------------+-------- connection ends ------+------------------+
 
-The successor keeps only the connection to its predecessor (`predecessor`), or None. This state is lost with
-the process. A process that is killed leaves its socket file behind, and the next one replaces it.
+A successor has no such states for its predecessor, only the connection (`predecessor`), or None. All of this
+is lost with the process. A process that is killed leaves its socket file behind, and the next one replaces
+it.
 """
 
 import socket
--- a/query_gateway/lifecycle/planner_links.py
+++ b/query_gateway/lifecycle/planner_links.py
@@ -2,7 +2,7 @@
 
 The states of a planner as seen by this process; a local planner is replaced and CONNECTED again at once:
 
-    LOST --connection established--> CONNECTED --connection closed, or decision module raised--> LOST
+    LOST --connection established--> CONNECTED --connection closed, or decision module raised an error--> LOST
 
 When a planner is lost, its queues, its view of the engines and its learned state are lost with it. The
 forwarder ends all of the planner's open requests at once (`Forwarder.on_planner_lost`): a request is rejected
--- a/query_gateway/lifecycle/reload.py
+++ b/query_gateway/lifecycle/reload.py
@@ -6,7 +6,8 @@
 
 No change is made before both files have been read and validated as a whole. Open requests keep the settings
 under which they were accepted. Settings that need a restart keep their old value, which the log line
-reports.
+reports. `max_descriptors` is an exception: the connection limit that planners receive with their next
+settings is derived from the new value.
 """
 
 import os
--- a/query_gateway/lifecycle/request_trace.py
+++ b/query_gateway/lifecycle/request_trace.py
@@ -1,6 +1,6 @@
 """The request trace: a file with every step of every request, whose path is set by an environment variable.
 
-The line format is `CLOCK PID REQUEST CLIENT-ID STEP DETAILS`, with the clock in seconds of the machine's
+The line format is `CLOCK PID REQUEST CLIENT-ID STEP DETAILS`, with the clock in seconds of the host's
 monotonic clock. Tracing is disabled without the variable. Unlike the log, the trace is complete, up to
 `MAX_TRACE_BYTES`.
 """
--- a/query_gateway/net/arrival_watermark.py
+++ b/query_gateway/net/arrival_watermark.py
@@ -3,7 +3,7 @@
 A request arrives when the kernel receives it, but this process learns of it only after accepting its
 connection and reading its bytes, and epoll reports sockets in no particular order. Requests that arrived
 before the watermark can be put in arrival order, because no earlier one is still unread. The watermark
-advances only while it is awaited:
+advances only while the forwarder holds requests for this order (`is_awaited`):
 
     turn N      polls at time p and accepts until the backlog is empty: connections from before p are accepted
     turn N + 1  reads every readable connection until nothing is left: the watermark becomes p
--- a/query_gateway/net/buffered_socket.py
+++ b/query_gateway/net/buffered_socket.py
@@ -40,7 +40,7 @@
         self.arrivals = ArrivalLog(waiting_since)
         self._is_accepted = True  # a client's deadlines count from arrival, so arrival times are recorded
         self.bytes_consumed = 0  # bytes taken out of the inbox so far
-        self._awaits_writable = False  # `try_write` wrote nothing and needs a notification
+        self._awaits_writable = False  # `try_write` wrote nothing, so `on_activity` is due once writable
         self.connected = True
         self.eof = self.reset = self.closed = False
         self.is_local_failure = False  # the dial failed for lack of a resource of this host
@@ -184,7 +184,7 @@
         return bool(sent)
 
     def call_when_sent(self, callback: Callable[[], None]) -> None:
-        """Call once the kernel has accepted all that was written; never, if the connection ends first."""
+        """Call `callback` once all bytes written are in the kernel; never, if the connection ends first."""
         if self.outbox or not self.connected:
             self.outbox.call_when_sent(callback)
         elif not self.reset and not self.closed:
@@ -216,7 +216,10 @@
             self.eof = self.reset = True
 
     def _update_mask(self) -> None:
-        """Watch only for events that can be handled; level-triggered epoll reports others in each turn."""
+        """Watch only for events that can be handled.
+
+        As epoll is level-triggered, other events would wake the loop in every turn.
+        """
         if self.closed:
             return
         writes = bool(self.outbox) or not self.connected or self._awaits_writable
--- a/query_gateway/net/descriptors.py
+++ b/query_gateway/net/descriptors.py
@@ -7,7 +7,7 @@
 
 
 def describe_descriptors() -> str:
-    """`N of LIMIT descriptors open`; without N if no descriptor is free for reading the directory."""
+    """`N of LIMIT descriptors open`, or `none of LIMIT descriptors free` if the count cannot be read."""
     limit, _ = resource.getrlimit(resource.RLIMIT_NOFILE)
     try:
         open_count = len(os.listdir(DESCRIPTOR_DIRECTORY)) - 1  # without the one that reads the directory
--- a/query_gateway/net/dial.py
+++ b/query_gateway/net/dial.py
@@ -1,4 +1,4 @@
-"""Dials, which are connects on non-blocking sockets, and their results as Linux error codes."""
+"""Dials (connects on non-blocking sockets) and their results as Linux error codes."""
 
 import errno
 import socket
--- a/query_gateway/net/errors.py
+++ b/query_gateway/net/errors.py
@@ -2,8 +2,8 @@
 
 import errno
 
-# Nothing to do yet, a signal, or a temporary shortage of memory or buffers. The socket is unchanged, so the
-# call is retried later
+# The call would block, was interrupted by a signal, or failed because the host is short of memory or buffers.
+# The socket is unchanged, so the call is retried later
 TRANSIENT_ERRORS = frozenset((errno.EAGAIN, errno.EWOULDBLOCK, errno.EINTR, errno.ENOBUFS, errno.ENOMEM))
 WOULD_BLOCK_ERRORS = frozenset((errno.EAGAIN, errno.EWOULDBLOCK))
 # Dial errors caused by this host, which lacks a port, a route or a buffer. The peer was not reached, so they
--- a/query_gateway/net/listener.py
+++ b/query_gateway/net/listener.py
@@ -214,7 +214,8 @@
     def release(self) -> None:
         """Stop accepting and leave the backlog to the other process that has this socket open.
 
-        It stays open here as well; otherwise clients in the backlog would be reset if that process died.
+        The socket stays open here as well; otherwise clients in the backlog would be reset if that process
+        died.
         """
         if self.state is ListenerState.LISTENING:
             self.state = ListenerState.RELEASED
--- a/query_gateway/net/log.py
+++ b/query_gateway/net/log.py
@@ -15,7 +15,7 @@
 LINES_PER_SECOND = 5.0  # sustained rate per subject
 MAX_SUBJECTS = 256  # subjects limited separately; bounds the memory, as subjects are never removed
 OTHER_SUBJECT = "other"
-MAX_LINE_BYTES = select.PIPE_BUF  # what a writable pipe accepts without blocking
+MAX_LINE_BYTES = select.PIPE_BUF  # a pipe that polls as writable accepts this many without blocking
 
 
 @dataclass(slots=True)
--- a/query_gateway/net/loop.py
+++ b/query_gateway/net/loop.py
@@ -1,8 +1,8 @@
 """The event loop: one epoll, timers, and coroutines written as generators.
 
 A coroutine yields the loop time (seconds) until which it sleeps at most, or None to sleep without a limit. It
-is resumed when it is woken or that time is reached, and must then check its condition again. Code that
-changes the condition of a coroutine calls `Task.wake`.
+is resumed when it is woken or that time is reached, and must then check again the condition that it waits
+for. Code that changes such a condition calls `Task.wake`.
 """
 
 import contextlib
@@ -48,7 +48,7 @@
     """A coroutine on the loop."""
 
     def __init__(self, loop: "Loop", coroutine: LoopCoroutine, is_urgent: bool) -> None:
-        """Create a task that runs once it is woken; see `Loop.spawn`."""
+        """Create a task that does not run before it is woken; see `Loop.spawn`."""
         self.loop, self.coroutine = loop, coroutine
         self.queue = loop.urgent if is_urgent else loop.ready
         self.queued = self.done = False
@@ -102,7 +102,7 @@
         self.turn_hooks: list[Callable[[], bool]] = []
         self.closing_sockets: list[socket.socket] = []
         self.running = True
-        self.faults = 0  # exceptions that escaped a coroutine or a handler
+        self.faults = 0  # unhandled exceptions of coroutines and callbacks, and failed polls
         self.turn_started_at = self.now()
         self.watermark = ArrivalWatermark(self.turn_started_at)
         self.last_turn_time = 0.0  # duration of the last turn in seconds; 0 if the loop slept since
@@ -122,7 +122,7 @@
         return max(self.last_turn_time, self.now() - self.turn_started_at)
 
     def call_at(self, when: float, callback: Callable[[], None]) -> Timer:
-        """Call at a loop time (seconds), unless the returned timer is cancelled."""
+        """Call `callback` at a loop time (seconds), unless the returned timer is cancelled."""
         timer = Timer(callback, when)
         heapq.heappush(self.timers, (when, next(self.timer_sequence), timer))
         if len(self.timers) > 2 * self.timers_after_sweep + TIMER_SWEEP_SLACK:
@@ -292,7 +292,7 @@
             self.ready.popleft().step()
 
     def _call(self, callback: Callable[[], object]) -> object:
-        """Call, and log any exception, which must not stop the loop."""
+        """Call `callback` and log any exception, which must not stop the loop."""
         try:
             return callback()
         except Exception as error:
--- a/query_gateway/net/outbox.py
+++ b/query_gateway/net/outbox.py
@@ -28,7 +28,7 @@
         self._queued_bytes += len(data)
 
     def call_when_sent(self, callback: Callable[[], None]) -> None:
-        """Call once everything queued so far is sent; never, if it is dropped."""
+        """Call `callback` once all bytes queued so far are sent; never, if they are dropped."""
         self._callbacks.append(_SentCallback(self._queued_bytes, callback))
 
     def remove_sent(self, count: int) -> None:
--- a/query_gateway/net/steady_clock.py
+++ b/query_gateway/net/steady_clock.py
@@ -2,12 +2,13 @@
 
 It is based on the host's monotonic clock, so all processes on one host read the same values, and a planner
 process can use the times of a forwarder. Wall-clock times occur only in data from outside: the start of an
-engine, and inherited state that another version of the program has written.
+engine, and the learned state that a successor inherits.
 """
 
 import time
 
-# Added to the monotonic clock, which is near 0 after a boot of the host: a time of 0 means "never"
+# Added to the monotonic clock, which is near 0 after a boot of the host, so that no time is 0, which means
+# "never"
 EPOCH_NS = 10**18
 NANOSECONDS_PER_SECOND = 1e9
 
--- a/query_gateway/net/stream.py
+++ b/query_gateway/net/stream.py
@@ -91,8 +91,8 @@
     def close_gracefully(self, seconds: float) -> Generator[float | None, None, None]:
         """Shut down the sending side and discard input until the peer closes, for at most `seconds`.
 
-        For coroutines, before `close`. A close with unread input sends a reset (RFC 1122 section 4.2.2.13),
-        which makes the peer lose the last bytes sent if it has not read them yet.
+        Coroutines run this before `close`. A close with unread input sends a reset (RFC 1122 section
+        4.2.2.13), which makes the peer lose the last bytes sent if it has not read them yet.
         """
         self.half_close()
         deadline = self.loop.now() + seconds
