--- a/query_gateway/lifecycle/shutdown.py
+++ b/query_gateway/lifecycle/shutdown.py
@@ -159,7 +159,7 @@
 
     def _close_fronts(self) -> None:
         """Stop accepting after the grace period or the abort, unless a successor must become ready first."""
-        if self._has_successor and self.state is not ShutdownState.ABORTED:  # it connected meanwhile
+        if self._has_successor and self.state is not ShutdownState.ABORTED:  # a successor connected meanwhile
             return self.transfer_to_successor()
         self.parts.fronts.close()
         self.parts.announcer.stop()
