--- a/query_gateway/cli.py
+++ b/query_gateway/cli.py
@@ -228,7 +228,10 @@
 
 
 def _classifications(service: "StatementService", line: StatementLine) -> Iterator["Classification"]:
-    """Yield results until one has a decision: there is none while a crashed parser process is replaced."""
+    """Classify repeatedly and yield each result; end the process after `PARSER_TIMEOUT_SECONDS`.
+
+    A result has no decision while a crashed parser process is being replaced; the caller then tries again.
+    """
     from query_gateway.parsing.service import ClassificationRequest
 
     loop = service.loop
--- a/query_gateway/configuration/__init__.py
+++ b/query_gateway/configuration/__init__.py
@@ -1,7 +1,7 @@
 """Reading, validation and decoding of the platform's JSON configuration and the operator's TOML file.
 
-Defines what is invalid and with which one-line message it is reported. The package has no state; it returns
-immutable values.
+Defines the validity of each value and the one-line message for each error. The package has no state; it
+returns immutable values.
 
     errors                the base class of configuration errors, and a subclass for each kind of error
     platform              the platform's JSON file, except for its settings
--- a/query_gateway/discovery/__init__.py
+++ b/query_gateway/discovery/__init__.py
@@ -1,6 +1,6 @@
 """The endpoint list: decoding, sequence checks, tombstones, and the client of the discovery service.
 
-Decides what an answer of the discovery service changes in the list, and when a snapshot is needed again. Owns
+Determines the changes in each answer of the discovery service, and when a new snapshot is needed. Owns
 the connection to that service, the position in its events, and the tombstones of draining and removed
 endpoints; the forwarder owns the list itself. This state is not persistent: a new process starts with the
 list in its configuration and polls for the events after it.
--- a/query_gateway/discovery/reconciliation.py
+++ b/query_gateway/discovery/reconciliation.py
@@ -1,4 +1,4 @@
-"""The sequence check: what an answer changes in the endpoint list, and whether events are missing from it.
+"""The sequence check: determines the changes in an answer, and whether events are missing from it.
 
     the answer                                              anomaly    next position
     continues after the current position                    none       of its last event
@@ -29,7 +29,7 @@
 
 @dataclass(slots=True, frozen=True)
 class EndpointListChange:
-    """What an answer changes: the whole list if it has a snapshot, else the endpoints that it contains."""
+    """The changes in an answer: the whole list if it has a snapshot, else the endpoints that have changed."""
 
     position: int  # of the last event received; 0: the next poll must be for a snapshot
     is_snapshot: bool
@@ -76,7 +76,7 @@
 
 
 def _anomaly(has_reset: bool, has_gap: bool, is_duplicate: bool) -> SequenceAnomaly | None:
-    """The anomaly that is reported if there are several."""
+    """The anomaly to report, or None; of several, RESET takes precedence, then GAP."""
     if has_reset:
         return SequenceAnomaly.RESET
     if has_gap:
--- a/query_gateway/discovery/watch_client.py
+++ b/query_gateway/discovery/watch_client.py
@@ -21,7 +21,7 @@
 from query_gateway.net.stream import Reason, Stream, address_of
 
 POLL_HOLD_MS = 2_000  # how long the service may hold a poll; also limits how late its failure is detected
-SHORT_POLL_HOLD_MS = 1  # until the first answer, if a successor waits for it to start
+SHORT_POLL_HOLD_MS = 1  # until the first answer, before which the successor in a hot upgrade does not start
 ANSWER_GRACE_SECONDS = 0.8  # after the hold, before the service counts as unresponsive
 SHORT_POLL_TIMEOUT_SECONDS = 0.8
 CONNECT_TIMEOUT_SECONDS = 0.5
--- a/query_gateway/engine_protocol/frames.py
+++ b/query_gateway/engine_protocol/frames.py
@@ -47,7 +47,7 @@
 
 
 class FrameError(Exception):
-    """The received bytes are not a valid response; the text names the fault and quotes the bytes."""
+    """Received bytes are not valid frames, or a frame is overdue; the message describes the fault."""
 
 
 @dataclass(slots=True, frozen=True)
@@ -108,7 +108,10 @@
         return self._head is not None or bool(self.buffer)
 
     def feed(self, data: bytes) -> list[Frame]:
-        """Return the frames that `data` completes; after a FrameError the decoder must not be used again."""
+        """Return the frames that `data` completes.
+
+        Raises FrameError if the bytes are not valid frames; the decoder must then not be used again.
+        """
         self.buffer += data
         frames: list[Frame] = []
         while (frame := self._next_frame()) is not None:
--- a/query_gateway/engine_protocol/liveness.py
+++ b/query_gateway/engine_protocol/liveness.py
@@ -56,7 +56,7 @@
 
     @property
     def latest_response_start(self) -> float:
-        """The time before or at which an incomplete response must not have begun.
+        """The latest start time of an incomplete response that is overdue.
 
         While bytes keep arriving `deadline` never passes, so a response that does not end needs this bound.
         """
--- a/query_gateway/engine_protocol/pool.py
+++ b/query_gateway/engine_protocol/pool.py
@@ -3,7 +3,8 @@
 An attempt uses the first connection to its engine that can take it; if there is none, a new one is dialled.
 Each module imports only modules further to the right:
 
-    pool > connection > request_writer, response_handler > liveness > attempt_table > open_attempt > frames
+    pool > connection > request_writer, response_handler > liveness > attempt_table > open_attempt
+         > frames, results
 """
 
 from collections.abc import Callable
--- a/query_gateway/http/connection.py
+++ b/query_gateway/http/connection.py
@@ -276,8 +276,8 @@
         """Close as RFC 9112 section 9.6 recommends: half-close, then read for up to `LINGER_SECONDS`.
 
         A request that arrives after the half-close is not served, as its response could not be sent; the
-        client retries it on another connection. For a client that has exceeded `MAX_DISCARDED_BYTES` neither
-        is done.
+        client retries it on another connection. If the client has exceeded `MAX_DISCARDED_BYTES`, the
+        connection is closed without the half-close and the wait.
         """
         if self.handler.has_sent_too_much:
             return reason
--- a/query_gateway/http/request_handler.py
+++ b/query_gateway/http/request_handler.py
@@ -18,7 +18,7 @@
     from query_gateway.parsing.service import Classification, ClassificationRequest, StatementService
 
 MAX_LOOP_LAG_SECONDS = 0.25  # above it new requests are rejected before they cost the forwarder any time
-MAX_DISCARDED_BYTES = 1_048_576  # that a client may send before its answer, in addition to a full inbox
+MAX_DISCARDED_BYTES = 1_048_576  # limit per connection of input discarded from full inboxes
 
 
 class RequestContext(Protocol):
@@ -179,7 +179,8 @@
                 self.abandon()
                 return failure_response(413, "too much was sent ahead") if sent_too_much else Reason.ABANDONED
             yield None
-        self._exchange = None  # breaks a reference cycle, which only the garbage collector would free
+        # The exchange refers to this handler; the reference cycle would last until the garbage collector runs
+        self._exchange = None
         return response_to(pending.answer)
 
     def _discard_excess_input(self) -> bool:
--- a/query_gateway/http/server.py
+++ b/query_gateway/http/server.py
@@ -88,7 +88,7 @@
         self.connections[connection] = None
 
     def evict(self) -> bool:
-        """Close the connection that is least in use, if any may be evicted; return whether one was."""
+        """Close the connection that `_eviction_candidate` chooses, if any; return whether one was closed."""
         candidate = self._eviction_candidate()
         if candidate is None:
             return False
