--- a/tests/test_bgp.py
+++ b/tests/test_bgp.py
@@ -1,4 +1,4 @@
-"""The BGP speaker: its messages cut and garbled, and a session with a peer on loopback."""
+"""The BGP speaker: fragmented and malformed messages, and a session with a peer on loopback."""
 
 import socket
 from ipaddress import IPv4Address, IPv4Network
@@ -22,10 +22,10 @@
     m.encode_withdrawal(NETWORKS),
     m.encode_notification(6, 2, b"x"),
 )
-steady = hypothesis_settings(derandomize=True, deadline=None, max_examples=150)
+derandomized = hypothesis_settings(derandomize=True, deadline=None, max_examples=150)
 
 
-@steady
+@derandomized
 @given(st.lists(st.sampled_from(VALID), max_size=6), st.lists(st.integers(1, 40), max_size=20))
 def test_messages_are_decoded_however_the_bytes_are_cut(parts: list[bytes], cuts: list[int]) -> None:
     data, decoder, messages = b"".join(parts), m.MessageDecoder(), []
@@ -36,7 +36,7 @@
     assert len(messages) == len(parts)
 
 
-@steady
+@derandomized
 @given(st.binary(max_size=80), st.sampled_from(VALID), st.integers(0, 200))
 def test_garbage_is_an_error_or_an_incomplete_message(noise: bytes, valid: bytes, at: int) -> None:
     data = valid[: at % len(valid)] + noise
@@ -70,7 +70,7 @@
 
 
 class Peer:
-    """A BGP peer on a plain socket, driven step by step together with the loop."""
+    """A BGP peer on a plain socket. The test runs the session's loop turn by turn."""
 
     def __init__(self, hold_time: int = 9) -> None:
         self.server = socket.create_server(("127.0.0.1", 0))
@@ -92,12 +92,12 @@
     def send(self, *messages: bytes) -> None:
         self.sock.sendall(b"".join(messages))
 
-    def expect(self, kind: type) -> m.Message:
-        """Run the loop until a message of that kind has come."""
+    def expect(self, message_type: type) -> m.Message:
+        """Runs the loop until a message of this type has been received."""
         for _ in range(1_000):
-            for at, message in enumerate(self.received):
-                if isinstance(message, kind):
-                    del self.received[: at + 1]
+            for position, message in enumerate(self.received):
+                if isinstance(message, message_type):
+                    del self.received[: position + 1]
                     return message
             self.loop.call_at(self.loop.now() + 0.01, lambda: None)
             self.loop.turn()
@@ -105,7 +105,7 @@
                 self.received += self.decoder.feed(self.sock.recv(4096))
             except TimeoutError:
                 continue
-        raise AssertionError(f"no {kind.__name__} came")
+        raise AssertionError(f"no {message_type.__name__} received")
 
     def establish(self) -> None:
         assert self.expect(m.Open) == m.Open(65_001, 9, IPv4Address("127.0.0.2"), True)
@@ -160,7 +160,7 @@
         ([m.encode_open(65_009, 9, NEXT_HOP)], (2, 2)),
         ([m.encode_open(65_002, 9, IPv4Address("127.0.0.2"))], (2, 3)),
         ([m.encode_open(65_002, 9, NEXT_HOP), m.encode_withdrawal(NETWORKS)], (5, 0)),
-        ([m.encode_open(65_002, 3, NEXT_HOP)], (4, 0)),  # and then silence: its hold time runs out
+        ([m.encode_open(65_002, 3, NEXT_HOP)], (4, 0)),  # no KEEPALIVE follows, so the hold time expires
     ],
 )
 def test_a_protocol_error_of_the_peer_is_answered_with_its_notification(
@@ -168,6 +168,6 @@
 ) -> None:
     peer = Peer()
     peer.send(*sent)
-    answer = peer.expect(m.Notification)
-    assert isinstance(answer, m.Notification) and (answer.code, answer.subcode) == code
+    notification = peer.expect(m.Notification)
+    assert isinstance(notification, m.Notification) and (notification.code, notification.subcode) == code
     peer.close()
--- a/tests/test_flight.py
+++ b/tests/test_flight.py
@@ -1,4 +1,4 @@
-"""Flight SQL against independent peers: pyarrow servers as engines, pyarrow and ADBC as clients."""
+"""Flight SQL with independent implementations: pyarrow servers as engines, pyarrow and ADBC as clients."""
 
 import socket
 import threading
@@ -29,7 +29,7 @@
 
 
 class FlightEngine(fl.FlightServerBase):  # type: ignore[misc]
-    """A stand-in for a Flight SQL engine: it counts what runs and what is cancelled."""
+    """A stand-in for a Flight SQL engine that counts what it runs and notes a cancelled result."""
 
     def __init__(self, **options: Any) -> None:
         super().__init__("grpc://127.0.0.1:0", **options)
@@ -37,15 +37,15 @@
         self.loads: Counter[str] = Counter()
         self.cancelled = threading.Event()
         self.sent = 0
-        self.refusals = 0
-        self.go_on = threading.Event()
-        self.go_on.set()
+        self.unavailable_count = 0
+        self.may_continue = threading.Event()
+        self.may_continue.set()
 
     def get_flight_info(self, context: Any, descriptor: Any) -> Any:
-        statement = _statement(descriptor.command)
+        statement = _decode_statement(descriptor.command)
         self.ran[statement] += 1
-        if self.refusals:
-            self.refusals -= 1
+        if self.unavailable_count:
+            self.unavailable_count -= 1
             raise fl.FlightUnavailableError("not now")
         if "broken" in statement:
             raise fl.FlightServerError("cannot plan this")
@@ -57,31 +57,33 @@
         batches = 2_000 if "long" in statement else 3
 
         def rows() -> Iterator[Any]:
-            n = 0
+            number = 0
             try:
-                while n < batches and not context.is_cancelled():
-                    if n == 2:
-                        self.go_on.wait(20)
+                while number < batches and not context.is_cancelled():
+                    if number == 2:
+                        self.may_continue.wait(20)
                         if "torn" in statement:
                             raise fl.FlightServerError("torn")
                     self.sent += 1
-                    yield pa.record_batch([[f"{n:04}" * 2_500 if batches > 3 else f"{n}"]], schema=SCHEMA)
-                    n += 1
+                    yield pa.record_batch(
+                        [[f"{number:04}" * 2_500 if batches > 3 else f"{number}"]], schema=SCHEMA
+                    )
+                    number += 1
             finally:
-                if n < batches:
+                if number < batches:
                     self.cancelled.set()
 
         return fl.GeneratorStream(SCHEMA, rows())
 
     def do_put(self, context: Any, descriptor: Any, reader: Any, writer: Any) -> None:
-        self.loads[_statement(descriptor.command)] += 1
+        self.loads[_decode_statement(descriptor.command)] += 1
         writer.write(pa.py_buffer(b"\x08\x05"))  # DoPutUpdateResult with record_count 5
 
 
-def _statement(command: bytes) -> str:
-    outer = any_pb2.Any.FromString(command)
-    assert outer.type_url.rpartition(".")[2] in ("CommandStatementQuery", "CommandStatementUpdate")
-    return outer.value[2:].decode()  # field 1, a length under 128, the text
+def _decode_statement(command: bytes) -> str:
+    envelope = any_pb2.Any.FromString(command)
+    assert envelope.type_url.rpartition(".")[2] in ("CommandStatementQuery", "CommandStatementUpdate")
+    return envelope.value[2:].decode()  # the tag of field 1, a length below 128, then the text
 
 
 @contextmanager
@@ -91,7 +93,7 @@
     statements: StatementSettings | None = None,
     **overrides: Any,
 ) -> Iterator[Gateway]:
-    """A complete gateway, HTTP and Flight SQL, on a thread of its own."""
+    """Runs a complete gateway, with HTTP and Flight SQL, on a separate thread."""
     hosts = []
     for number in range(max(len(flight_engines), len(web))):
         host: dict[str, Any] = {"host": f"e{number}", "site": "hall-a", "class": "std-16", "health": "up"}
@@ -105,7 +107,7 @@
     thread.start()
     try:
         if gate.statements:
-            wait_for_a_parser(gate.statements)
+            wait_for_parser(gate.statements)
         yield gate
     finally:
         gate.loop.stop()
@@ -116,11 +118,11 @@
         assert not thread.is_alive() and gate.loop.faults == 0
 
 
-def wait_for_a_parser(statements: StatementService) -> None:
-    """Wait until a parser process is ready.
+def wait_for_parser(statements: StatementService) -> None:
+    """Waits until a parser process is ready.
 
-    A statement that comes earlier is rejected after `MAX_WAIT_S`, which may be over before the process has
-    started where the cores are busy.
+    A statement that arrives earlier is rejected after `MAX_WAIT_S`. On busy cores, that time can pass before
+    the process has started.
     """
     until(lambda: any(slot.state is SlotState.IDLE for slot in statements.supervisor.pool.slots))
 
@@ -130,27 +132,29 @@
     return fl.connect(f"grpc://127.0.0.1:{gate.flight_server.listener.address[1]}")
 
 
-def options(seconds: float = 10.0, **meta: Any) -> Any:
-    headers = [(name.replace("_", "-").encode(), value.encode()) for name, value in meta.items()]
+def options(seconds: float = 10.0, **metadata: Any) -> Any:
+    headers = [(name.replace("_", "-").encode(), value.encode()) for name, value in metadata.items()]
     return fl.FlightCallOptions(timeout=seconds, headers=headers)
 
 
 def command(name: str, statement: str) -> Any:
-    value = bytes([0x0A, len(statement)]) + statement.encode()
-    url = f"type.googleapis.com/arrow.flight.protocol.sql.{name}"
-    return fl.FlightDescriptor.for_command(any_pb2.Any(type_url=url, value=value).SerializeToString())
+    query = bytes([0x0A, len(statement)]) + statement.encode()
+    type_url = f"type.googleapis.com/arrow.flight.protocol.sql.{name}"
+    return fl.FlightDescriptor.for_command(any_pb2.Any(type_url=type_url, value=query).SerializeToString())
 
 
-def run_query(gate: Gateway, statement: str = SQL, seconds: float = 10.0, **meta: str) -> Any:
-    peer = client(gate)
-    info = peer.get_flight_info(command("CommandStatementQuery", statement), options())
-    return peer.do_get(info.endpoints[0].ticket, options(seconds, **meta))
+def run_query(gate: Gateway, statement: str = SQL, seconds: float = 10.0, **metadata: str) -> Any:
+    flight_client = client(gate)
+    info = flight_client.get_flight_info(command("CommandStatementQuery", statement), options())
+    return flight_client.do_get(info.endpoints[0].ticket, options(seconds, **metadata))
 
 
 def run_update(gate: Gateway, statement: str, row: str) -> bytes:
-    peer = client(gate)
-    meta = options(x_row=row, x_txn_key=TXN_KEY)
-    writer, reader = peer.do_put(command("CommandStatementUpdate", statement), pa.schema([]), meta)
+    flight_client = client(gate)
+    call_options = options(x_row=row, x_txn_key=TXN_KEY)
+    writer, reader = flight_client.do_put(
+        command("CommandStatementUpdate", statement), pa.schema([]), call_options
+    )
     writer.done_writing()
     result = reader.read()
     writer.close()
@@ -161,7 +165,7 @@
 def engine() -> Iterator[FlightEngine]:
     server = FlightEngine()
     yield server
-    server.go_on.set()
+    server.may_continue.set()
     server.shutdown()
 
 
@@ -190,7 +194,7 @@
 def test_client_cancelling_midway_cancels_the_engine_call(engine: FlightEngine) -> None:
     """A client cancels its call while the result is being sent.
 
-    The engine would go on to produce a result that no client reads. The gateway cancels the engine's call.
+    The engine would go on producing a result that nobody reads. The gateway cancels the engine's call.
     """
     with gateway(engine) as gate:
         reader = run_query(gate, "SELECT long FROM lending_7.loans", x_class="report")
@@ -210,8 +214,8 @@
     with gateway(engine) as gate:
         reader = run_query(gate, "SELECT long FROM lending_7.loans", 25.0, x_class="report")
         reader.read_chunk()
-        steady = wait_until_steady(lambda: engine.sent)
-        assert steady < 1_500
+        sent_count = wait_until_steady(lambda: engine.sent)
+        assert sent_count < 1_500
         assert len(reader.read_all()) == 1_999
 
 
@@ -221,7 +225,7 @@
     A closed connection would cut the result off, and a new call could be lost when the engine ends. The
     result goes on to its end, and the next query goes to another engine.
     """
-    engine.go_on.clear()
+    engine.may_continue.clear()
     other = FlightEngine()
     with gateway(engine) as gate:
         reader = run_query(gate, SQL, x_class="report")
@@ -233,7 +237,7 @@
         ]
         apply_endpoint_list(gate, endpoint_list_answer(2, hosts))
         assert run_query(gate, "SELECT b FROM lending_8.loans").read_all().num_rows == 3
-        engine.go_on.set()
+        engine.may_continue.set()
         assert reader.read_all().num_rows == 2
     assert engine.ran == {SQL: 1} and sum(other.ran.values()) == 1
     other.shutdown()
@@ -242,14 +246,16 @@
 def test_draining_gateway_finishes_open_streams_and_accepts_no_new_call(engine: FlightEngine) -> None:
     """The gateway drains while a client reads a result.
 
-    The client's connection gets a GOAWAY, the open stream goes on to its end, and a new call is unavailable
-    here until the gateway accepts again.
+    Closing the connection would cut the result off. The connection gets a GOAWAY, the open stream is sent to
+    its end, and new calls get UNAVAILABLE until the gateway is ready again.
     """
-    engine.go_on.clear()
+    engine.may_continue.clear()
     with gateway(engine) as gate:
-        with client(gate) as mine:
-            endpoint = mine.get_flight_info(command("CommandStatementQuery", SQL), options()).endpoints[0]
-            reader = mine.do_get(endpoint.ticket, options(x_class="report"))
+        with client(gate) as flight_client:
+            endpoint = flight_client.get_flight_info(
+                command("CommandStatementQuery", SQL), options()
+            ).endpoints[0]
+            reader = flight_client.do_get(endpoint.ticket, options(x_class="report"))
             reader.read_chunk()
             gate.loop.call_soon(gate.readiness.drain)
             until(
@@ -260,7 +266,7 @@
             )
             with pytest.raises(fl.FlightUnavailableError):
                 run_query(gate, "SELECT b FROM lending_8.loans")
-            engine.go_on.set()
+            engine.may_continue.set()
             assert reader.read_all().num_rows == 2
         gate.loop.call_soon(gate.readiness.undrain)
         until(lambda: gate.readiness.ready)
@@ -268,16 +274,16 @@
 
 
 def test_rejections_and_failures_have_one_status_each(engine: FlightEngine) -> None:
-    with gateway() as gate, pytest.raises(pa.ArrowInvalid) as refused:
-        # There is no engine: the scheduler rejects the request, and nothing has run
+    with gateway() as gate, pytest.raises(pa.ArrowInvalid) as rejection:
+        # Without an engine, the scheduler rejects the request before anything has run
         run_query(gate, SQL, x_class="lookup").read_all()
-    assert "Overloaded" in str(refused.value) and gate.forwarder.counters.total(Verdict.REJECTED) == 1
+    assert "Overloaded" in str(rejection.value) and gate.forwarder.counters.total(Verdict.REJECTED) == 1
     with gateway(engine) as gate, pytest.raises(pa.ArrowInvalid, match="Overloaded"):
-        # Three failed attempts of an idempotent class: a retry later does no harm
+        # Three failed attempts in an idempotent class: a later retry does no harm
         run_query(gate, "SELECT broken FROM lending_7.loans").read_all()
     assert engine.ran["SELECT broken FROM lending_7.loans"] == 3
     with gateway(engine) as gate, pytest.raises(fl.FlightInternalError, match="Internal"):
-        # Rows have left, so there is no retry, and the client must see that the result is incomplete
+        # Rows have been sent, so there is no retry, and the client must see that the result is incomplete
         run_query(gate, "SELECT torn FROM lending_7.loans").read_all()
     assert [gate.forwarder.counters.total(verdict) for verdict in Verdict] == [0, 0, 1]
 
@@ -285,13 +291,13 @@
 def test_deadline_ends_a_stalled_stream(engine: FlightEngine) -> None:
     """An engine stalls in the middle of a result, beyond the client's deadline.
 
-    The exchange would stay open for ever. The client gets an error, and nothing of the request is left.
+    The exchange would stay open for ever. The client must get an error, and the exchange must be removed.
     """
-    engine.go_on.clear()
+    engine.may_continue.clear()
     with gateway(engine) as gate:
-        peer = client(gate)
-        info = peer.get_flight_info(command("CommandStatementQuery", SQL), options())
-        reader = peer.do_get(info.endpoints[0].ticket, options(seconds=1.5))
+        flight_client = client(gate)
+        info = flight_client.get_flight_info(command("CommandStatementQuery", SQL), options())
+        reader = flight_client.do_get(info.endpoints[0].ticket, options(seconds=1.5))
         with pytest.raises(fl.FlightError):
             reader.read_all()
         assert wait_until(lambda: not gate.forwarder.exchanges)
@@ -319,8 +325,9 @@
 ) -> None:
     """Clients connect and send nothing, or open a call and never send its message.
 
-    They would hold every connection up to the limit, and other clients could not connect. An idle connection
-    is closed at the limit, a silent one after a time, and a call without a message gets DEADLINE_EXCEEDED.
+    They would occupy all connections up to the limit, and other clients could not connect. An idle
+    connection is closed at the limit, a silent one after a timeout, and a call without a message gets
+    DEADLINE_EXCEEDED.
     """
     monkeypatch.setattr("query_gateway.rpc.connection.FIRST_BYTES_TIMEOUT_S", 0.1)
     monkeypatch.setattr("query_gateway.flight.client_call.MESSAGE_TIMEOUT_S", 0.1)
@@ -328,28 +335,28 @@
         assert gate.flight_server
         gate.flight_server.max_connections = 3
         address = gate.flight_server.listener.address
-        crowd = [socket.create_connection(address) for _ in range(6)]
+        silent_connections = [socket.create_connection(address) for _ in range(6)]
         assert run_query(gate).read_all().num_rows == 3
         with socket.create_connection(address) as sock:
             sock.settimeout(10)
             while sock.recv(65_536):
-                pass  # the gateway's SETTINGS, then its close of a connection that sent nothing
+                pass  # the gateway's SETTINGS, then EOF, since this connection sent nothing
         with socket.create_connection(address) as sock:
             sock.settimeout(10)
-            peer = h2.connection.H2Connection()
-            peer.initiate_connection()
-            peer.send_headers(1, [(":method", "POST"), (":scheme", "http"), (":authority", "x"),
+            h2_connection = h2.connection.H2Connection()
+            h2_connection.initiate_connection()
+            h2_connection.send_headers(1, [(":method", "POST"), (":scheme", "http"), (":authority", "x"),
                                   (":path", "/arrow.flight.protocol.FlightService/DoGet")])  # fmt: skip
-            sock.sendall(peer.data_to_send())
-            got: dict[str, str] = {}
-            while "grpc-status" not in got:
-                for event in peer.receive_data(sock.recv(65_536)):
+            sock.sendall(h2_connection.data_to_send())
+            response_headers: dict[str, str] = {}
+            while "grpc-status" not in response_headers:
+                for event in h2_connection.receive_data(sock.recv(65_536)):
                     if isinstance(event, h2.events.ResponseReceived | h2.events.TrailersReceived):
-                        got |= {
+                        response_headers |= {
                             bytes(name).decode(): bytes(value).decode() for name, value in event.headers or []
                         }
-            assert got["grpc-status"] == "4"
-        for sock in crowd:
+            assert response_headers["grpc-status"] == "4"
+        for sock in silent_connections:
             sock.close()
 
 
@@ -363,16 +370,16 @@
             if number % 4 == 0:
                 statement = f"INSERT INTO lending_{number}.loans VALUES ({number})"
                 if protocol == "flight":
-                    good = run_update(gate, statement, row) != b""
+                    served = run_update(gate, statement, row) != b""
                 else:
-                    good = "rows" in post(gate, "load", statement, row=row)[1]
+                    served = "rows" in post(gate, "load", statement, row=row)[1]
             else:
                 statement = f"SELECT a FROM lending_{number}.loans"
                 if protocol == "flight":
-                    good = run_query(gate, statement).read_all().num_rows == 3
+                    served = run_query(gate, statement).read_all().num_rows == 3
                 else:
-                    good = len(post(gate, "lookup", statement)[1]["rows"]) == 3
-            counts[protocol]["served" if good else "other"] += 1
+                    served = len(post(gate, "lookup", statement)[1]["rows"]) == 3
+            counts[protocol]["served" if served else "other"] += 1
 
         threads = [
             threading.Thread(target=run_one, args=(protocol, number))
@@ -399,17 +406,17 @@
         http_engine.close()
 
 
-def wait_until(true: Any, seconds: float = 10.0) -> bool:
-    until = time.monotonic() + seconds
-    while not true() and time.monotonic() < until:
+def wait_until(condition: Any, seconds: float = 10.0) -> bool:
+    deadline = time.monotonic() + seconds
+    while not condition() and time.monotonic() < deadline:
         time.sleep(0.01)
-    return bool(true())
+    return bool(condition())
 
 
-def wait_until_steady(figure: Any) -> int:
+def wait_until_steady(read_count: Any) -> int:
     last, since = -1, time.monotonic()
     while time.monotonic() - since < 0.5:
-        if figure() != last:
-            last, since = figure(), time.monotonic()
+        if read_count() != last:
+            last, since = read_count(), time.monotonic()
         time.sleep(0.01)
     return int(last)
--- a/tests/test_flight_statements.py
+++ b/tests/test_flight_statements.py
@@ -1,4 +1,4 @@
-"""Statements parsed by the gateway: writes under a wrong label, keys from the text, limits, dying parsers."""
+"""Statements parsed by the gateway: mislabelled writes, keys from the text, limits, parsers that end."""
 
 import contextlib
 import json
@@ -43,19 +43,19 @@
 
 @pytest.fixture
 def flight_engines() -> Iterator[EnginePair]:
-    both = FlightEngine(), FlightEngine()
-    yield both
-    for engine in both:
-        engine.go_on.set()
+    engines = FlightEngine(), FlightEngine()
+    yield engines
+    for engine in engines:
+        engine.may_continue.set()
         engine.shutdown()
 
 
-def statements_run(*flight_engines: FlightEngine) -> Counter[str]:
+def executed_statements(*flight_engines: FlightEngine) -> Counter[str]:
     return sum((engine.ran + engine.loads for engine in flight_engines), Counter())
 
 
 def values_in_flight(gate: Gateway, attribute: str) -> set[Any]:
-    """This attribute of every request that the forwarder has open."""
+    """The values of an attribute over all requests in flight in the forwarder."""
     return {getattr(exchange.request, attribute) for exchange in list(gate.forwarder.exchanges.values())}
 
 
@@ -71,7 +71,7 @@
     flight_engines: EnginePair,
 ) -> None:
     for engine in flight_engines:
-        engine.go_on.clear()
+        engine.may_continue.clear()
     with gateway(*flight_engines, statements=ON) as gate:
         reader = run_query(gate, DELETE)
         reader.read_chunk()
@@ -81,9 +81,9 @@
         [idempotency_key] = values_in_flight(gate, "idempotency_key")
         assert len(idempotency_key) == 32
         for engine in flight_engines:
-            engine.go_on.set()
+            engine.may_continue.set()
         reader.read_all()
-    assert statements_run(*flight_engines) == {DELETE: 1}
+    assert executed_statements(*flight_engines) == {DELETE: 1}
 
 
 @pytest.mark.parametrize("sql", [
@@ -110,7 +110,7 @@
             post(gate, label, READ)[0] == 200
             and run_query(gate, READ, x_class=label).read_all().num_rows == 3
         )
-    assert sql not in statements_run(*flight_engines) and not any(
+    assert sql not in executed_statements(*flight_engines) and not any(
         sql in http_engine.statements for http_engine in http_engines
     )
     for http_engine in http_engines:
@@ -120,8 +120,8 @@
 def test_http_and_flight_clients_together_forward_no_labelled_write_and_run_no_load_twice() -> None:
     """Clients of both fronts send reads, writes, and writes labelled as reads, all at once.
 
-    Each write must run exactly once, and each labelled write must be rejected, however the requests of the
-    two fronts interleave.
+    A write that is taken for a read could run twice. Each write must run exactly once, and each one labelled
+    as a read must be rejected, however the requests of the two fronts interleave.
     """
     flight_engines, http_engines = (FlightEngine(), FlightEngine()), (Engine(), Engine())
     with gateway(*flight_engines, web=http_engines, statements=ON) as gate:
@@ -131,20 +131,20 @@
         def run_one(protocol: str, number: int) -> None:
             read, write = READ.replace("42", str(number)), DELETE.replace("42", str(number))
             if protocol == "flight":
-                good = run_query(gate, read).read_all().num_rows == 3
-                wrote = run_update(gate, write, f"{number:016x}") != b""
+                read_served = run_query(gate, read).read_all().num_rows == 3
+                write_served = run_update(gate, write, f"{number:016x}") != b""
                 with pytest.raises(pa.ArrowInvalid):
                     run_query(gate, write, x_class="lookup").read_all()
             else:
-                good = post(gate, "lookup", read)[0] == 200
-                wrote = post(gate, "load", write)[0] == 200
+                read_served = post(gate, "lookup", read)[0] == 200
+                write_served = post(gate, "load", write)[0] == 200
                 assert post(gate, "lookup", write)[0] == 400
             with lock:
-                counts.update({"read": good, "load": wrote, "rejected": 1})
+                counts.update({"read": read_served, "load": write_served, "rejected": 1})
 
         threads = [
-            threading.Thread(target=run_one, args=(protocol, n))
-            for n in range(12)
+            threading.Thread(target=run_one, args=(protocol, number))
+            for number in range(12)
             for protocol in ("http", "flight")
         ]
         for thread in threads:
@@ -152,9 +152,17 @@
         for thread in threads:
             thread.join(30)
         assert counts == {"read": 24, "load": 24, "rejected": 24}
-    loads = sum((engine.loads for engine in flight_engines), Counter())
-    web = Counter(s for e in http_engines for s in e.statements if s.startswith("DELETE"))
-    assert set(loads.values()) == set(web.values()) == {1} and len(loads) == len(web) == 12
+    flight_loads = sum((engine.loads for engine in flight_engines), Counter())
+    http_loads = Counter(
+        statement
+        for http_engine in http_engines
+        for statement in http_engine.statements
+        if statement.startswith("DELETE")
+    )
+    assert (
+        set(flight_loads.values()) == set(http_loads.values()) == {1}
+        and len(flight_loads) == len(http_loads) == 12
+    )
     for engine in flight_engines:
         engine.shutdown()
     for http_engine in http_engines:
@@ -166,31 +174,36 @@
 ) -> None:
     """Clients send updates of one row under different `x-row` keys, and spell the row's key differently.
 
-    Taken by the header, the updates would run at once and overtake each other. The key in the statement's
-    text counts, in whatever spelling, so they run one after another.
+    Ordered by the header, the updates would run at once and overtake each other. The key is taken from the
+    statement's text, whatever its spelling, so they run one after another.
     """
-    spelt = [DELETE, DELETE.replace("42", "'42'"), 'DELETE FROM "lending_7"."loans" WHERE "member" = 42.0']
+    spellings = [
+        DELETE,
+        DELETE.replace("42", "'42'"),
+        'DELETE FROM "lending_7"."loans" WHERE "member" = 42.0',
+    ]
     running: set[str] = set()
-    most = 0
+    most_running = 0
     lock = threading.Lock()
 
-    def put(self: FlightEngine, context: Any, descriptor: Any, reader: Any, writer: Any) -> None:
-        nonlocal most
-        name = f"{id(context)}"
+    def slow_do_put(self: FlightEngine, context: Any, descriptor: Any, reader: Any, writer: Any) -> None:
+        nonlocal most_running
+        call_id = f"{id(context)}"
         with lock:
-            running.add(name)
-            most = max(most, len(running))
+            running.add(call_id)
+            most_running = max(most_running, len(running))
         time.sleep(0.05)
         with lock:
-            running.discard(name)
+            running.discard(call_id)
         writer.write(pa.py_buffer(b"\x08\x05"))
 
-    original, FlightEngine.do_put = FlightEngine.do_put, put  # type: ignore[method-assign]
+    original, FlightEngine.do_put = FlightEngine.do_put, slow_do_put  # type: ignore[method-assign]
     try:
         with gateway(*flight_engines, statements=ON) as gate:
-            rows = [f"{n:016x}" for n in range(9)]
+            rows = [f"{number:016x}" for number in range(9)]
             calls = [
-                threading.Thread(target=run_update, args=(gate, spelt[n % 3], rows[n])) for n in range(9)
+                threading.Thread(target=run_update, args=(gate, spellings[number % 3], rows[number]))
+                for number in range(9)
             ]
             for call in calls:
                 call.start()
@@ -199,7 +212,7 @@
             assert gate.forwarder.counters.answers["load"][Verdict.SERVED] == 9
     finally:
         FlightEngine.do_put = original  # type: ignore[method-assign]
-    assert most == 1
+    assert most_running == 1
 
 
 def test_update_under_an_idempotent_class_is_rejected(
@@ -210,15 +223,17 @@
     A retry or a hedged request would apply the update twice. The call is rejected before any engine sees it,
     also where statements are not parsed: DoPut marks it as an update.
     """
-    for reading in (None, ON):
-        with gateway(*flight_engines, statements=reading) as gate:
-            meta = options(x_class="lookup")
-            writer, reader = client(gate).do_put(command("CommandStatementUpdate", READ), pa.schema([]), meta)
+    for statement_settings in (None, ON):
+        with gateway(*flight_engines, statements=statement_settings) as gate:
+            call_options = options(x_class="lookup")
+            writer, reader = client(gate).do_put(
+                command("CommandStatementUpdate", READ), pa.schema([]), call_options
+            )
             writer.done_writing()
             with pytest.raises(pa.ArrowInvalid):
                 reader.read()
                 writer.close()
-    assert not statements_run(*flight_engines)
+    assert not executed_statements(*flight_engines)
 
 
 def test_shape_that_fails_on_every_engine_is_limited_and_others_are_not(
@@ -234,13 +249,13 @@
         assert gate.statements
         broken = "SELECT broken FROM lending_7.loans WHERE member = {}"
         limits = gate.statements.classifier.limits
-        for n in range(6):  # three attempts each, at engines that the scheduler picks
+        for n in range(6):  # three attempts each, on engines that the scheduler selects
             if not limits.limited_count:
                 with pytest.raises(pa.ArrowInvalid, match="Overloaded"):
                     run_query(gate, broken.format(n)).read_all()
         assert limits.limited_count == 1
         [digest] = limits.records
-        for _ in range(20):  # as many as are admitted already run
+        for _ in range(20):  # at least as many in flight as the limit admits
             limits.query_started(digest)
         with pytest.raises(pa.ArrowInvalid, match="run already"):
             run_query(gate, broken.format(2)).read_all()
@@ -261,7 +276,7 @@
 
 
 class MeasurementMiddlewareFactory(fl.ServerMiddlewareFactory):  # type: ignore[misc]
-    """Sends an engine's measurements of each call in its headers."""
+    """Adds the engine's measurements of a call to its response headers."""
 
     def start_call(self, info: Any, headers: Any) -> Any:
         return MeasurementMiddleware()
@@ -296,10 +311,10 @@
     successor = StatementService(loop, RULES, ("lookup", "report"), parsers=1)
     successor.restore("", transferred["statements"])
     [digest] = costs.shapes
-    usual = successor.classifier.costs.cost_ns(digest, "lookup", 7)
+    inherited_ns = successor.classifier.costs.cost_ns(digest, "lookup", 7)
     successor.stop()
     loop.close()
-    assert usual is not None and usual == costs.cost_ns(digest, "lookup", 7)
+    assert inherited_ns is not None and inherited_ns == costs.cost_ns(digest, "lookup", 7)
 
 
 def test_gateway_keeps_serving_while_parser_processes_die(
@@ -307,8 +322,8 @@
 ) -> None:
     """The parser processes are killed, three times in a row.
 
-    A statement of a cached shape needs no parser and is served all the while. Others are rejected, for their
-    clients to retry, until a new process has started; then they are served again.
+    A statement of a cached shape needs no parser and is served throughout. Others are rejected, so that their
+    clients retry, until a new process has started; then they are served again.
     """
     with gateway(*flight_engines, statements=ON) as gate:
         assert gate.statements
@@ -316,18 +331,18 @@
         for n in range(3):
             for process in list(gate.statements.supervisor.processes.values()):
                 process.child.kill()
-            known = READ.replace("42", str(n))  # its shape is known: no parser is needed
-            assert run_query(gate, known).read_all().num_rows == 3
-            until = time.monotonic() + 20
-            while time.monotonic() < until:
+            cached_query = READ.replace("42", str(n))  # of a cached shape: no parser is needed
+            assert run_query(gate, cached_query).read_all().num_rows == 3
+            deadline = time.monotonic() + 20
+            while time.monotonic() < deadline:
                 try:
-                    fresh = f"SELECT b{n} FROM lending_7.loans WHERE member = 1"
-                    assert run_query(gate, fresh).read_all().num_rows == 3
+                    uncached_query = f"SELECT b{n} FROM lending_7.loans WHERE member = 1"
+                    assert run_query(gate, uncached_query).read_all().num_rows == 3
                     break
-                except pa.ArrowInvalid:  # rejected while no parser is up, or lost with one
+                except pa.ArrowInvalid:  # rejected while no parser is ready, or lost with a parser
                     gate.loop.call_soon(gate.statements.supervisor.pool.quarantine.clear)
             else:
-                raise AssertionError("no parser came back")
+                raise AssertionError("no parser became ready within 20 s")
 
 
 def test_client_that_leaves_before_its_statement_is_parsed_leaves_nothing_behind(
@@ -335,15 +350,15 @@
 ) -> None:
     """A client closes its connection while its statement waits for a parser.
 
-    When the statement is parsed after that, it would be forwarded for a client that has left. The call is
-    over by then, so nothing is forwarded, no engine sees the statement, and no exchange is left open.
+    Parsed after that, the statement could still be forwarded for a client that has left. The call has ended,
+    so nothing is forwarded, no engine gets the statement, and no exchange stays open.
     """
     with gateway(*flight_engines, statements=ON) as gate:
         assert gate.statements and gate.flight_server
         statements, server = gate.statements, gate.flight_server
         run_query(gate, READ).read_all()
         original = statements.supervisor.pool.assign
-        # Nothing is parsed for now
+        # No pending statement is assigned to a parser until `assign` is restored
         statements.supervisor.pool.assign = lambda now: []  # type: ignore[method-assign]
         with contextlib.closing(FlightTestClient(server.listener.address)) as leaving:
             leaving.send_call(call_headers(FlightMethod.DO_GET), encode_ticket("SELECT c FROM t WHERE a = 1"))
@@ -353,7 +368,7 @@
         gate.loop.call_soon(statements.supervisor._dispatch)
         assert run_query(gate, READ).read_all().num_rows == 3
         assert not gate.forwarder.exchanges
-    assert "SELECT c FROM t WHERE a = 1" not in statements_run(*flight_engines)
+    assert "SELECT c FROM t WHERE a = 1" not in executed_statements(*flight_engines)
 
 
 def test_idempotency_key_made_by_the_gateway_belongs_to_one_request() -> None:
@@ -365,30 +380,33 @@
     assert len({query.idempotency_key for query in queries}) == 2 and {
         len(query.idempotency_key or "") for query in queries
     } == {32}
-    named = decode_request(insert, "load", load_class, {"x-txn-key": "f" * 32}, classification)
-    assert named.idempotency_key == "f" * 32
+    with_client_key = decode_request(insert, "load", load_class, {"x-txn-key": "f" * 32}, classification)
+    assert with_client_key.idempotency_key == "f" * 32
 
 
 def test_reload_applies_new_rules_and_invalid_ones_change_nothing(
     flight_engines: EnginePair, tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """The way of a real reload: the operator's file is read again, checked, and taken whole or not at all."""
+    """The operator's file is read again, checked, and applied as a whole or not at all.
+
+    A file with an invalid value must leave the rules in use as they were.
+    """
     path = tmp_path / "operator.toml"
-    table = '[flight]\nlisten = "127.0.0.1:0"\n[statements]\n{}\n'
+    template = '[flight]\nlisten = "127.0.0.1:0"\n[statements]\n{}\n'
     monkeypatch.setenv("QUERY_GATEWAY_OPERATOR_FILE", str(path))
     with gateway(*flight_engines, statements=ON) as gate:
         gate.configuration_reload.sources.read_configuration = lambda: gate.config
         count = "SELECT count(*) FROM lending_7.loans"
 
         def reload(text: str) -> None:
-            path.write_text(table.format(text))
+            path.write_text(template.format(text))
             done = threading.Event()
             gate.loop.call_soon(gate.reload)
             gate.loop.call_soon(done.set)
             assert done.wait(10)
 
         def served() -> dict[str, int]:
-            for _ in range(50):  # while the parsers restart it is asked to come back
+            for _ in range(50):  # rejected while the parsers restart
                 try:
                     run_query(gate, count).read_all()
                     break
@@ -413,9 +431,11 @@
             "report": 2,
             "load": 0,
         }
-        slower = replace(gate.config.settings, max_retry_after=400_000_000)
-        gate.configuration_reload.sources.read_configuration = lambda: replace(gate.config, settings=slower)
-        reload("")  # new settings and the first rules again, in one
+        new_settings = replace(gate.config.settings, max_retry_after=400_000_000)
+        gate.configuration_reload.sources.read_configuration = lambda: replace(
+            gate.config, settings=new_settings
+        )
+        reload("")  # new settings and the initial rules, in one reload
         assert gate.forwarder.counters.reloads_applied == 2 and served() == {
             "lookup": 1,
             "report": 3,
@@ -450,9 +470,9 @@
     ({"colour": "red"}, "statements.colour"),
 ])  # fmt: skip
 def test_invalid_statements_table_is_rejected_with_its_place(table: dict[str, Any], place: str) -> None:
-    with pytest.raises(ConfigurationError) as bad:
+    with pytest.raises(ConfigurationError) as rejection:
         parse_operator_settings({"flight": {"listen": "127.0.0.1:0"}, "statements": table}, config([]))
-    assert place in str(bad.value) and "\n" not in str(bad.value)
+    assert place in str(rejection.value) and "\n" not in str(rejection.value)
 
 
 def test_statements_table_that_no_server_uses_is_rejected() -> None:
--- a/tests/test_parsing.py
+++ b/tests/test_parsing.py
@@ -1,4 +1,4 @@
-"""Parser processes: slow, dead and killed ones, floods, and the file that keeps what was learned."""
+"""Parser processes that are slow, end or are killed; many requests at once; and the snapshot file."""
 
 import json
 import os
@@ -41,51 +41,51 @@
     return normalize(f"SELECT a{n} FROM lending_7.loans WHERE member = 1")
 
 
-def ready(slot_count: int = 1) -> ParserPool:
-    parsers = ParserPool(slot_count)
-    for slot in parsers.slots:
-        parsers.starting(slot, 0.0)
-        parsers.ready(slot)
-    return parsers
+def ready_pool(slot_count: int = 1) -> ParserPool:
+    pool = ParserPool(slot_count)
+    for slot in pool.slots:
+        pool.starting(slot, 0.0)
+        pool.ready(slot)
+    return pool
 
 
-# ---- the state, without processes
+# ---- the parser pool without processes
 
 
 def test_a_request_for_a_shape_that_is_being_read_joins() -> None:
-    parsers, results = ready(), list[ParseResult | None]()
-    assert all(parsers.add(shape(), 0.0, results.append) for _ in range(3))
-    [slot] = parsers.assign(0.0)
+    pool, results = ready_pool(), list[ParseResult | None]()
+    assert all(pool.add(shape(), 0.0, results.append) for _ in range(3))
+    [slot] = pool.assign(0.0)
     pending = slot.pending
-    assert parsers.add(shape(), 0.1, results.append) and parsers.assign(0.1) == []
-    assert pending and parsers.completed(slot) is pending
-    assert len(pending.callbacks) == 4 and not parsers.pending
+    assert pool.add(shape(), 0.1, results.append) and pool.assign(0.1) == []
+    assert pending and pool.completed(slot) is pending
+    assert len(pending.callbacks) == 4 and not pool.pending
 
 
 def test_a_parse_beyond_its_budget_is_killed_and_rests_for_longer_each_time() -> None:
     """A parse exceeds its timeout, again and again for the same statement.
 
-    Parsed each time that its client retries, it would occupy the parsers and delay all other statements. The
-    parser is killed, and the statement is rejected without a parse for a time that doubles with each loss.
+    Parsed at each retry, it would occupy the parsers and delay all other statements. The parser is killed,
+    and the statement is rejected unparsed for a quarantine time that doubles with each killed parser.
     """
-    parsers = ready()
+    pool = ready_pool()
     now, durations = 0.0, []
     for _ in range(3):
-        parsers.add(shape(), now, lambda plan: None)
-        [slot] = parsers.assign(now)
+        pool.add(shape(), now, lambda result: None)
+        [slot] = pool.assign(now)
         pending = slot.pending
-        assert parsers.overdue(now + PARSE_TIMEOUT_S - 0.01) == [] and parsers.overdue(
+        assert pool.overdue(now + PARSE_TIMEOUT_S - 0.01) == [] and pool.overdue(
             now + PARSE_TIMEOUT_S + 0.01
         ) == [slot]
-        assert pending and parsers.lost(slot, "it takes too long to parse", now) is pending
-        rejected = parsers.quarantined(shape(), now)
+        assert pending and pool.lost(slot, "it takes too long to parse", now) is pending
+        rejected = pool.quarantined(shape(), now)
         assert rejected and not rejected.is_parsed and rejected.is_write
-        duration = parsers.quarantine[shape().fingerprint].duration
-        assert parsers.quarantined(shape(), now + duration + 0.01) is None
+        duration = pool.quarantine[shape().fingerprint].duration
+        assert pool.quarantined(shape(), now + duration + 0.01) is None
         durations.append(duration)
         now += duration + 1
-        parsers.starting(slot, now)
-        parsers.ready(slot)
+        pool.starting(slot, now)
+        pool.ready(slot)
     assert durations == [QUARANTINE_S, 2 * QUARANTINE_S, 4 * QUARANTINE_S]
 
 
@@ -93,45 +93,45 @@
     """No parser becomes ready while statements arrive.
 
     The queue would grow without bound, and clients would wait until their deadline. Beyond MAX_WAITING a
-    statement is not taken, and one that has waited MAX_WAIT_S is given back so that its client can retry.
+    statement is not accepted, and one that has waited MAX_WAIT_S is rejected so that its client can retry.
     """
-    parsers = ParserPool(1)  # not ready yet
-    parsers.starting(parsers.slots[0], 0.0)
-    taken = [parsers.add(shape(n), 0.0, lambda plan: None) for n in range(MAX_WAITING + 10)]
-    assert sum(taken) == MAX_WAITING
-    due = parsers.next_deadline()
-    assert due is not None and due <= MAX_WAIT_S
-    assert len(parsers.expire(MAX_WAIT_S + 0.01)) == MAX_WAITING and not parsers.pending
+    pool = ParserPool(1)  # not ready yet
+    pool.starting(pool.slots[0], 0.0)
+    accepted = [pool.add(shape(n), 0.0, lambda result: None) for n in range(MAX_WAITING + 10)]
+    assert sum(accepted) == MAX_WAITING
+    deadline = pool.next_deadline()
+    assert deadline is not None and deadline <= MAX_WAIT_S
+    assert len(pool.expire(MAX_WAIT_S + 0.01)) == MAX_WAITING and not pool.pending
 
 
 def test_a_parser_that_never_comes_up_is_started_now_and_then_only() -> None:
     """Parser processes end before they are ready, one after the other.
 
-    Started again at once each time, they would use a core for nothing. After MAX_FAILED_STARTS in a row each
-    start is delayed, until one becomes ready.
+    Restarted at once each time, they would occupy a core without any result. After MAX_FAILED_STARTS in a
+    row each start is delayed, until a parser becomes ready.
     """
-    parsers = ParserPool(1)
+    pool = ParserPool(1)
     for _ in range(MAX_FAILED_STARTS):
-        assert parsers.restart_delay == 0.0
-        parsers.starting(parsers.slots[0], 0.0)
-        parsers.lost(parsers.slots[0], "a parser ended", 0.0)
-    assert parsers.restart_delay > 0
-    parsers.ready(parsers.slots[0])
-    assert parsers.restart_delay == 0.0
+        assert pool.restart_delay == 0.0
+        pool.starting(pool.slots[0], 0.0)
+        pool.lost(pool.slots[0], "a parser ended", 0.0)
+    assert pool.restart_delay > 0
+    pool.ready(pool.slots[0])
+    assert pool.restart_delay == 0.0
 
 
 def test_frames_survive_any_cut() -> None:
     """The socket delivers frames cut at any byte, or announces one that is too long.
 
-    A reader that expects complete frames would decode parts of them, and a wrong length would make it wait
-    for ever. Frames are taken only when they are complete; a length beyond the limit is an error.
+    A reader that expects complete frames would decode parts of them, and would wait for ever on a wrong
+    length. A frame is taken only once it is complete, and a length beyond the limit is an error.
     """
-    sent = encode_frame(ParseRequest(1, ["select", "#"], 1)) + encode_frame(
+    encoded = encode_frame(ParseRequest(1, ["select", "#"], 1)) + encode_frame(
         ParseResponse(2, ParseResult(True, reason="é"))
     )
-    for cut in range(len(sent) + 1):
+    for cut in range(len(encoded) + 1):
         buffer, frames = bytearray(), []
-        for part in (sent[:cut], sent[cut:]):
+        for part in (encoded[:cut], encoded[cut:]):
             buffer += part
             while frame := take_frame(buffer):
                 frames.append(frame)
@@ -157,7 +157,7 @@
 
 
 def classify(service: StatementService, sql: str, requested_class: str | None = None) -> Classification:
-    """One classification; a statement that cannot be parsed now is tried again, as a client would."""
+    """Classifies one statement. Retries, as a client would, while there is no decision."""
     for _ in range(100):
         answers: list[Classification] = []
         service.classify(ClassificationRequest(sql, requested_class), answers.append)
@@ -185,22 +185,24 @@
 
 
 def test_a_parser_that_is_killed_costs_its_own_shape_a_while_and_no_other(service: StatementService) -> None:
-    """A parser process hangs over a statement; the test stops it with SIGSTOP.
+    """A parser process hangs in a parse; the test stops it with SIGSTOP.
 
-    All statements behind it would wait for its parse. The process is killed after the timeout and replaced;
+    All statements queued behind it would wait for it. The process is killed after the timeout and replaced;
     the statement that it parsed is in quarantine, other shapes are classified as before.
     """
     assert class_of(classify(service, READ)) == "lookup"
     process = service.supervisor.processes[0]
-    os.kill(process.child.pid, signal.SIGSTOP)  # as a parse without end would
-    slow = classify(service, "SELECT title FROM lending_7.loans WHERE member = 42")
-    assert slow.decision and not slow.decision.is_accepted and "too long" in slow.decision.reason
+    os.kill(process.child.pid, signal.SIGSTOP)  # as unresponsive as in an endless parse
+    timed_out = classify(service, "SELECT title FROM lending_7.loans WHERE member = 42")
+    assert (
+        timed_out.decision and not timed_out.decision.is_accepted and "too long" in timed_out.decision.reason
+    )
     assert service.supervisor.pool.timed_out_count == 1
     assert class_of(classify(service, "SELECT copy FROM lending_7.loans WHERE member = 42")) == "lookup"
     assert class_of(classify(service, READ)) == "lookup"
-    again = classify(service, "SELECT title FROM lending_7.loans WHERE member = 42")
-    assert again.decision and not again.decision.is_accepted
-    service.supervisor.pool.quarantine.clear()  # as its time does
+    quarantined = classify(service, "SELECT title FROM lending_7.loans WHERE member = 42")
+    assert quarantined.decision and not quarantined.decision.is_accepted
+    service.supervisor.pool.quarantine.clear()  # in place of waiting for its end
     assert class_of(classify(service, "SELECT title FROM lending_7.loans WHERE member = 42")) == "lookup"
 
 
@@ -236,11 +238,11 @@
     service.update_rules(Rules(keys=KEYS, lookup="quick"), ("quick", "report"))
     assert class_of(classify(service, READ)) == "quick"
     service.update_rules(service.classifier.rules, ("report",))
-    answers = classify(service, READ)
-    assert answers.decision and not answers.decision.is_idempotent
+    classification = classify(service, READ)
+    assert classification.decision and not classification.decision.is_idempotent
 
 
-HOSTILE = [
+EXPENSIVE_STATEMENTS = [
     "SELECT " + "(" * 31 + "1" + ")" * 31,
     "SELECT " + "CASE WHEN 1 = 1 THEN " * 30 + "1" + " END" * 30,
     "SELECT " + " + ".join("a" for _ in range(900)),
@@ -260,30 +262,32 @@
 ]
 
 
-@pytest.mark.parametrize("sql", HOSTILE, ids=[str(number) for number in range(len(HOSTILE))])
+@pytest.mark.parametrize(
+    "sql", EXPENSIVE_STATEMENTS, ids=[str(number) for number in range(len(EXPENSIVE_STATEMENTS))]
+)
 def test_a_statement_built_to_be_slow_is_answered_and_the_next_one_too(
     service: StatementService, sql: str
 ) -> None:
     """A client sends a statement that is built to make a parser slow, deep or large.
 
-    On the loop it would stop all requests. It is classified or rejected within its timeout, and the next
-    statement is classified as usual.
+    Parsed on the loop, it would block all requests. It is classified or rejected within its timeout, and the
+    next statement is classified as usual.
     """
     assert classify(service, sql).decision is not None
     assert class_of(classify(service, READ)) == "lookup"
 
 
-# ---- the file
+# ---- the snapshot file
 
 
 FIXTURES = Path(__file__).parent / "fixtures"  # its README describes how the files were made
-STORED = FIXTURES / "statement-costs.snapshot"
+STORED_SNAPSHOT = FIXTURES / "statement-costs.snapshot"
 
 
 def test_a_snapshot_of_the_version_before_gives_the_same_estimates() -> None:
     expected = json.loads((FIXTURES / "statement-costs.estimates.json").read_text())
     costs = CostEstimates()
-    assert costs.restore(SnapshotStore(str(STORED)).load())
+    assert costs.restore(SnapshotStore(str(STORED_SNAPSHOT)).load())
     assert len(expected["costs"]) == 210 and len(expected["needs"]) == 14
     for number, class_name, table_group, cost_ns in expected["costs"]:
         assert costs.cost_ns(digest(number), class_name, table_group) == cost_ns
@@ -293,10 +297,10 @@
 
 def test_the_same_contents_are_written_as_the_version_before_wrote_them(tmp_path: Path) -> None:
     costs = CostEstimates()
-    assert costs.restore(SnapshotStore(str(STORED)).load())
+    assert costs.restore(SnapshotStore(str(STORED_SNAPSHOT)).load())
     rewritten = SnapshotStore(str(tmp_path / "costs"))
     assert rewritten.save(costs.snapshot())
-    assert rewritten.path.read_bytes() == STORED.read_bytes()
+    assert rewritten.path.read_bytes() == STORED_SNAPSHOT.read_bytes()
 
 
 def test_the_same_outcomes_are_stored_as_the_version_before_stored_them(tmp_path: Path) -> None:
@@ -307,13 +311,13 @@
             class_name, group = "report" if n % 4 == 0 else "lookup", None if n % 5 == 0 else n % 3
             costs.observe(digest(n), class_name, group, run_time_ns, 1.5 * n)
     store = SnapshotStore(str(tmp_path / "costs"))
-    assert store.save(costs.snapshot()) and store.path.read_bytes() == STORED.read_bytes()
+    assert store.save(costs.snapshot()) and store.path.read_bytes() == STORED_SNAPSHOT.read_bytes()
 
 
 def test_a_file_is_whole_or_counts_as_none(tmp_path: Path) -> None:
     """A snapshot file is cut at any byte, or one bit in it has changed.
 
-    Estimates restored from a part of it would be wrong for all shapes. Length and digest are checked, so a
+    Estimates restored from such a file would be wrong for all shapes. Length and digest are checked, so a
     damaged file counts as absent, and the next save replaces it.
     """
     store = SnapshotStore(str(tmp_path / "costs"))
@@ -333,7 +337,7 @@
 def test_a_disk_that_fails_costs_the_snapshot_alone(tmp_path: Path) -> None:
     """The folder of the snapshot does not exist.
 
-    Raised out of the periodic save, the error would be a fault of the loop. The save returns False, and the
+    An error raised by the periodic save would count as a fault of the loop. The save returns False, and the
     gateway goes on without a stored snapshot.
     """
     assert not SnapshotStore(str(tmp_path / "missing" / "costs")).save({"a": 1})
