--- a/bench/__init__.py
+++ b/bench/__init__.py
@@ -1,1 +1,1 @@
-"""Measurements of parts of the program; none is a test, and each prints one line of JSON."""
+"""Measurements, which print lines of JSON, and the randomized fault soak; none of them is a test."""
--- a/bench/fault_soak/__init__.py
+++ b/bench/fault_soak/__init__.py
@@ -1,1 +1,1 @@
-"""Randomized fault soak: real gateway processes on loopback, overlapping faults and an oracle."""
+"""Randomized fault soak: real gateways on loopback, overlapping faults, and an oracle for the promises."""
--- a/bench/fault_soak/__main__.py
+++ b/bench/fault_soak/__main__.py
@@ -1,4 +1,4 @@
-"""The soak's command: python -m bench.fault_soak --seeds 1-20 [--root TREE] [--only clock,stop]."""
+"""Runs the fault soak: python -m bench.fault_soak --seeds 1-20 [--root TREE] [--only clock,stop]."""
 
 import argparse
 import asyncio
@@ -31,13 +31,17 @@
     parser = argparse.ArgumentParser(prog="fault_soak", description=__doc__)
     parser.add_argument("--seeds", type=_parse_seeds, default=[1], help="one seed or a range: 3 or 1-20")
     parser.add_argument("--root", type=Path, default=Path.cwd(), help="the tree whose built program is run")
-    parser.add_argument("--seconds", type=float, default=14.0, help="of load in each run")
-    parser.add_argument("--faults", type=int, default=10, help="how many in each run")
+    parser.add_argument("--seconds", type=float, default=14.0, help="seconds of load in each run")
+    parser.add_argument("--faults", type=int, default=10, help="number of faults in each run")
     parser.add_argument("--clients", type=int, default=40)
-    parser.add_argument("--only", default="", help=f"draw from these alone: {','.join(FAULTS)}")
-    parser.add_argument("--layouts", default="plain,plain,flight,processes", help="of the gateways")
+    parser.add_argument("--only", default="", help=f"draw faults only from this list: {','.join(FAULTS)}")
     parser.add_argument(
-        "--keep", type=Path, help="where logs and events are kept; else only those of broken runs"
+        "--layouts", default="plain,plain,flight,processes", help="the layout of each gateway"
+    )
+    parser.add_argument(
+        "--keep",
+        type=Path,
+        help="folder that keeps all logs and events; without it, only those of broken runs are kept",
     )
     return parser.parse_args()
 
--- a/bench/fault_soak/clients.py
+++ b/bench/fault_soak/clients.py
@@ -22,7 +22,7 @@
 )
 from bench.fault_soak.statements import draw_column, draw_table
 
-CLOSE_RACE_S = 0.05  # how long a request may race with a close of its connection; clients then repeat it
+CLOSE_RACE_S = 0.05  # clients repeat a request whose connection closes within this time of the write
 READ_LIMIT = 1 << 20
 RECONNECT_PAUSE_S = 0.05
 
--- a/bench/fault_soak/deployment.py
+++ b/bench/fault_soak/deployment.py
@@ -24,7 +24,7 @@
 ROTATION_REMOVAL_DELAY_S = 0.3  # from a gateway's end until the front stops routing to it
 EARLY_STOP_AFTER_S = 0.1  # after the successor's start
 LATE_START_AFTER_S = 1.0  # after the predecessor's SIGTERM
-KILL_RACE_S = 0.05  # how long before its recorded kill a successor may have accepted a request that is lost
+KILL_RACE_S = 0.05  # requests that a successor accepted up to this long before its recorded kill may be lost
 MAX_SIGNAL_INTERVAL_S = 0.2  # between two signals of a sequence
 
 
@@ -175,7 +175,7 @@
         self.observations.outages.append(outage)
 
     async def upgrade(self, gateway: GatewayProcess, variant: UpgradeVariant, gateway_count: int) -> None:
-        """Start a second process beside the first, which then gets SIGTERM."""
+        """Run a hot upgrade; in variant PLAIN the predecessor gets SIGTERM when its successor is ready."""
         if variant is UpgradeVariant.LATE_START:
             await self._start_late(gateway)
             return
--- a/bench/fault_soak/discovery.py
+++ b/bench/fault_soak/discovery.py
@@ -32,7 +32,7 @@
         self.servers: dict[str, asyncio.Server] = {}
         self.ports: dict[str, int] = {}
         self.changed = asyncio.Event()
-        self.outages = 0  # that are active now
+        self.outages = 0  # the number of active outages
         self.silent = False  # polls are accepted and not answered
         self.writers: set[asyncio.StreamWriter] = set()
 
--- a/bench/fault_soak/faults.py
+++ b/bench/fault_soak/faults.py
@@ -44,7 +44,7 @@
 
 @dataclass(slots=True)
 class FaultContext:
-    """What faults act on, with a random source that only faults use."""
+    """The processes and clients that faults act on, with a random source that only faults use."""
 
     deployment: Deployment
     population: Population
@@ -120,7 +120,7 @@
         rate = CONNECTION_ENDING_RATE if ends_connection else context.random.choice(rates)
         setattr(gateway.shim.state, name, CallFault(rate, error))
         gateway.shim.apply()
-        # A gateway in which nearly every call fails cannot answer clients that wait 0.15 s: keep it short
+        # While nearly every call fails, clients that wait 0.15 s get no answer: such a fault is kept short
         await asyncio.sleep(min(seconds, MAX_TOTAL_FAILURE_S) if rate >= TOTAL_FAILURE_RATE else seconds)
         setattr(gateway.shim.state, name, CallFault())
         gateway.shim.apply()
--- a/bench/fault_soak/flight_clients.py
+++ b/bench/fault_soak/flight_clients.py
@@ -31,7 +31,7 @@
     spacing: KeySpacing
     longest_deadline_s: float
     stopped: bool = False
-    is_first_call: bool = True  # of the connection that was opened last
+    is_first_call: bool = True  # whether the next call is the first on the newest connection
     receiving: set[asyncio.Task[None]] = field(default_factory=set)
 
     async def run_client(self) -> None:
--- a/bench/fault_soak/grpc_peer.py
+++ b/bench/fault_soak/grpc_peer.py
@@ -77,7 +77,7 @@
             self.flush()
 
     async def receive(self) -> list[int]:
-        """Read until calls change and return their stream ids; none at the end of the connection."""
+        """Read until calls change and return their stream ids; an empty list at the connection's end."""
         while not self.closed:
             try:
                 data = await self.reader.read(READ_SIZE)
--- a/bench/fault_soak/proxy.py
+++ b/bench/fault_soak/proxy.py
@@ -26,7 +26,7 @@
 BACKLOG_FILLERS = 12
 REFILL_AFTER_S = 0.02
 READ_SIZE = 65_536
-# Their last word may consist of digits, such as a number or the id 6402819666044852, but is not a length
+# The last word of these lines is no length, even if it is a number or an id such as 6402819666044852
 COMMANDS_WITHOUT_BODY = ("NICE", "FETCH", "STOP", "END")
 FINAL_OUTCOMES = ("ok", "refused", "error", "stale")
 
--- a/bench/fault_soak/records.py
+++ b/bench/fault_soak/records.py
@@ -55,7 +55,7 @@
     engine: str
     client_request_id: str
     outcome: str = ""  # of an END, as the engine wrote it
-    budget: float = 0.0  # of a REQUEST, in seconds
+    budget: float = 0.0  # of a REQUEST: the time until the deadline passed on, in seconds
     idempotency_key: str = ""
     began_at: float = 0.0  # of a REQUEST: when its first byte arrived
 
@@ -146,9 +146,9 @@
     successor_starts: list[SuccessorStart] = field(default_factory=list)
     unread_spans: list[UnreadSpan] = field(default_factory=list)
     idle_client_spans: list[IdleClientSpan] = field(default_factory=list)
-    path_faults: list[str] = field(default_factory=list)  # which paths, how and when; not in the schedule
+    path_faults: list[str] = field(default_factory=list)  # engine, kind, times; the schedule lacks them
     log_faults: list[str] = field(default_factory=list)  # log lines of gateways that report internal errors
     invariant_lines: list[str] = field(default_factory=list)  # invariant violations that gateways logged
     driver_stalls: list[DriverStall] = field(default_factory=list)
     driver_delays: list[DriverStall] = field(default_factory=list)  # shorter ones included
-    read_requests: set[str] = field(default_factory=set)  # that a gateway has read, according to its trace
+    read_requests: set[str] = field(default_factory=set)  # ids of requests that a gateway read, by its trace
--- a/bench/fault_soak/run.py
+++ b/bench/fault_soak/run.py
@@ -21,7 +21,7 @@
 
 WATCH_INTERVAL_S = 0.02
 STALL_S = 0.15  # a wait that overruns by more than this counts as a stall of the soak itself
-DELAY_S = 0.01  # a wait that overruns by more than this delays what clients observe
+DELAY_S = 0.01  # a wait that overruns by more than this delays the clients' observations
 LOG_TIME = r"\S+Z \S+ "  # the prefix of a log line: wall clock and monotonic clock
 FAULT_LINES = re.compile(rf"^({LOG_TIME}fault |{LOG_TIME}planner a planner broke|Traceback|.*Error: )")
 INVARIANT_LINES = re.compile(rf"^{LOG_TIME}invariant ")
@@ -69,7 +69,7 @@
             promises[violation.promise] = promises.get(violation.promise, 0) + 1
         verdict = "broken " + json.dumps(promises) if promises else "kept"
         stalls = sum(stall.ended_at - stall.began_at for stall in self.observations.driver_stalls)
-        stall_note = f" blind {stalls:.1f} s" if stalls else ""
+        stall_note = f" soak stalled {stalls:.1f} s" if stalls else ""
         plan = f"seed {self.plan.seed} deadline {self.plan.longest_deadline_s} s"
         return f"{plan} {json.dumps(endings)}{stall_note}: {verdict}"
 
--- a/bench/fault_soak/settings.py
+++ b/bench/fault_soak/settings.py
@@ -10,12 +10,12 @@
 CLASS_WEIGHTS = (70, 15, 15)
 DEADLINES_S = (0.6, 1.5, 3.0)  # the longest deadline of a deployment is drawn from these
 MAX_COUNTED_DEADLINE_S, KILL_MARGIN_S = 3.0, 0.7
-TIMEOUT_SHARES = (0.05, 0.13, 0.27, 0.5, 0.83, 1.0)  # client timeouts, of the longest deadline
+TIMEOUT_SHARES = (0.05, 0.13, 0.27, 0.5, 0.83, 1.0)  # client timeouts, as shares of the longest deadline
 DEDUPLICATION_WINDOW_S = 2.0
 DRAIN_GRACE_S = 0.5
 NOTIFICATION_DEADLINE_S = 7.0  # a gateway counts as notified this long after a change of an endpoint
 ANSWER_SLACK_S = 0.5
-CORES, MEAN_WORK_S = 4, 0.08  # the mean run time of the stand-in engines
+CORES, MEAN_WORK_S = 4, 0.08  # of a stand-in engine: its cores and its mean run time
 SLOW_START_S, START_CAPACITY, OVERLOAD_FACTOR, OVERLOAD_WINDOW_S = 6.0, 0.31, 2.5, 1.0
 
 
--- a/bench/lookups_per_second.py
+++ b/bench/lookups_per_second.py
@@ -46,7 +46,7 @@
 
 @dataclass(frozen=True)
 class LoadPlan:
-    """The load of one client process; lookups count from `counted_from` to `counted_until`."""
+    """The load of one client process; lookups are counted from `counted_from` to `counted_until`."""
 
     process_number: int
     gateway_port: int
@@ -90,7 +90,7 @@
 
 
 def _serve_engine_connection(sock: socket.socket, buffer: bytearray) -> bool:
-    """Answer the received requests; returns whether the connection is still open."""
+    """Answer the received requests; return whether the connection is still open."""
     with contextlib.suppress(OSError):
         data = sock.recv(READ_BYTES)
         if not data:
@@ -154,7 +154,7 @@
         )
 
     def receive(self) -> bool:
-        """Read the available data; returns whether the answer is complete.
+        """Read the available data; return whether the answer is complete.
 
         Raises FailedLookupError if the answer is not 200 or the gateway closes the connection.
         """
@@ -225,7 +225,7 @@
 def running_gateway(
     tree: Path, cpu: int, engine_ports: list[int], discovery_port: int
 ) -> Iterator[GatewayProcess]:
-    """Start a gateway from the tree on that core; yields it once it accepts connections, stops it at exit."""
+    """Start a gateway from the tree on that core, stopped at exit; yield it once it accepts connections."""
     port = free_port()
     with ExitStack() as stack:
         folder = Path(stack.enter_context(tempfile.TemporaryDirectory()))
@@ -290,7 +290,7 @@
 
 @contextmanager
 def child_process(target: Any, *arguments: object) -> Iterator[int]:
-    """Run a function of this module in a separate process, terminated at exit; yields the process id."""
+    """Run a function of this module in a separate process, terminated at exit; yield the process id."""
     process = CONTEXT.Process(target=target, args=arguments, daemon=True)
     process.start()
     assert process.pid
--- a/bench/statements.py
+++ b/bench/statements.py
@@ -167,7 +167,7 @@
 
 
 def slowest(reader: Reader) -> dict[str, float]:
-    """Milliseconds of statements chosen to be slow; of the two steps only normalizing runs on the loop."""
+    """Milliseconds to normalize or to parse slow statements; only normalizing runs on a gateway's loop."""
     times = {}
     for name, sql in SLOW_TO_NORMALIZE.items():
         times[f"lexing {name}"] = _milliseconds(lambda sql=sql: normalize(sql))  # type: ignore[misc]
--- a/bench/statements_gateway.py
+++ b/bench/statements_gateway.py
@@ -29,7 +29,7 @@
 ROOT = Path(__file__).parent.parent
 CLIENTS = 8
 WARM_UP_S = 1.5  # for a gateway to start and parse its first statement
-TURN_S = 0.25  # for which each gateway is called before the next one
+TURN_S = 0.25  # how long one gateway is called before the next one gets its turn
 EXIT_TIMEOUT_S = 10  # for a gateway to write its snapshot at shutdown
 STATEMENT_TEMPLATE = "SELECT c{} FROM lending_7.t WHERE id = {}"  # shape number, and run time in microseconds
 TABLE_GROUP = 7  # of the table lending_7.t
@@ -136,7 +136,7 @@
 
 
 def _run_all(address: str, statements: list[str], clients: int) -> int:
-    """Run the statements from last to first; returns how many failed."""
+    """Run the statements from last to first; return how many failed."""
     import pyarrow.flight as fl
 
     failed = [0] * clients
@@ -195,7 +195,7 @@
 
 
 def count_served(mode: str, address: str, seed: int, seconds: float) -> int:
-    """Send requests from CLIENTS clients for `seconds`; returns how many were served."""
+    """Send requests from CLIENTS clients for `seconds`; return how many were served."""
     import pyarrow.flight as fl
 
     served = [0] * CLIENTS
