--- a/bench/fault_soak/clients.py
+++ b/bench/fault_soak/clients.py
@@ -205,7 +205,7 @@
 
     @staticmethod
     def _mark_not_accepted(ended: ClientRecord, following: list[ClientRecord]) -> None:
-        """Mark the requests pipelined after the last answered one, which the client has to send again."""
+        """Mark the requests behind the one that ended their connection; the client has to repeat them."""
         for record in following:
             record.ending, record.detail = Ending.NOT_ACCEPTED, f"pipelined behind {ended.ending.value}"
             record.left_at = record.ended_at = ended.ended_at
--- a/bench/fault_soak/records.py
+++ b/bench/fault_soak/records.py
@@ -13,7 +13,7 @@
     LEFT = "left"  # the client closed its connection first
     CLOSED = "closed"  # the gateway ended the connection without an answer
     SILENT = "silent"  # no answer arrived within the deadline and its slack
-    NOT_ACCEPTED = "not accepted"  # not written completely, refused, or pipelined behind an unanswered one
+    NOT_ACCEPTED = "not accepted"  # not written completely, refused, or pipelined behind the last exchange
     UNREADABLE = "unreadable"  # a malformed answer, or one that belongs to another request
 
 
