--- a/bench/fault_soak/clients.py
+++ b/bench/fault_soak/clients.py
@@ -22,7 +22,7 @@
 )
 from bench.fault_soak.statements import draw_column, draw_table
 
-CLOSE_RACE_S = 0.05  # how long a request may race with a close of its connection; clients then repeat it
+CLOSE_RACE_S = 0.05  # clients repeat a request whose connection closes within this time of the write
 READ_LIMIT = 1 << 20
 RECONNECT_PAUSE_S = 0.05
 
@@ -205,7 +205,7 @@
 
     @staticmethod
     def _mark_not_accepted(ended: ClientRecord, following: list[ClientRecord]) -> None:
-        """Mark the requests pipelined after the last answered one, which the client has to send again."""
+        """Mark the requests behind the one that ended their connection; the client has to repeat them."""
         for record in following:
             record.ending, record.detail = Ending.NOT_ACCEPTED, f"pipelined behind {ended.ending.value}"
             record.left_at = record.ended_at = ended.ended_at
