--- a/bench/fault_soak/run.py
+++ b/bench/fault_soak/run.py
@@ -69,7 +69,7 @@
             promises[violation.promise] = promises.get(violation.promise, 0) + 1
         verdict = "broken " + json.dumps(promises) if promises else "kept"
         stalls = sum(stall.ended_at - stall.began_at for stall in self.observations.driver_stalls)
-        stall_note = f" soak stalled {stalls:.1f} s" if stalls else ""
+        stall_note = f" blind {stalls:.1f} s" if stalls else ""
         plan = f"seed {self.plan.seed} deadline {self.plan.longest_deadline_s} s"
         return f"{plan} {json.dumps(endings)}{stall_note}: {verdict}"
 
