--- a/tests/test_hot_upgrade.py
+++ b/tests/test_hot_upgrade.py
@@ -42,7 +42,7 @@
 from tests.stand_ins import SETTINGS, Engine, config, host, post
 from tests.test_local import until
 from tests.test_ops import figures, send_call
-from tests.test_web import SQL, steady
+from tests.test_web import SQL, derandomized
 
 
 class DiscoveryService:
@@ -289,7 +289,7 @@
 
 
 @pytest.mark.parametrize("decode", [decode_from_successor, decode_from_predecessor])
-@steady
+@derandomized
 @given(noise=st.binary(min_size=1, max_size=60))
 def test_garbage_on_the_connection_ends_it_or_changes_nothing(decode: Any, noise: bytes) -> None:
     """The other process sends a packet of random bytes.
--- a/tests/test_late_turns.py
+++ b/tests/test_late_turns.py
@@ -18,7 +18,7 @@
 from tests.stand_ins import SEC, config, endpoint_list_answer, host, running_gateway
 from tests.test_local import until
 from tests.test_race_flight import flight_gateway, turn_until
-from tests.test_web import LOAD, SQL, JournalStandIn
+from tests.test_web import LOAD, SQL, DiscoveryServiceStandIn
 
 SYN_RETRY_S = 1.0  # until Linux tries a dial again that found the backlog full
 ABANDONED_GRACE_S = 0.2  # longer than an attempt may begin after its client has left
@@ -40,7 +40,7 @@
 
 def test_attempt_does_not_leave_to_an_engine_whose_drain_came_during_a_slow_turn() -> None:
     """The engine's connection comes up in the same turn, and its event is handled first."""
-    engine, journal, may_end = SlowToAcceptEngine(), JournalStandIn(), threading.Event()
+    engine, journal, may_end = SlowToAcceptEngine(), DiscoveryServiceStandIn(), threading.Event()
     settings = settings_without_timeouts(dial_timeout=600 * SEC)
     configuration = config([host(engine)], journal=journal.address, settings=settings)
     with running_gateway(configuration) as gateway:
--- a/tests/test_local.py
+++ b/tests/test_local.py
@@ -42,7 +42,7 @@
 from tests.stand_ins import SETTINGS, Engine, config, ended_on_exit, host, post
 from tests.test_web import LOAD, ROWS, SQL
 
-steady = settings(derandomize=True, deadline=None, max_examples=150)
+derandomized = settings(derandomize=True, deadline=None, max_examples=150)
 MESSAGE_TYPES: dict[str, Any] = {**codec.EVENT_TYPES, **codec.ACTION_TYPES}
 MESSAGES = (
     Request(2**40, 2, 10**18, 0, 7.0, "7f3a9c21e0b4d655", None, 96.5, True),
@@ -57,7 +57,7 @@
 )  # fmt: skip
 
 
-@steady
+@derandomized
 @given(st.lists(st.sampled_from(MESSAGES), max_size=8), st.lists(st.integers(1, 40), max_size=40))
 def test_messages_cut_anywhere_are_decoded_as_they_were_encoded(messages: list[Any], cuts: list[int]) -> None:
     data = b"".join(codec.encode(message) for message in messages)
@@ -68,7 +68,7 @@
     assert decoded == messages
 
 
-@steady
+@derandomized
 @given(st.binary(max_size=80), st.sampled_from(MESSAGES), st.integers(0, 60))
 def test_garbage_is_rejected(noise: bytes, message: Any, position: int) -> None:
     data = codec.encode(message)
--- a/tests/test_race_endpoint_list.py
+++ b/tests/test_race_endpoint_list.py
@@ -18,7 +18,7 @@
 from query_gateway.model.endpoints import EndpointInfo, EndpointState
 from tests.stand_ins import Engine, config, endpoint_list_answer, host, post, running_gateway
 from tests.test_local import until
-from tests.test_web import SQL, JournalStandIn, news_of, steady
+from tests.test_web import SQL, DiscoveryServiceStandIn, answer_body, derandomized
 
 pytestmark = pytest.mark.usefixtures("reset_log_rate_limit")
 
@@ -34,12 +34,12 @@
     The gateway kept the highest position that it had received and silently ignored all later answers, so its
     list became stale. Each of these anomalies is logged and followed by a poll for the complete list.
     """
-    journal, first_engine, second_engine = JournalStandIn(), Engine(), Engine()
+    journal, first_engine, second_engine = DiscoveryServiceStandIn(), Engine(), Engine()
     hosts = [host(second_engine, "e2")]
     reset_answer = json.dumps(endpoint_list_answer(1, hosts, snapshot=True)).encode()
     gap_answer = json.dumps(endpoint_list_answer(9, hosts)).encode()
     answers = (
-        (news_of(first_engine), 1), (b'{"pos":1,"entries":[]}', 2), (reset_answer, 0),  # lower positions
+        (answer_body(first_engine), 1), (b'{"pos":1,"entries":[]}', 2), (reset_answer, 0),  # lower positions
         (b'{"pos":6,"entries":[]}', 1), (reset_answer, 0),  # a position beyond its events
         (gap_answer, 1), (reset_answer, 0),  # omitted events
         (reset_answer, 1),  # a duplicate; a new connection then polls for the last event again
@@ -66,7 +66,7 @@
     No answer has a lower position that would show the restart, so the gateway would miss the new events up to
     its position. A new connection polls for the last known event again and resyncs if that event differs.
     """
-    journal, first_engine, second_engine = JournalStandIn(), Engine(), Engine()
+    journal, first_engine, second_engine = DiscoveryServiceStandIn(), Engine(), Engine()
     snapshot = endpoint_list_answer(1, [host(second_engine, "e2", "draining")], snapshot=True)["entries"]
     deltas = [
         event
@@ -74,10 +74,10 @@
         for event in endpoint_list_answer(number, [host(second_engine, f"e{number}")])["entries"]
     ]
     with running_gateway(config([], journal=journal.address)) as gateway:
-        assert journal.answer(news_of(first_engine)) == "/journal?tail=1"
-        journal.breaks()
-        assert journal.answer(news_of(first_engine)) == "/journal?tail=1"  # the same event: no resync
-        journal.breaks()
+        assert journal.answer(answer_body(first_engine)) == "/journal?tail=1"
+        journal.disconnect()
+        assert journal.answer(answer_body(first_engine)) == "/journal?tail=1"  # the same event: no resync
+        journal.disconnect()
         after_restart = json.dumps({"pos": 3, "entries": deltas}).encode()
         assert journal.answer(after_restart) == "/journal?tail=1"
         complete_list = json.dumps({"pos": 3, "entries": [*snapshot, *deltas]}).encode()
@@ -97,7 +97,7 @@
     Draining and removed engines were taken as up again and got requests. Each has a tombstone, which ends
     only with a later start of the engine or with the next event of the same service.
     """
-    journal, engines = JournalStandIn(), [Engine() for _ in range(3)]
+    journal, engines = DiscoveryServiceStandIn(), [Engine() for _ in range(3)]
 
     def answer_with(position: int, **states: str) -> bytes:
         """An answer with these engines; the state `up again` gives an engine a later start time."""
@@ -176,7 +176,7 @@
     """
     monkeypatch.setattr("query_gateway.discovery.watch_client.POLL_HOLD_MS", 100)
     monkeypatch.setattr("query_gateway.discovery.watch_client.ANSWER_GRACE_SECONDS", 0.1)
-    journal, engine = JournalStandIn(), Engine()
+    journal, engine = DiscoveryServiceStandIn(), Engine()
     drain_answer = json.dumps(endpoint_list_answer(2, [host(engine, "e0", "draining")])).encode()
     with running_gateway(config([host(engine)], journal=journal.address)) as gateway:
         broken_watch = journal.server.accept()[0]
@@ -233,7 +233,7 @@
     return {endpoint.info.name: endpoint.info.state for endpoint in endpoints}
 
 
-@steady
+@derandomized
 @given(st.lists(st.tuples(st.integers(1, LAST_POSITION), ANSWER_KINDS)))
 def test_whatever_a_watch_does_its_next_good_answers_tell_the_whole_list(
     steps: list[tuple[int, str]],
--- a/tests/test_reload.py
+++ b/tests/test_reload.py
@@ -30,7 +30,7 @@
 from tests.stand_ins import SETTINGS, Engine, config, host, post
 from tests.test_local import until
 from tests.test_ops import figures
-from tests.test_web import LOAD, SQL, running, steady
+from tests.test_web import LOAD, SQL, derandomized, running
 
 RAW_CONFIGURATION: dict[str, Any] = {
     "name": "n1", "listen": "127.0.0.1:0", "journal": "127.0.0.1:1", "seed": "7",
@@ -105,7 +105,7 @@
 NAMES = st.lists(st.sampled_from("abcdef"), unique=True, max_size=6)
 
 
-@steady
+@derandomized
 @given(NAMES, NAMES, st.sets(st.integers(0, 8)))
 def test_a_number_stands_for_one_class_and_is_not_reused_while_in_use(
     old: list[str], new: list[str], in_use: set[int]
--- a/tests/test_web.py
+++ b/tests/test_web.py
@@ -49,7 +49,7 @@
 SQL = "SELECT a FROM lending_7.loans"
 LOAD = "INSERT INTO lending_7.loans VALUES (1)"
 ROWS = [["0", "x", "y"], ["1", "x", "y"], ["2", "x", "y"]]
-steady = settings(derandomize=True, deadline=None, max_examples=150)
+derandomized = settings(derandomize=True, deadline=None, max_examples=150)
 
 
 @contextmanager
@@ -366,7 +366,7 @@
     loop.close()
 
 
-@steady
+@derandomized
 @given(st.lists(st.integers(1, 60), max_size=12), st.booleans())
 def test_requests_received_in_pieces_are_answered_the_same(cuts: list[int], garbled: bool) -> None:
     gate, _ = _shared()
@@ -439,7 +439,7 @@
           b"a1 batch sheet=1 2\r\n\r\n\r\n")  # fmt: skip
 
 
-@steady
+@derandomized
 @given(st.lists(st.sampled_from(FRAMES), max_size=8), st.lists(st.integers(1, 9), max_size=40))
 def test_frames_received_in_pieces_decode_the_same(parts: list[bytes], cuts: list[int]) -> None:
     data, decoder, got = b"".join(parts), frames.FrameDecoder(), []
@@ -449,7 +449,7 @@
     assert got == [frame for part in parts for frame in frames.FrameDecoder().feed(part)]
 
 
-@steady
+@derandomized
 @given(st.binary(max_size=200))
 def test_garbage_frames_raise_or_stay_incomplete(noise: bytes) -> None:
     decoder = frames.FrameDecoder()
@@ -485,7 +485,7 @@
     assert table_group(statement) == group
 
 
-@steady
+@derandomized
 @given(st.text(max_size=80))
 def test_any_text_has_a_table_group_or_none(text: str) -> None:
     group = table_group(text)
@@ -510,7 +510,7 @@
         parse_operator_settings(raw, config([]))
 
 
-class JournalStandIn:
+class DiscoveryServiceStandIn:
     """Answers each call with the next body, on the connection that stands or the next one."""
 
     def __init__(self) -> None:
@@ -527,31 +527,31 @@
                 self.sock.settimeout(10)
             call = self.sock.recv(4096)
             if not call:
-                self.breaks()
+                self.disconnect()
         assert self.sock
         self.sock.sendall(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%b" % (len(body), body))
         return call.split()[1].decode().partition("&")[0]
 
-    def breaks(self) -> None:
+    def disconnect(self) -> None:
         if self.sock:
             self.sock.close()
             self.sock = None
 
     def close(self) -> None:
-        self.breaks()
+        self.disconnect()
         self.server.close()
 
 
-def news_of(engine: Engine, position: int = 2) -> bytes:
+def answer_body(engine: Engine, position: int = 2) -> bytes:
     return json.dumps(endpoint_list_answer(position, [host(engine)])).encode()
 
 
 def test_the_endpoint_list_is_followed_from_the_last_position() -> None:
     """A discovery service sends answers that cannot be decoded, then events."""
-    journal, engine = JournalStandIn(), Engine()
+    journal, engine = DiscoveryServiceStandIn(), Engine()
     odd = (b"[]", b"3", b'{"pos":null,"entries":[]}', b'{"pos":Infinity,"entries":[]}', b"[" * 9_000)
     with running_gateway(config([], journal=journal.address)) as gate:
-        asked = [journal.answer(body) for body in (*odd, news_of(engine), news_of(engine))]
+        asked = [journal.answer(body) for body in (*odd, answer_body(engine), answer_body(engine))]
         assert asked == ["/journal?tail=1"] * (len(odd) + 1) + ["/journal?tail=2"]
         assert post(gate, "lookup", SQL)[0] == 200
     journal.close()
@@ -560,7 +560,7 @@
 
 def test_sighup_changes_the_discovery_address_and_an_invalid_file_changes_nothing(tmp_path: Path) -> None:
     """SIGHUP comes twice: with a file that cannot be used, and with a new discovery address."""
-    old, new, file = JournalStandIn(), JournalStandIn(), tmp_path / "config.json"
+    old, new, file = DiscoveryServiceStandIn(), DiscoveryServiceStandIn(), tmp_path / "config.json"
     known = {"pos": 7, "entries": []}
     raw = {"listen": "127.0.0.1:0", "journal": old.address, "known": known, "settings": SETTINGS}
     file.write_text(json.dumps(raw))
