--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,4 +1,4 @@
-"""Fixtures that more than one test file asks for, and the list of tests that are known to fail."""
+"""Fixtures shared by several test files, and the list of tests that are known to fail."""
 
 from pathlib import Path
 from typing import NamedTuple
@@ -14,13 +14,13 @@
 class KnownFailure(NamedTuple):
     """A line of KNOWN-RED.txt: `TEST | CAUSE | ISSUE`."""
 
-    test: str  # its node id, without parameters
+    test: str  # node id without parameters
     cause: str
     issue: str
 
 
 def read_known_failures() -> list[KnownFailure]:
-    """The known failures; an absent file has none."""
+    """Return the known failures; an absent file lists none."""
     if not KNOWN_RED.exists():
         return []
     lines = [line for line in KNOWN_RED.read_text().splitlines() if line.strip()]
@@ -28,7 +28,7 @@
 
 
 def pytest_collection_modifyitems(items: list[pytest.Item]) -> None:
-    """Expect the listed tests to fail; one that passes fails the run, so that it leaves the list."""
+    """Mark the listed tests as strict expected failures: a listed test that passes fails the run."""
     failures = read_known_failures()
     assert len(failures) <= MAX_KNOWN_RED, (
         f"KNOWN-RED.txt lists {len(failures)} tests; {MAX_KNOWN_RED} at most"
@@ -40,12 +40,12 @@
 
 
 def pytest_terminal_summary(terminalreporter: pytest.TerminalReporter) -> None:
-    """Print what is known to fail, with every run."""
+    """Print the known failures at the end of every run."""
     for failure in read_known_failures():
         terminalreporter.write_line(f"known failure: {failure.test}: {failure.cause} (issue {failure.issue})")
 
 
 @pytest.fixture
 def reset_log_rate_limit(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Reset the log's rate limit, so that no earlier test suppresses the lines a test looks for."""
+    """Reset the log's rate limit, so that lines of earlier tests do not suppress those under test."""
     monkeypatch.setattr(log, "_buckets", {})
--- a/tests/stand_ins.py
+++ b/tests/stand_ins.py
@@ -1,4 +1,4 @@
-"""Stand-ins on loopback for the platform's processes: an engine that answers at once, a client's request."""
+"""Stand-ins on loopback for the processes around the gateway: engines, the discovery service, a client."""
 
 import contextlib
 import http.client
@@ -75,7 +75,7 @@
     operator: OperatorSettings | None = None,
     options: GatewayOptions | None = None,
 ) -> Iterator[Gateway]:
-    """A gateway on a thread of its own; after the block it must have ended and counted no fault."""
+    """Run a gateway on its own thread; on exit, stop it and assert that it ended and counted no fault."""
     gateway = Gateway(configuration, operator or OperatorSettings(), signals=False, options=options)
     thread = threading.Thread(target=gateway.loop.run, daemon=True)
     thread.start()
@@ -90,29 +90,30 @@
 
 
 def apply_endpoint_list(gateway: Gateway, answer: dict[str, Any]) -> None:
-    """Let a running gateway take an answer of the discovery service, and wait until it has."""
+    """Apply an answer of the discovery service on a running gateway's loop; wait until it is applied."""
     applied = threading.Event()
 
-    def take_answer() -> None:
+    def apply_and_signal() -> None:
         gateway.endpoint_feed.apply_answer(answer)
         applied.set()
 
-    gateway.loop.call_soon(take_answer)
+    gateway.loop.call_soon(apply_and_signal)
     assert applied.wait(10)
 
 
 class Engine:
-    """Speaks the engines' line protocol. `script` has a list of steps for a statement, one for each REQ.
+    """Implements the engines' line protocol. `script` lists the steps for a statement, one for each REQ.
 
-    Steps: ok, error, refused, reset, mute, torn, spoilt, pageless (no page after the first), or twice (with a
-    response under an unknown id ahead).
+    Steps: ok, error, refused, reset (closes the connection), mute (no response), torn (a truncated response),
+    spoilt (a malformed row), pageless (no page after the first) and twice (a duplicate response, after one
+    under an unknown id). A statement without steps left is answered with ok.
     """
 
     def __init__(self, pages: int = 3, script: dict[str, list[str]] | None = None) -> None:
         self.pages, self.script = pages, script or {}
         self.statements: list[str] = []
         self.fields: list[str] = []
-        self.words: list[str] = []
+        self.received_commands: list[str] = []
         self.pageless: set[str] = set()
         self.connections = 0
         self.socks: list[socket.socket] = []
@@ -138,13 +139,13 @@
                     statement = lines.read(int(words[3]) + 2)[:-2].decode()
                     self._request(sock, words, statement)
                 elif words[0] == "FETCH" and words[1] not in self.pageless:
-                    self._say(sock, f"{words[1]} batch sheet={words[2]}", f"{words[2]}\tx\ty\n")
-                self._note(words[0])
+                    self._send_frame(sock, f"{words[1]} batch sheet={words[2]}", f"{words[2]}\tx\ty\n")
+                self._record_command(words[0])
         sock.close()
 
-    def _note(self, word: str) -> None:
+    def _record_command(self, command: str) -> None:
         with self.received:
-            self.words.append(word)
+            self.received_commands.append(command)
             self.received.notify_all()
 
     def _request(self, sock: socket.socket, words: list[str], statement: str) -> None:
@@ -154,29 +155,29 @@
         step = steps.pop(0) if steps else "ok"
         if step in ("ok", "twice", "pageless"):
             if step == "twice":
-                self._say(sock, f"{'f' * 16} ok sheets=1", "9\tx\ty\n")
-                self._say(sock, f"{words[1]} ok sheets={self.pages}", "0\tx\ty\n")
+                self._send_frame(sock, f"{'f' * 16} ok sheets=1", "9\tx\ty\n")
+                self._send_frame(sock, f"{words[1]} ok sheets={self.pages}", "0\tx\ty\n")
             if step == "pageless":
                 self.pageless.add(words[1])
-            self._say(sock, f"{words[1]} ok sheets={self.pages}", "0\tx\ty\n")
+            self._send_frame(sock, f"{words[1]} ok sheets={self.pages}", "0\tx\ty\n")
         elif step == "torn":
             sock.sendall(f"{words[1]} ok sheets=1 50\r\n0\tx".encode())
         elif step == "spoilt":
-            self._say(sock, f"{words[1]} ok sheets=1", "0\tx\n")
+            self._send_frame(sock, f"{words[1]} ok sheets=1", "0\tx\n")
         elif step == "reset":
             sock.shutdown(socket.SHUT_RDWR)
         elif step != "mute":
-            self._say(sock, f"{words[1]} {step} -", "")
+            self._send_frame(sock, f"{words[1]} {step} -", "")
 
-    def _say(self, sock: socket.socket, head: str, body: str) -> None:
+    def _send_frame(self, sock: socket.socket, head: str, body: str) -> None:
         sock.sendall(f"{head} {len(body)}\r\n{body}\r\n".encode())
 
-    def wait(self, word: str, times: int = 1) -> bool:
+    def wait(self, command: str, times: int = 1) -> bool:
         with self.received:
-            return self.received.wait_for(lambda: self.words.count(word) >= times, 10)
+            return self.received.wait_for(lambda: self.received_commands.count(command) >= times, 10)
 
     def hang_up(self) -> None:
-        """Close every connection at once, as the kernel does when a process dies."""
+        """Shut down every connection at once, as the kernel does when a process ends."""
         for sock in self.socks:
             sock.shutdown(socket.SHUT_RDWR)
         self.socks.clear()
@@ -186,19 +187,24 @@
 
 
 def post(
-    gate: Any, cls: str, statement: str, row: str = "7f3a9c21e0b4d655", ttl: int = 5_000, **headers: str
+    gateway: Any,
+    class_name: str,
+    statement: str,
+    row: str = "7f3a9c21e0b4d655",
+    ttl: int = 5_000,
+    **headers: str,
 ) -> tuple[int, Any, dict[str, str]]:
-    """One request as a client sends it: the status, the decoded body and the headers."""
-    host, port = gate.http_server.listener.address
+    """Send one request as a client does; return the status, the decoded body and the headers."""
+    host, port = gateway.http_server.listener.address
     connection = http.client.HTTPConnection(host, port, timeout=20)
-    named = {
+    request_headers = {
         "X-Txn": uuid4().hex[:16],
         "X-Ttl-Ms": str(ttl),
         "X-Txn-Key": uuid4().hex,
         "X-Row": row,
     } | headers
-    sent = {name.replace("_", "-"): value for name, value in named.items()}
-    connection.request("POST", f"/svc/{cls}", statement, sent)
+    encoded_headers = {name.replace("_", "-"): value for name, value in request_headers.items()}
+    connection.request("POST", f"/svc/{class_name}", statement, encoded_headers)
     answer = connection.getresponse()
     body = answer.read()
     connection.close()
@@ -206,7 +212,7 @@
 
 
 def log_text(line: str) -> str:
-    """KIND and TEXT of a line of the log, whose two times must be well-formed."""
+    """Return a log line without its two timestamps, which must be well-formed."""
     wall_clock, monotonic_clock, text = line.split(" ", 2)
     assert datetime.fromisoformat(wall_clock).tzinfo is UTC and float(monotonic_clock) > 0
     return text
@@ -214,16 +220,16 @@
 
 @contextlib.contextmanager
 def ended_on_exit(process: "subprocess.Popen[AnyStr]") -> Iterator["subprocess.Popen[AnyStr]"]:
-    """End a gateway that still runs when the test leaves, as it does where an assertion fails.
+    """Terminate a gateway process that still runs on exit, such as after a failed assertion.
 
-    The context manager of `Popen` itself waits for the process without a limit. SIGTERM comes before SIGKILL,
-    so that a supervisor can end its workers.
+    The context manager of `Popen` itself waits for the process without a timeout. SIGTERM is sent before
+    SIGKILL, so that a supervisor can end its workers.
     """
     with process:
         try:
             yield process
         finally:
-            process.terminate()  # changes nothing for a process that has ended and was waited for
+            process.terminate()  # no effect on a process that has ended and was waited for
             try:
                 process.wait(10)
             except subprocess.TimeoutExpired:
--- a/tests/test_bad_input.py
+++ b/tests/test_bad_input.py
@@ -1,4 +1,4 @@
-"""Each value of a configuration and of a list event malformed in turn: it is rejected, or it works."""
+"""Malformed values, one at a time, in a configuration and in an endpoint list event."""
 
 import copy
 import json
@@ -56,13 +56,13 @@
             yield f"{path} {bad!r:.20}", malformed[""]
 
 
-def works(config: Configuration, *lists: Any) -> bool:
-    """Whether a gateway takes it, and decides on requests of each class, without a fault."""
+def works(config: Configuration, *answers: Any) -> bool:
+    """Whether a gateway with this configuration and these answers schedules each class without a fault."""
     gateway = Gateway(config, OperatorSettings(), signals=False)
-    for answer in lists:
+    for answer in answers:
         try:
             gateway.endpoint_feed.apply_answer(answer)
-        except ValueError:  # as the watch client expects
+        except ValueError:  # the watch client handles it
             assert list(gateway.forwarder.endpoints) == ["e0"]
     now = time.time_ns()
     for class_index in range(len(config.settings.classes)):
@@ -78,11 +78,10 @@
 
 
 def test_a_malformed_configuration_is_rejected_or_works() -> None:
-    """A value of the platform's configuration is malformed.
+    """Guards against a malformed value that ends the start with a traceback or breaks every later decision.
 
-    A number too large ended the start with a traceback, and engines without cores broke every decision of a
-    gateway that had started. Each value is checked when the configuration is read: it is rejected with one
-    line, or a gateway that starts with it decides on requests without a fault.
+    A number too large caused the former, engines without cores the latter. Each value is checked when the
+    configuration is read and rejected with a one-line error.
     """
     rejected, broken = 0, []
     for description, raw in each_malformed(RAW):
@@ -95,7 +94,7 @@
         try:
             if not works(config):
                 broken.append(description)
-        except OSError:  # an address that is not ours
+        except OSError:  # an address that is not this machine's
             rejected += 1
     assert broken == [] and rejected > 500
 
@@ -108,26 +107,26 @@
 def test_fronts_and_scheduler_decode_a_malformed_class_alike(
     changes: dict[str, Any], needs_key: bool, is_ordered: bool
 ) -> None:
-    """A class states "false" as a string, or its idempotency as a list.
+    """Guards against a front that orders requests, or accepts them without a key, unlike the scheduler.
 
-    The fronts decoded both keys a second time, by another rule: the string counted as true and the list as no
-    idempotency with a key. So a front could take requests for ordered, or accept them without a key, where
-    the scheduler did not. Both use the one decoded value.
+    The fronts decoded "false" as a string and idempotency as a list by a rule of their own: the string was
+    true, and the list no idempotency with a key. Both now use the one decoded value.
     """
     raw = copy.deepcopy(RAW)
     raw["settings"]["services"][2] |= changes
     config = parse_configuration(raw, {})
-    at_fronts, at_scheduler = config.classes["load"], config.settings.classes[2]
-    assert at_fronts.needs_idempotency_key is (at_scheduler.idempotency is Idempotency.KEYED) is needs_key
-    assert at_fronts.ordered_by_key is at_scheduler.ordered_by_key is is_ordered
+    front_class, scheduler_class = config.classes["load"], config.settings.classes[2]
+    assert (
+        front_class.needs_idempotency_key is (scheduler_class.idempotency is Idempotency.KEYED) is needs_key
+    )
+    assert front_class.ordered_by_key is scheduler_class.ordered_by_key is is_ordered
 
 
 def test_a_malformed_endpoint_list_event_leaves_a_gateway_that_works() -> None:
-    """A value of an endpoint list event is malformed.
+    """Guards against a malformed endpoint list event that breaks the planner and every restarted planner.
 
-    An engine name with a lone surrogate broke the planner, and again each planner that was started after it.
-    The watch client rejects such an event as a whole, so the gateway keeps the list that it has and goes on
-    deciding.
+    An engine name with a lone surrogate did so. The watch client rejects such an event as a whole, and the
+    gateway keeps its endpoint list.
     """
     config = parse_configuration(RAW, {})
     assert [description for description, raw in each_malformed(DELTA) if not works(config, raw)] == []
@@ -135,10 +134,9 @@
 
 @pytest.mark.parametrize("value", ["1e400", "true", '"x"', "-1"])
 def test_an_invalid_number_ends_the_start_with_one_line(value: str, tmp_path: Path) -> None:
-    """The configuration file holds a number that cannot be used.
+    """Guards against a traceback for an unusable number in the configuration file.
 
-    A traceback would leave an operator to guess which value was meant. The start ends with exit code 2 and
-    one line on standard error.
+    It would not tell the operator which value is wrong. The start ends with exit code 2 and one line.
     """
     file = tmp_path / "config.json"
     raw = RAW | {"limits": {"cores": 1.0, "memory_mb": 64, "sockets": "PLACEHOLDER"}}
--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -1,4 +1,4 @@
-"""The command line and the package: every fault with its place, what classify prints, pins that agree."""
+"""The command line: `check`, `classify` and `run`; and the pinned dependencies of the package."""
 
 import ast
 import json
@@ -47,15 +47,17 @@
     return str(path)
 
 
-def classified(rules: str, *lines: object) -> list[dict[str, Any]]:
-    lines_in = "\n".join(line if isinstance(line, str) else json.dumps(line) for line in lines)
-    done = CliRunner().invoke(main, ["statements", "classify", "--rules", rules, "-"], input=lines_in + "\n")
+def classify(rules: str, *lines: object) -> list[dict[str, Any]]:
+    input_lines = "\n".join(line if isinstance(line, str) else json.dumps(line) for line in lines)
+    done = CliRunner().invoke(
+        main, ["statements", "classify", "--rules", rules, "-"], input=input_lines + "\n"
+    )
     assert done.exit_code == 0, done.output
     return [json.loads(line) for line in done.stdout.splitlines()]
 
 
 def test_classify_prints_an_object_a_line_in_order(rules: str) -> None:
-    printed = classified(
+    printed = classify(
         rules,
         {"sql": "SELECT due FROM lending_7.loans WHERE member = 1"},
         {"sql": "select due from lending_7.loans where member = 2 -- again"},
@@ -89,11 +91,11 @@
 def test_classify_needs_no_configuration_and_says_what_is_wrong_with_its_rules(tmp_path: Path) -> None:
     no_table = "[flight]\nlisten = '127.0.0.1:1'"
     dialect = "[statements]\ndialect = 'oracle'"
-    for text, place in ((dialect, "dialect"), (no_table, "no table"), ("[[[", "TOML")):
+    for text, error_part in ((dialect, "dialect"), (no_table, "no table"), ("[[[", "TOML")):
         path = tmp_path / "bad.toml"
         path.write_text(text)
         done = CliRunner().invoke(main, ["statements", "classify", "--rules", str(path)], input="")
-        assert done.exit_code == 2 and place in done.output and len(done.output.splitlines()) == 1
+        assert done.exit_code == 2 and error_part in done.output and len(done.output.splitlines()) == 1
 
 
 def test_check_prints_every_fault_with_its_location(tmp_path: Path, rules: str) -> None:
@@ -150,7 +152,7 @@
 
 
 def imported_by(path: Path) -> set[str]:
-    """The package's modules that a module imports anywhere in its text, also inside functions."""
+    """The names that a module imports anywhere in its source, also inside functions."""
     tree = ast.parse(path.read_text())
     nodes = [node for node in ast.walk(tree) if isinstance(node, ast.ImportFrom) and node.module]
     names = {f"{node.module}.{alias.name}" for node in nodes for alias in node.names}
@@ -158,10 +160,9 @@
 
 
 def test_the_process_entry_and_the_command_line_do_not_import_each_other() -> None:
-    """A module imports the process entry `__main__`.
+    """Guards against a second load of `__main__`, whose top-level statements and imports would run twice.
 
-    It would be loaded a second time under its own name, and its first lines and imports would run twice. No
-    module may import it; it shares `lifecycle.process` with the command line.
+    It happens when a module imports `__main__`. The entry shares `lifecycle.process` with the command line.
     """
     package = ROOT / "query_gateway"
     importers: dict[str, set[str]] = {"__main__": set(), "cli": set(), "lifecycle.process": set()}
--- a/tests/test_clock_steps.py
+++ b/tests/test_clock_steps.py
@@ -1,4 +1,4 @@
-"""The machine's wall clock is stepped while requests are open: real time alone counts."""
+"""Steps of the wall clock while requests are open: deadlines follow the monotonic clock alone."""
 
 import threading
 import time
@@ -14,7 +14,7 @@
 
 
 class SteppedClock:
-    """Stands in for the wall clock; the monotonic clock runs on."""
+    """A wall clock that a test can step; the monotonic clock is not affected."""
 
     def __init__(self, monkeypatch: pytest.MonkeyPatch) -> None:
         self.offset = 0
@@ -30,7 +30,7 @@
         super().__init__()
 
     def _request(self, sock: Any, words: list[str], statement: str) -> None:
-        self._note("REQ-begun")
+        self._record_command("REQ-begun")
         assert self.may_answer.wait(30)
         super()._request(sock, words, statement)
 
@@ -39,11 +39,9 @@
 def test_step_while_a_request_is_open_leaves_its_deadline_and_its_answer(
     step: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """The wall clock is stepped while a request waits for its engine.
+    """Guards against clients left unanswered after the wall clock is stepped while a request is in flight.
 
-    After a step back by an hour, no timer came due for an hour, and the client stayed unanswered. Timers and
-    deadlines use the monotonic clock, so the request ends at its deadline and the gateway serves the next
-    one.
+    With timers on the wall clock, a step back by an hour delayed every timer by an hour.
     """
     clock, engine = SteppedClock(monkeypatch), PausedEngine()
     with running(engine) as gateway, ThreadPoolExecutor() as executor:
--- a/tests/test_connection_ends.py
+++ b/tests/test_connection_ends.py
@@ -1,4 +1,4 @@
-"""Why connections end, decided without a socket: the reasons of client connections, the outcome of a dial."""
+"""Reason codes for the end of client connections and outcomes of dials, tested without real connections."""
 
 import errno
 import socket
@@ -63,7 +63,7 @@
 
 
 class DialledSocket:
-    """A socket whose dial has come as far as it is told to."""
+    """A stand-in for a dialled socket in a given state of the dial."""
 
     def __init__(self, error: int = NO_ERROR, peer_port: int | None = None) -> None:
         self.error, self.peer_port = error, peer_port
--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -1,4 +1,4 @@
-"""A gateway without a free descriptor goes on accepting clients."""
+"""Accepting clients when the process has no free file descriptor."""
 
 import copy
 import json
@@ -16,10 +16,10 @@
 from tests.test_request_arrival import SlowEngine, encoded_request
 
 DESCRIPTORS = 90
-CROWD = 30  # clients at once
-MIN_ENGINE_CONNECTIONS = 8  # that they lead to
-LATER_CLIENTS = 40  # more than descriptors are left for
-ANSWER_S = 2.0  # under the idle timeouts of all connections
+CONCURRENT_CLIENTS = 30
+MIN_ENGINE_CONNECTIONS = 8  # opened for the concurrent clients
+LATER_CLIENTS = 40  # more than the descriptors that are left
+ANSWER_TIMEOUT_S = 2.0  # less than the idle timeout of every connection
 
 
 def limit_descriptors() -> None:
@@ -27,16 +27,19 @@
 
 
 def answered_client(address: tuple[str, int]) -> socket.socket:
-    """A client that has its answer, be it a rejection, and keeps its connection."""
+    """Send a request and return its open connection once it is answered, served or rejected."""
     client = socket.create_connection(address)
-    client.settimeout(ANSWER_S)
+    client.settimeout(ANSWER_TIMEOUT_S)
     client.sendall(encoded_request(7_000))
     assert client.recv(65_536).startswith((b"HTTP/1.1 200", b"HTTP/1.1 429"))
     return client
 
 
 def test_clients_are_accepted_while_idle_connections_hold_all_descriptors(tmp_path: Path) -> None:
-    """They waited until some idle connection had timed out, and their time ran."""
+    """Guards against clients whose deadline passes while they wait for an idle connection to time out.
+
+    It happens when idle connections of clients and engines hold all descriptors of the process.
+    """
     engine = SlowEngine(0.3)
     settings: dict[str, Any] = copy.deepcopy(SETTINGS)
     settings["limits"]["streams-per-conn"] = 1
@@ -53,10 +56,10 @@
     )  # fmt: skip
     with ended_on_exit(process):
         assert process.stderr
-        started = log_text(process.stderr.readline())
-        address = "127.0.0.1", int(started.rpartition(":")[2])
-        with ThreadPoolExecutor(CROWD) as executor:
-            clients = list(executor.map(answered_client, [address] * CROWD))
+        listening_line = log_text(process.stderr.readline())
+        address = "127.0.0.1", int(listening_line.rpartition(":")[2])
+        with ThreadPoolExecutor(CONCURRENT_CLIENTS) as executor:
+            clients = list(executor.map(answered_client, [address] * CONCURRENT_CLIENTS))
         assert engine.connections >= MIN_ENGINE_CONNECTIONS
         engine.seconds = 0.0
         time.sleep(0.2)
--- a/tests/test_late_turns.py
+++ b/tests/test_late_turns.py
@@ -1,4 +1,4 @@
-"""After a slow turn of the loop, what has come meanwhile is taken in before attempts leave by it."""
+"""After a slow loop turn, input that has arrived meanwhile is handled before attempts are sent."""
 
 import contextlib
 import json
@@ -20,14 +20,14 @@
 from tests.test_race_flight import flight_gateway, turn_until
 from tests.test_web import LOAD, SQL, DiscoveryServiceStandIn
 
-SYN_RETRY_S = 1.0  # until Linux tries a dial again that found the backlog full
-ABANDONED_GRACE_S = 0.2  # longer than an attempt may begin after its client has left
+SYN_RETRY_S = 1.0  # until Linux retries a SYN that was dropped because of a full backlog
+ABANDONED_GRACE_S = 0.2  # longer than an attempt may start after its client has disconnected
 WAIT_S = 0.3
-DRAIN_GRACE_S = 0.5  # of the settings' defaults
+DRAIN_GRACE_S = 0.5  # default of the settings
 
 
 def begin_slow_turn(gateway: Gateway, may_end: threading.Event) -> None:
-    """Keep the loop from turning until the event is set."""
+    """Block the loop in a turn until the event is set."""
     begun = threading.Event()
 
     def stall() -> None:
@@ -39,7 +39,10 @@
 
 
 def test_attempt_does_not_leave_to_an_engine_whose_drain_came_during_a_slow_turn() -> None:
-    """The engine's connection comes up in the same turn, and its event is handled first."""
+    """Guards against a request sent to an engine whose drain has arrived but is not yet handled.
+
+    The engine's connection is established during the same slow turn, and its event is handled first.
+    """
     engine, journal, may_end = SlowToAcceptEngine(), DiscoveryServiceStandIn(), threading.Event()
     settings = settings_without_timeouts(dial_timeout=600 * SEC)
     configuration = config([host(engine)], journal=journal.address, settings=settings)
@@ -61,7 +64,10 @@
 
 
 def test_attempt_does_not_leave_for_a_flight_call_that_was_cancelled_during_a_slow_turn() -> None:
-    """The cancel is a frame on an open connection, which a look at the socket's end does not show."""
+    """Guards against an update sent for a Flight call that was cancelled during a slow turn.
+
+    The cancel is a frame on an open connection, so a check whether the peer has closed does not show it.
+    """
     engine = socket.create_server(("127.0.0.1", 0))
     fillers = fill_backlog(engine)
     gateway = flight_gateway(engine, settings_without_timeouts(dial_timeout=600 * SEC))
@@ -73,7 +79,7 @@
         assert not connection.grpc.stream.connected
         for filler in fillers:
             filler.close()
-        engine.accept()[0].close()  # and no turn until the cancel has come
+        engine.accept()[0].close()  # the loop does not turn until the cancel has arrived
         time.sleep(1.5 * SYN_RETRY_S)
         client.cancel()
         time.sleep(ABANDONED_GRACE_S)
@@ -84,7 +90,10 @@
 
 
 def test_time_of_a_flight_call_counts_from_its_message_and_not_from_frames_behind_it() -> None:
-    """A client answers our preface at once; by its newest data the call would have come just now."""
+    """Guards against a deadline that counts from later frames on the connection, not from the call's message.
+
+    The client acknowledges the server's preface, and this newer data would date the call too late.
+    """
     engine = socket.create_server(("127.0.0.1", 0))
     gateway = flight_gateway(engine)
     assert gateway.flight_server
@@ -92,7 +101,7 @@
         client.send_call(update_headers(), messages.encode_update(LOAD))
         sent_at = steady_now_ns()
         time.sleep(WAIT_S)
-        gateway.loop.turn()  # accepts, and sends the preface
+        gateway.loop.turn()  # accepts the connection and sends the preface
         client.socket.sendall(SettingsFrame(0, flags=["ACK"]).serialize())
         turn_until(gateway, lambda: gateway.forwarder.exchanges)
         [exchange] = gateway.forwarder.exchanges.values()
@@ -106,7 +115,7 @@
 class StoppedPoll:
     """An epoll object whose process is stopped during the first poll, for longer than its timeout.
 
-    The wait is interrupted, and its time is over when it would be resumed: it reports nothing.
+    The wait is interrupted, and its timeout has expired when it would be resumed, so it reports no event.
     """
 
     def __init__(self, epoll: Any) -> None:
@@ -125,7 +134,10 @@
 
 
 def test_what_came_while_the_process_was_stopped_is_read_before_timers_run() -> None:
-    """A planner's timer would send to an engine whose drain had come."""
+    """Guards against a timer of the planner that sends a request to an engine whose drain is unread.
+
+    A process that was stopped during the poll finds its timers due and its sockets not polled.
+    """
     loop, order = Loop(), list[str]()
     near, far = socket.socketpair()
     loop.watch(near, IN, lambda: order.append(near.recv(10).decode()))
--- a/tests/test_layers.py
+++ b/tests/test_layers.py
@@ -1,7 +1,7 @@
-"""Imports point down, from the wires to the model; what is off is not loaded.
+"""The layers of the package: modules import lower layers only, and optional parts load only if configured.
 
-Two kinds of tests: what the source says, where an import counts wherever it stands, also in a function or for
-type checking; and what an interpreter has loaded after an import, through however many modules.
+Some tests parse the source, where every import counts, also inside functions and for type checking. Others
+check what an interpreter has loaded after an import, directly or indirectly.
 """
 
 import ast
@@ -14,17 +14,17 @@
 
 PACKAGE = Path(__file__).parent.parent / "query_gateway"
 
-# The wires and what they need: above the forwarder, below what starts and joins the parts
-WIRE_ROOMS = (
+# Protocols, input and output, and what they need: above the forwarder, below the composition of the parts
+PROTOCOL_SUBPACKAGES = (
     "admin", "bgp", "configuration", "discovery", "engine_protocol", "flight", "http", "net", "parsing",
     "rpc", "statements",
 )  # fmt: skip
-# Rules that the scheduler plans by and the forwarder enforces: pure functions of settings and times
+# Rules that the scheduler applies and the forwarder enforces: pure functions of settings and times
 SHARED_RULES = ("policy.key_quarantine", "policy.recovery_ramp", "policy.repetition")
-# Planner modules that connect processes; all others of the planner know no socket
+# Planner modules that connect processes; the other planner modules use no sockets
 PLANNER_IPC_MODULES = ("planner.ipc", "planner.process", "planner.supervisor")
 
-WIRES = tuple(
+IO_PACKAGES = tuple(
     f"query_gateway.{part}"
     for part in ("net", "http", "engine_protocol", "discovery", "admin", "flight", "rpc", "bgp", "lifecycle")
 )
@@ -32,13 +32,13 @@
     f"query_gateway.{part}"
     for part in ("statements", "parsing", "configuration", "gateway", "cli", "simulator_adapter")
 )
-# What reads a clock, opens a socket or a process, or speaks a wire
+# Libraries that read a clock, open a socket, start a process or implement a protocol
 FORBIDDEN_LIBRARIES = (
     "socket", "select", "selectors", "ssl", "time", "datetime", "signal", "subprocess", "threading",
     "multiprocessing", "asyncio", "h11", "h2", "hyperframe", "google", "click", "pydantic", "msgspec",
     "sqlglot",
 )  # fmt: skip
-FORBIDDEN = (*FORBIDDEN_LIBRARIES, *WIRES, *ABOVE_THE_CORE)
+FORBIDDEN = (*FORBIDDEN_LIBRARIES, *IO_PACKAGES, *ABOVE_THE_CORE)
 
 STATEMENTS = (
     "cache", "classifier", "costs", "lexer", "limits", "messages", "normalizer", "purity", "sketch", "values",
@@ -46,7 +46,7 @@
 
 
 def loaded(*modules: str) -> set[str]:
-    """What importing them loads, in an interpreter of its own."""
+    """The modules that are loaded when these are imported in a new interpreter."""
     code = (
         "import sys; before = set(sys.modules)\n"
         f"import {', '.join(modules)}\n"
@@ -56,32 +56,32 @@
     return set(done.stdout.split())
 
 
-def among(names: set[str], forbidden: tuple[str, ...]) -> set[str]:
-    return {name for name in names if any(name == f or name.startswith(f + ".") for f in forbidden)}
+def within(names: set[str], packages: tuple[str, ...]) -> set[str]:
+    return {name for name in names if any(name == p or name.startswith(p + ".") for p in packages)}
 
 
 def modules() -> list[str]:
-    """Every module by its name below the package; a room's own is its name alone."""
+    """Every module by its name relative to the package; an `__init__` has its subpackage's name."""
     paths = sorted(path.relative_to(PACKAGE).with_suffix("") for path in PACKAGE.rglob("*.py"))
     return [".".join(path.parts).removesuffix("__init__").strip(".") for path in paths if path.parts]
 
 
-def room_of(module: str) -> str:
+def subpackage_of(module: str) -> str:
     return module.split(".")[0]
 
 
 def core_modules() -> list[str]:
-    """The modules that know no socket, clock or wire."""
+    """The modules that use no socket, clock or protocol."""
     return [
         module
         for module in modules()
-        if room_of(module) in ("model", "policy", "forwarder", "planner")
+        if subpackage_of(module) in ("model", "policy", "forwarder", "planner")
         and module not in PLANNER_IPC_MODULES
     ]
 
 
 def imported_names(module: str) -> Iterator[str]:
-    """The full names that a module imports from anywhere, wherever in its source."""
+    """The full names that a module imports anywhere in its source."""
     path = PACKAGE / (module.replace(".", "/") + ".py")
     if not path.exists():
         path = PACKAGE / module.replace(".", "/") / "__init__.py"
@@ -99,25 +99,25 @@
             yield from (f"{node.module}.{alias.name}" for alias in node.names)
 
 
-def imported_rooms(module: str) -> set[str]:
-    """The other rooms that a module imports from, and the shared rules by their full names."""
+def imported_subpackages(module: str) -> set[str]:
+    """The other subpackages that a module imports from; shared rules by their full names."""
     prefix = "query_gateway."
     names = [name.removeprefix(prefix) for name in imported_names(module) if name.startswith(prefix)]
-    return {shared_rule_of(name) or room_of(name) for name in names} - {room_of(module)}
+    return {shared_rule_of(name) or subpackage_of(name) for name in names} - {subpackage_of(module)}
 
 
 def shared_rule_of(name: str) -> str | None:
-    """The shared rule that an imported name stands for or stands in, if any."""
-    return next((rule for rule in SHARED_RULES if among({name}, (rule,))), None)
+    """The shared rule that an imported name is, or belongs to, if any."""
+    return next((rule for rule in SHARED_RULES if within({name}, (rule,))), None)
 
 
-def allowed_rooms(module: str) -> set[str] | None:
-    """The rooms and shared rules that a module may import from, besides its own room; None: any."""
-    room = room_of(module)
-    if room in ("model", "net"):
+def allowed_imports(module: str) -> set[str] | None:
+    """The subpackages and shared rules that a module may import besides its own subpackage; None: any."""
+    subpackage = subpackage_of(module)
+    if subpackage in ("model", "net"):
         return set()
-    if room in WIRE_ROOMS:
-        return {"model", "forwarder", *WIRE_ROOMS}
+    if subpackage in PROTOCOL_SUBPACKAGES:
+        return {"model", "forwarder", *PROTOCOL_SUBPACKAGES}
     core = {
         "policy": {"model"} if module in SHARED_RULES else {"model", *SHARED_RULES},
         "forwarder": {"model", *SHARED_RULES},
@@ -125,37 +125,38 @@
     }
     if module in PLANNER_IPC_MODULES:
         return {*core["planner"], "net"}
-    return core.get(room)  # absent: what starts, joins and ends the parts
+    return core.get(subpackage)  # absent: modules that compose, start and stop the parts
 
 
 def test_imports_between_rooms_point_down() -> None:
-    """Wires to the forwarder, forwarder and planner to the model, the policy to the model alone.
+    """Guards against a lower layer that depends on a higher one.
 
-    The forwarder enforces some rules that the scheduler plans by; of the policy it imports just those.
+    Protocols may import the forwarder, the forwarder and the planner the model, the policy the model alone.
+    Of the policy, the forwarder imports only the shared rules.
     """
-    found = {module: imported_rooms(module) for module in modules()}
-    assert {"http", "forwarder", "policy", "model"} <= {room_of(module) for module in found}
+    found = {module: imported_subpackages(module) for module in modules()}
+    assert {"http", "forwarder", "policy", "model"} <= {subpackage_of(module) for module in found}
     upward = {
-        module: rooms - allowed
-        for module, rooms in found.items()
-        if (allowed := allowed_rooms(module)) is not None and not rooms <= allowed
+        module: subpackages - allowed
+        for module, subpackages in found.items()
+        if (allowed := allowed_imports(module)) is not None and not subpackages <= allowed
     }
     assert not upward
 
 
-def modules_in_circles(imports: dict[str, set[str]]) -> set[str]:
-    """The modules that import each other, directly or around a circle of several."""
-    left = dict(imports)
+def modules_in_import_cycles(imports: dict[str, set[str]]) -> set[str]:
+    """The modules that import each other, directly or indirectly, or lie between such cycles."""
+    remaining = dict(imports)
     while True:
-        lowest = {module for module, below in left.items() if not below & left.keys()}
-        highest = left.keys() - set().union(*left.values())
+        lowest = {module for module, below in remaining.items() if not below & remaining.keys()}
+        highest = remaining.keys() - set().union(*remaining.values())
         if not lowest | highest:
-            return set(left)
-        left = {module: below for module, below in left.items() if module not in lowest | highest}
+            return set(remaining)
+        remaining = {module: below for module, below in remaining.items() if module not in lowest | highest}
 
 
 def imports_between_modules(package: Path) -> dict[str, set[str]]:
-    """What each module below a package imports of the others, by full names; a package is its `__init__`."""
+    """The modules of a package that each other one imports, by full names; `__init__` has its package's name."""
     top = package.parent
     paths = {".".join(path.relative_to(top).with_suffix("").parts): path for path in package.rglob("*.py")}
     names = {name.removesuffix(".__init__"): path for name, path in paths.items()}
@@ -168,70 +169,81 @@
 
 
 def module_of(name: str, known_modules: Collection[str]) -> str | None:
-    """The module that an imported name is, or stands in."""
+    """The module that an imported name is, or is defined in."""
     return next((each for each in (name, name.rpartition(".")[0]) if each in known_modules), None)
 
 
 @pytest.mark.parametrize("package", ["query_gateway", "bench"])
 def test_no_modules_import_each_other(package: str) -> None:
-    """Also where an import is for type checking alone: within a package, too, there is one direction."""
-    assert modules_in_circles(imports_between_modules(PACKAGE.parent / package)) == set()
+    """Guards against import cycles, including those through imports for type checking only."""
+    assert modules_in_import_cycles(imports_between_modules(PACKAGE.parent / package)) == set()
 
 
 def test_shared_rules_know_settings_and_times_but_no_state() -> None:
-    """They import no decision and no record of the scheduler, so that either caller may ask them."""
+    """Guards against shared rules that depend on the scheduler's state, which the forwarder does not have."""
     allowed = ("query_gateway.model.endpoints", "query_gateway.model.events", "query_gateway.model.settings")
     for rule in SHARED_RULES:
-        named = {name for name in imported_names(rule) if name.startswith("query_gateway.")}
-        assert named == among(named, allowed), rule
+        imported = {name for name in imported_names(rule) if name.startswith("query_gateway.")}
+        assert imported == within(imported, allowed), rule
 
 
 def test_no_two_rooms_of_wires_import_each_other() -> None:
-    """Not around a circle of several, either."""
-    rooms = {
-        room: {name for module in modules() if room_of(module) == room for name in imported_rooms(module)}
-        for room in WIRE_ROOMS
+    """Guards against import cycles between protocol subpackages, direct or indirect."""
+    subpackages = {
+        subpackage: {
+            name
+            for module in modules()
+            if subpackage_of(module) == subpackage
+            for name in imported_subpackages(module)
+        }
+        for subpackage in PROTOCOL_SUBPACKAGES
     }
-    while bottom := {room for room, below in rooms.items() if not below & rooms.keys()}:
-        rooms = {room: below for room, below in rooms.items() if room not in bottom}
-    assert not rooms
+    while lowest := {
+        subpackage for subpackage, below in subpackages.items() if not below & subpackages.keys()
+    }:
+        subpackages = {
+            subpackage: below for subpackage, below in subpackages.items() if subpackage not in lowest
+        }
+    assert not subpackages
 
 
 def test_the_core_s_source_names_no_socket_clock_or_wire() -> None:
     core = core_modules()
     assert {"forwarder.exchange", "planner.planner", "planner.ipc_codec", "policy.scheduler"} <= set(core)
-    named = {module: among(set(imported_names(module)), FORBIDDEN) for module in core}
-    assert not {module: names for module, names in named.items() if names}
+    forbidden = {module: within(set(imported_names(module)), FORBIDDEN) for module in core}
+    assert not {module: names for module, names in forbidden.items() if names}
 
 
 def test_the_core_imports_no_wire() -> None:
     found = loaded(*(f"query_gateway.{module}" for module in core_modules()))
-    assert "query_gateway.forwarder.exchange" in found and not among(found, FORBIDDEN)
+    assert "query_gateway.forwarder.exchange" in found and not within(found, FORBIDDEN)
 
 
 def test_the_forwarder_loads_no_planner_and_of_the_policy_the_shared_rules_alone() -> None:
-    def loaded_with(room: str) -> set[str]:
-        return loaded(*(f"query_gateway.{module}" for module in core_modules() if room_of(module) == room))
+    def loaded_with(subpackage: str) -> set[str]:
+        return loaded(
+            *(f"query_gateway.{module}" for module in core_modules() if subpackage_of(module) == subpackage)
+        )
 
     model, policy = loaded_with("model"), loaded_with("policy")
     forwarder, planner = loaded_with("forwarder"), loaded_with("planner")
-    assert not among(model, ("query_gateway.policy", "query_gateway.forwarder", "query_gateway.planner"))
-    assert not among(policy, ("query_gateway.forwarder", "query_gateway.planner"))
+    assert not within(model, ("query_gateway.policy", "query_gateway.forwarder", "query_gateway.planner"))
+    assert not within(policy, ("query_gateway.forwarder", "query_gateway.planner"))
     shared = {"query_gateway.policy", *(f"query_gateway.{rule}" for rule in SHARED_RULES)}
-    assert among(forwarder, ("query_gateway.policy", "query_gateway.planner")) <= shared
-    assert not among(planner, ("query_gateway.forwarder",))
+    assert within(forwarder, ("query_gateway.policy", "query_gateway.planner")) <= shared
+    assert not within(planner, ("query_gateway.forwarder",))
 
 
 def test_the_statements_import_no_wire_and_the_gateway_s_part_no_parser() -> None:
     found = loaded(*(f"query_gateway.statements.{part}" for part in STATEMENTS))
-    wires = (*WIRES, "query_gateway.parsing", "h11", "h2", "google")
-    assert "query_gateway.statements.classifier" in found and not among(found, (*wires, "sqlglot"))
-    assert not among(loaded("query_gateway.statements.reader"), wires)
-    assert not among(loaded("query_gateway.parsing.service"), ("sqlglot",))
+    io_packages = (*IO_PACKAGES, "query_gateway.parsing", "h11", "h2", "google")
+    assert "query_gateway.statements.classifier" in found and not within(found, (*io_packages, "sqlglot"))
+    assert not within(loaded("query_gateway.statements.reader"), io_packages)
+    assert not within(loaded("query_gateway.parsing.service"), ("sqlglot",))
 
 
 def test_what_is_off_is_not_loaded() -> None:
-    off = tuple(
+    optional_parts = tuple(
         f"query_gateway.{part}"
         for part in (
             "statements",
@@ -246,13 +258,13 @@
     )
     found = loaded("query_gateway.__main__")
     assert "query_gateway.gateway" in found
-    assert not among(found, (*off, "sqlglot", "pydantic", "msgspec", "click"))
+    assert not within(found, (*optional_parts, "sqlglot", "pydantic", "msgspec", "click"))
 
 
 def test_the_rpc_layer_knows_no_front() -> None:
-    above = (
-        *(wire for wire in WIRES if wire not in ("query_gateway.net", "query_gateway.rpc")),
+    higher_layers = (
+        *(package for package in IO_PACKAGES if package not in ("query_gateway.net", "query_gateway.rpc")),
         "query_gateway.forwarder",
         "google",
     )
-    assert not among(loaded("query_gateway.rpc.connection", "query_gateway.rpc.status"), above)
+    assert not within(loaded("query_gateway.rpc.connection", "query_gateway.rpc.status"), higher_layers)
--- a/tests/test_local.py
+++ b/tests/test_local.py
@@ -1,4 +1,4 @@
-"""The IPC: its codec cut and garbled, a planner that dies, and all parts as processes."""
+"""The IPC: its codec with split and corrupted input, a planner that ends, and all parts as processes."""
 
 import contextlib
 import json
@@ -79,10 +79,10 @@
 
 
 def test_the_build_does_not_compile_the_message_types() -> None:
-    """The decision module is compiled, and a message with an optional field passes the IPC.
+    """Guards against a compiled build that rejects messages with optional fields and ends the connection.
 
-    Compiled classes lose the types of their fields, by which the codec decodes; the message was rejected and
-    the connection ended. The build compiles the decisions and not the messages.
+    Compiled classes lose the types of their fields, by which the codec decodes. So the build compiles the
+    scheduler but not the message types.
     """
     build = subprocess.run(
         ["make", "-nB", "query_gateway/.compiled"], capture_output=True, text=True, check=True
@@ -128,7 +128,7 @@
         thread.start()
         until(lambda: connected_planners(gateway) == [True])
         assert post(gateway, "load", LOAD)[1] == {"rows": ROWS}
-        until(lambda: not first.sessions_by_request)  # what is answered is forgotten there
+        until(lambda: not first.sessions_by_request)  # answered requests are removed
         answers: list[int] = []
         waiting = threading.Thread(target=lambda: answers.append(post(gateway, "lookup", SQL)[0]))
         waiting.start()
@@ -168,20 +168,20 @@
             thread.join(10)
             gateway.loop.close()
         until(lambda: not process.sessions)
-        module = process.planner.scheduler.state
-        until(lambda: not process.sessions_by_request and not module.queries)
-        assert not any(e.in_flight for e in module.fleet.engines.values())
+        state = process.planner.scheduler.state
+        until(lambda: not process.sessions_by_request and not state.queries)
+        assert not any(e.in_flight for e in state.fleet.engines.values())
     engine.close()
 
 
 def test_a_decision_module_that_breaks_ends_its_planner_process() -> None:
     process = PlannerProcess(config([]).settings, 7, ("127.0.0.1", 0))
 
-    class Broken:
+    class FailingScheduler:
         def handle(self, now: int, events: list[Any]) -> list[Any]:
             raise RuntimeError("broken on purpose")
 
-    process.planner.scheduler = Broken()  # type: ignore[assignment]
+    process.planner.scheduler = FailingScheduler()  # type: ignore[assignment]
     process.planner.notify(TimerFired(0))
     with pytest.raises(SystemExit):
         process.run_planner()
@@ -189,7 +189,7 @@
 
 
 def answers_by_process(trace: Path) -> Counter[str]:
-    """How many requests each process has answered, by its id, as the request trace says."""
+    """The number of answered requests by process id, from the request trace."""
     if not trace.exists():
         return Counter()
     steps = [line.split() for line in trace.read_text().splitlines()]
@@ -197,7 +197,7 @@
 
 
 def environment_of_processes(folder: Path, engine: Engine, port: int) -> dict[str, str]:
-    """The environment of a gateway of two planners and two forwarders, with its files in the folder."""
+    """Write the files of a gateway with two planners and two forwarders; return its environment."""
     known = {"pos": 1, "entries": [{"pos": 1, "hosts": {"seq": 1, "whole": True, "hosts": [host(engine)]}}]}
     raw = {"listen": f"127.0.0.1:{port}", "journal": "127.0.0.1:1", "known": known, "settings": SETTINGS}
     (folder / "config.json").write_text(json.dumps(raw))
@@ -212,7 +212,10 @@
 
 @pytest.mark.parametrize("part", ["planner 0", "forwarder 0"])
 def test_worker_whose_supervisor_ended_while_it_loaded_stops(part: str, tmp_path: Path) -> None:
-    """Guards against a worker of a killed gateway that serves beside the next one, at the same address."""
+    """Guards against a worker of a killed gateway that serves beside the next gateway on the same address.
+
+    Its supervisor ends before the worker has loaded.
+    """
     with contextlib.closing(Engine()) as engine:
         environ = environment_of_processes(tmp_path, engine, free_port())
         supervisor = subprocess.Popen([sys.executable, "-c", ""])
@@ -231,7 +234,7 @@
     with ended_on_exit(subprocess.Popen(run, env=environ, stderr=subprocess.DEVNULL)) as process:
 
         def both_forwarders_serve() -> bool:
-            """Both have answered two requests in a row, which they pass to one planner after the other."""
+            """Whether both have answered two requests each, which they send to the planners in turn."""
             answers_before = answers_by_process(tmp_path / "trace")
             try:
                 if not all(post(gateway, "lookup", SQL)[0] == 200 for _ in range(8)):
--- a/tests/test_log.py
+++ b/tests/test_log.py
@@ -1,4 +1,4 @@
-"""The log on standard error, whoever reads it."""
+"""The log on standard error: slow readers, long lines, and text that cannot be encoded."""
 
 import contextlib
 import fcntl
@@ -17,7 +17,7 @@
 
 @contextlib.contextmanager
 def stderr_in_pipe() -> Iterator[int]:
-    """The reading end of a pipe that is standard error in the block; reading does not wait."""
+    """Replace standard error by a pipe; yield its non-blocking reading end."""
     reading_end, writing_end = os.pipe()
     os.set_blocking(reading_end, False)
     fcntl.fcntl(writing_end, fcntl.F_SETPIPE_SZ, PIPE_BYTES)
@@ -35,7 +35,10 @@
 
 
 def test_a_reader_that_does_not_read_the_log_does_not_stop_the_process() -> None:
-    """Guards against a process that answers nobody while the reader of its log stands still."""
+    """Guards against a gateway that stops answering because its log blocks.
+
+    A write to standard error blocks when the pipe is full and its reader does not read.
+    """
     log = Log()
     with stderr_in_pipe() as reading_end:
         writer = threading.Thread(target=write_lines, args=(log,), daemon=True)
@@ -53,7 +56,10 @@
 
 
 def test_a_line_is_cut_to_what_a_pipe_takes_at_once() -> None:
-    """Guards against a long line that blocks in the middle, and one that cannot be encoded."""
+    """Guards against a log call that blocks or raises.
+
+    A line longer than a pipe takes in one write blocks half-written; a lone surrogate cannot be encoded.
+    """
     with stderr_in_pipe() as reading_end:
         Log()("kind", "\udc80" + "\u00e9" * MAX_LINE_BYTES)
         received = os.read(reading_end, PIPE_BYTES)
--- a/tests/test_loopback_ports.py
+++ b/tests/test_loopback_ports.py
@@ -1,4 +1,4 @@
-"""Ports that are reserved for processes of tests and benches."""
+"""Reservation of loopback ports for processes of tests and benchmarks."""
 
 import subprocess
 import sys
@@ -26,7 +26,7 @@
 
 
 def test_a_port_reserved_for_one_process_is_not_given_to_another(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Guards against a gateway of the fault soak that could not listen: a stand-in had got the same port."""
+    """Guards against a fault soak gateway that cannot listen because a stand-in was given the same port."""
     monkeypatch.setattr(loopback_ports, "PORTS", FEW_PORTS)
     first, second = PortReservations(), PortReservations()
     ports = reserve_all(first)
--- a/tests/test_momentary_errors.py
+++ b/tests/test_momentary_errors.py
@@ -1,4 +1,4 @@
-"""System calls that fail for a moment, as Linux documents them, end no connection and no process."""
+"""System calls with transient errors that Linux documents; they must end no connection and no process."""
 
 import contextlib
 import errno
@@ -35,7 +35,7 @@
 
 
 class FailingSocket:
-    """A socket some of whose calls fail the given number of times."""
+    """A socket whose named methods raise an error the given number of times."""
 
     def __init__(self, sock: socket.socket, **failures: tuple[int, int]) -> None:
         self._sock = sock
@@ -57,13 +57,16 @@
 
 
 def fail_calls(stream: Stream, **failures: tuple[int, int]) -> None:
-    """Let calls on a stream's socket fail; epoll keeps the real one, by its descriptor."""
+    """Make calls on a stream's socket fail; epoll keeps watching the descriptor of the real one."""
     stream.sock = FailingSocket(stream.sock, **failures)  # type: ignore[assignment]
 
 
 @pytest.mark.parametrize("error", [errno.ENOBUFS, errno.ENOMEM, errno.EINTR, errno.EAGAIN])
 def test_stream_reads_and_writes_on_after_a_momentary_error(error: int) -> None:
-    """The machine is out of buffers, or a signal interrupts a call, while a stream reads and writes."""
+    """Guards against a connection that is closed although a send or recv failed only for a moment.
+
+    The kernel is out of buffers or memory, or a signal interrupts the call.
+    """
     loop, (near, far) = Loop(), connected_pair()
     stream = Stream(loop, near, "here")
     fail_calls(stream, send=(error, 2), recv=(error, 2))
@@ -81,7 +84,7 @@
 
 @pytest.mark.parametrize("error", [errno.ETIMEDOUT, errno.EHOSTUNREACH, errno.EPIPE, errno.ECONNRESET])
 def test_stream_is_over_after_an_error_of_its_connection(error: int) -> None:
-    """A read fails because the connection itself has ended."""
+    """Guards against a stream that stays open after a read has reported the end of its connection."""
     loop, (near, far) = Loop(), connected_pair()
     stream = Stream(loop, near, "here")
     fail_calls(stream, recv=(error, 1))
@@ -97,7 +100,10 @@
 
 @pytest.mark.parametrize("error", [errno.EINTR, errno.EIO])
 def test_close_that_fails_ends_neither_the_loop_nor_other_closes(error: int) -> None:
-    """Closing a socket fails, as `close` may after a signal or an input/output error."""
+    """Guards against a failing close that stops the loop or leaves other sockets open.
+
+    `close` may fail after a signal or an input/output error.
+    """
     loop, pairs = Loop(), [connected_pair() for _ in range(2)]
     streams = [Stream(loop, near, "here") for near, _ in pairs]
     fail_calls(streams[0], close=(error, 1))
@@ -115,22 +121,22 @@
 def test_failing_accept_is_logged_with_its_descriptors_and_with_how_long_it_lasted(
     capfd: pytest.CaptureFixture[str], reset_log_rate_limit: None
 ) -> None:
-    """One line when it begins and one when it is over, not one for each call."""
+    """Guards against a log line for each failed call: one is written when they begin, one when they end."""
     loop, accepted = Loop(), list[socket.socket]()
     listener = Listener(loop, ("127.0.0.1", 0), lambda sock, _: accepted.append(sock))
     client = socket.create_connection(listener.address)
     listener.socket = FailingSocket(listener.socket, accept=(errno.EMFILE, 3))  # type: ignore[assignment]
     while not accepted:
         loop.turn()
-    begin, end = (log_text(line) for line in capfd.readouterr().err.splitlines())
-    assert re.fullmatch(r"accept cannot accept: for a moment; \d+ of \d+ descriptors open", begin)
-    assert re.fullmatch(r"accept accepts again after 0\.\d{3} s", end) and listener.accept_failures == 3
+    first_line, last_line = (log_text(line) for line in capfd.readouterr().err.splitlines())
+    assert re.fullmatch(r"accept cannot accept: for a moment; \d+ of \d+ descriptors open", first_line)
+    assert re.fullmatch(r"accept accepts again after 0\.\d{3} s", last_line) and listener.accept_failures == 3
     for sock in (client, *accepted):
         sock.close()
     loop.close()
 
 
-class OftenFailingSocket(FailingSocket):
+class AlternatelyFailingSocket(FailingSocket):
     """A listening socket whose accept fails every other time."""
 
     def accept(self) -> Any:
@@ -141,11 +147,11 @@
 
 
 def test_crowd_is_accepted_without_a_pause_while_accept_fails_now_and_then() -> None:
-    """A pause for each failure let clients wait behind a crowd for longer than their time."""
+    """Guards against clients whose deadline passes in the backlog: each failed accept paused the listener."""
     loop, accepted = Loop(), list[socket.socket]()
     listener = Listener(loop, ("127.0.0.1", 0), lambda sock, _: accepted.append(sock))
     clients = [socket.create_connection(listener.address) for _ in range(100)]
-    listener.socket = OftenFailingSocket(listener.socket)  # type: ignore[assignment]
+    listener.socket = AlternatelyFailingSocket(listener.socket)  # type: ignore[assignment]
     began_at = time.monotonic()
     while len(accepted) < len(clients):
         loop.turn()
@@ -157,7 +163,7 @@
 
 @pytest.mark.parametrize("error", [errno.ENFILE, errno.ENOBUFS, errno.ECONNABORTED, errno.ENETUNREACH])
 def test_listener_that_closes_while_accept_fails_accepts_what_waits_first(error: int) -> None:
-    """A listener closes while `accept` fails for a moment."""
+    """Guards against connections in the backlog that are lost when a listener closes while accept fails."""
     loop, accepted = Loop(), list[socket.socket]()
     listener = Listener(loop, ("127.0.0.1", 0), lambda sock, _: accepted.append(sock))
     clients = [socket.create_connection(listener.address) for _ in range(3)]
@@ -174,7 +180,7 @@
 
 
 def test_connection_whose_handling_fails_costs_no_other() -> None:
-    """Handling one accepted connection fails for lack of buffers."""
+    """Guards against a listener that stops accepting after the callback has failed for one connection."""
     loop, accepted = Loop(), list[socket.socket]()
 
     def on_accept(sock: socket.socket, peer: str) -> None:
@@ -198,7 +204,10 @@
 def test_dial_that_fails_here_is_made_again_and_blames_no_engine(
     error: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """A dial fails on this machine: no route, no free port, no buffers, or an interrupted call."""
+    """Guards against an engine that is ejected, or a request that fails, for a fault of this machine.
+
+    The dial finds no route, no free port or no buffers, or is interrupted by a signal.
+    """
     engine, failures = Engine(), [error] * 3
     real = socket.socket.connect_ex
 
@@ -206,7 +215,7 @@
         is_engine = f"{address[0]}:{address[1]}" == engine.address
         if is_engine and failures:
             failed = failures.pop()
-            if failed == errno.EINTR:  # such a connect goes on by itself
+            if failed == errno.EINTR:  # an interrupted connect continues asynchronously
                 real(sock, address)
             return failed
         return real(sock, address)
@@ -222,7 +231,10 @@
 def test_attempt_for_which_no_socket_can_be_made_waits_for_one(
     error: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """The process is out of descriptors or buffers when an attempt needs a connection."""
+    """Guards against a request that fails because no socket can be created for its attempt.
+
+    The process is out of descriptors or buffers for a moment; the attempt is postponed.
+    """
     engine, failures = Engine(), [error] * 5
     real = EngineConnection._dial
 
@@ -241,7 +253,7 @@
 def test_attempt_for_which_no_socket_can_be_made_is_withdrawn_with_its_client(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """A client leaves while its attempt is postponed for lack of a socket."""
+    """Guards against a postponed attempt that is made after its client has disconnected."""
 
     def dial(connection: EngineConnection) -> Stream:
         raise OSError(errno.ENFILE, "for long")
@@ -260,7 +272,7 @@
 def test_start_waits_for_a_listener_that_cannot_be_made_for_a_moment(
     error: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Listening fails for a moment when a gateway starts."""
+    """Guards against a start that fails because the listening socket cannot be created for a moment."""
     loop, failures = Loop(), [error] * 2
     real = socket.socket.listen
 
@@ -271,14 +283,17 @@
 
     monkeypatch.setattr(socket.socket, "listen", listen)
     listener = Listener(loop, ("127.0.0.1", 0), lambda sock, _: sock.close())
-    with pytest.raises(OSError, match="in use"):  # no moment's failure: at once
+    with pytest.raises(OSError, match="in use"):  # not transient: raised at once
         Listener(loop, listener.address, lambda sock, _: sock.close())
     listener.close()
     loop.close()
 
 
 def test_dial_that_connects_to_itself_is_refused() -> None:
-    """A dial to a port of loopback where nothing listens connects to itself."""
+    """Guards against a socket that is connected to itself and taken for a connection to an engine.
+
+    It happens when a dial to a loopback port without a listener is given that port as its source port.
+    """
     loop = Loop()
     sock = socket.socket()
     sock.bind(("127.0.0.1", 0))
@@ -288,7 +303,7 @@
     loop.watch(sock, stream.mask | OUT, stream._ready)
     while not stream.eof:
         loop.turn()
-    assert not (stream.connected or stream.is_local_failure or stream.reset)  # so the peer has refused it
+    assert not (stream.connected or stream.is_local_failure or stream.reset)  # as if the peer had refused it
     stream.close(Reason.DIAL_REFUSED)
     loop.close()
 
@@ -300,7 +315,7 @@
 def test_flight_dial_that_fails_at_once_ends_its_attempt(
     error: int, outcome: OutcomeCode, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """A dial to a Flight engine fails within the call that begins it."""
+    """Guards against a Flight attempt that never ends because its dial failed within the connect call."""
     from query_gateway.flight.engines import FlightConnectionPool
 
     loop, outcomes = Loop(), list[OutcomeCode]()
@@ -333,7 +348,7 @@
 def test_flight_attempt_outlasts_a_moment_in_which_no_dial_can_be_made(
     failing_call: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Guards against Flight requests that failed while descriptors or ports were out for a moment."""
+    """Guards against Flight requests that fail while no descriptor or port is free for a moment."""
     listener, failures = socket.create_server(("127.0.0.1", 0)), [errno.ENOBUFS] * 5
     gateway = flight_gateway(listener)
     assert gateway.flight_pool
@@ -365,7 +380,7 @@
 def test_flight_attempt_for_which_no_socket_can_be_made_is_withdrawn_with_its_client(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """A Flight client leaves while its attempt is postponed for lack of a socket."""
+    """Guards against a postponed Flight attempt that is made after its client has disconnected."""
     listener = socket.create_server(("127.0.0.1", 0))
     gateway = flight_gateway(listener, settings_without_timeouts(cancelling=False))
     assert gateway.flight_pool
@@ -385,7 +400,7 @@
 def test_supervisor_whose_worker_cannot_be_started_tries_again_and_can_be_stopped(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """The machine cannot create a process when the supervisor starts a worker."""
+    """Guards against a supervisor that ends, or cannot be stopped, when no worker process can be created."""
     started_at = list[float]()
 
     def start(worker: supervisor.WorkerProcess) -> None:
@@ -406,7 +421,10 @@
 def test_snapshot_whose_disk_fails_even_at_the_clean_up_keeps_the_old_one(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """The disk fails while a snapshot is written, and again while the unfinished file is removed."""
+    """Guards against a lost snapshot or an exception after a disk error.
+
+    The disk fails while a new snapshot is written, and again while the unfinished file is removed.
+    """
     store = SnapshotStore(str(tmp_path / "costs"))
     assert store.save({"a": 1})
 
@@ -422,7 +440,7 @@
 
 
 def test_leftovers_of_killed_processes_are_removed_and_those_of_running_ones_are_not(tmp_path: Path) -> None:
-    """A process is killed while it writes a snapshot and leaves its unfinished file."""
+    """Guards against unfinished snapshot files that accumulate when processes are killed while they write."""
     ended = subprocess.Popen(["true"])
     ended.wait()
     leftover, present = tmp_path / f"costs.{ended.pid}", tmp_path / f"costs.{os.getpid()}"
@@ -435,7 +453,7 @@
 def test_signal_while_the_loop_cannot_be_woken_is_handled_in_a_later_turn(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """A signal arrives while the loop's wake-up socket takes no byte."""
+    """Guards against a signal that is lost because the loop's wake-up socket is out of buffers."""
     loop, handled = Loop(), list[int]()
     loop.wake_writer = FailingSocket(loop.wake_writer, send=(errno.ENOBUFS, 1))  # type: ignore[assignment]
     previous_handler = signal.signal(signal.SIGUSR1, lambda *_: loop.call_soon(lambda: handled.append(1)))
@@ -447,11 +465,11 @@
 
 
 def test_poll_that_fails_is_made_again() -> None:
-    """`epoll_wait` fails because the kernel is out of memory."""
+    """Guards against a loop that ends because `epoll_wait` failed once for lack of kernel memory."""
     loop = Loop()
 
     class FailingPoll:
-        """Fails once."""
+        """An epoll object whose first poll fails."""
 
         def __init__(self) -> None:
             self.errors = [OSError(errno.ENOMEM, "no memory now")]
@@ -477,7 +495,7 @@
 def test_error_in_our_own_code_is_answered_and_the_attempt_withdrawn(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """The gateway's own code raises while a request waits for its engine."""
+    """Guards against a client left unanswered, and an attempt left running, by an error of the gateway."""
     engine = Engine(script={SQL: ["mute"]})
     with running(engine, settings=settings_without_timeouts()) as gateway:
         client = send_request(gateway, SQL)
@@ -494,12 +512,15 @@
         assert engine.wait("STOP")
         until(lambda: not gateway.forwarder.exchanges)
         assert gateway.forwarder.invariants.total == 0 and gateway.loop.faults == 1
-        gateway.loop.faults = 0  # this one was meant
+        gateway.loop.faults = 0  # the one that this test causes
         client.close()
 
 
 def test_head_on_the_liveness_path_is_answered_without_a_body() -> None:
-    """A health checker uses HEAD and keeps its connection."""
+    """Guards against a body in the answer to HEAD, which breaks the next request on the connection.
+
+    Health checks use HEAD on a persistent connection.
+    """
     with running(Engine()) as gateway:
         host, port = gateway.http_server.listener.address
         connection = http.client.HTTPConnection(host, port, timeout=10)
--- a/tests/test_operator_file.py
+++ b/tests/test_operator_file.py
@@ -1,4 +1,4 @@
-"""Which variable names the operator's file: the present one, the deprecated one, both or neither."""
+"""Which variable sets the path of the operator's file: the current one, the deprecated one, both, neither."""
 
 from pathlib import Path
 
@@ -13,7 +13,7 @@
 
 
 @pytest.fixture(autouse=True)
-def full_log_budget(monkeypatch: pytest.MonkeyPatch) -> None:
+def clear_log_rate_limit(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(log, "_buckets", {})
 
 
--- a/tests/test_ops.py
+++ b/tests/test_ops.py
@@ -1,4 +1,4 @@
-"""The admin server at the second address: its calls, its limits, and figures that are true."""
+"""The admin server: its calls, its connection limit, its figures, and draining."""
 
 import socket
 import time
@@ -54,13 +54,13 @@
 
 def test_connections_that_finish_no_call_are_evicted_at_the_limit() -> None:
     with running(Engine(), **WITH_ADMIN) as gateway:
-        crowd = [
+        idle_clients = [
             socket.create_connection(admin_server(gateway).listener.address)
             for _ in range(MAX_CONNECTIONS + 4)
         ]
         assert send_call(gateway, b"READY\n") == "200 ready\n"
         assert len(admin_server(gateway).connections) <= MAX_CONNECTIONS
-        for sock in crowd:
+        for sock in idle_clients:
             sock.close()
 
 
@@ -97,7 +97,10 @@
 
 
 def test_a_rejection_before_the_forwarder_is_counted_and_traced_with_its_reason() -> None:
-    """Without the reason nobody could tell a lagging loop from a connection beyond the limit."""
+    """Guards against early rejections whose cause is not reported.
+
+    Operators could not tell a lagging loop from a connection over the limit.
+    """
     steps = list[tuple[TraceStep, str]]()
 
     class RecordingTrace:
@@ -113,43 +116,43 @@
 
 
 def test_bytes_count_as_sent_once_the_last_has_left() -> None:
-    """The figure of forwards depends on it: bytes that are only queued may never be sent."""
-    loop, said = Loop(), list[int]()
+    """Guards against forwards that are counted although their bytes are only queued and may never be sent."""
+    loop, calls = Loop(), list[int]()
     with socket.create_server(("127.0.0.1", 0)) as listener:
         far = socket.create_connection(listener.getsockname())
         stream = Stream(loop, listener.accept()[0], "test")
     stream.start()
     stream.write(b"x" * 20_000_000)
-    stream.call_when_sent(lambda: said.append(1))
-    assert not said and stream.outbox
-    with ThreadPoolExecutor() as executor, far, far.makefile("rb") as read:
-        got = executor.submit(read.read, 20_000_000)
+    stream.call_when_sent(lambda: calls.append(1))
+    assert not calls and stream.outbox
+    with ThreadPoolExecutor() as executor, far, far.makefile("rb") as reader:
+        received = executor.submit(reader.read, 20_000_000)
         while stream.outbox:
             loop.turn()
-        assert said == [1] and len(got.result()) == 20_000_000
+        assert calls == [1] and len(received.result()) == 20_000_000
     loop.close()
 
 
 def test_a_stopping_process_never_becomes_ready_again() -> None:
-    state, seen = Readiness(), list[Phase]()
-    state.watchers.append(lambda: seen.append(state.phase))
-    state.start()
-    assert state.drain() and state.undrain()
-    state.set_planner_available(False)
-    state.set_planner_available(True)
-    state.stop()
-    assert not state.undrain() and not state.ready
-    assert seen == [Phase.READY, Phase.DRAINING, Phase.READY, Phase.STARTING, Phase.READY, Phase.STOPPING]
+    readiness, phases = Readiness(), list[Phase]()
+    readiness.watchers.append(lambda: phases.append(readiness.phase))
+    readiness.start()
+    assert readiness.drain() and readiness.undrain()
+    readiness.set_planner_available(False)
+    readiness.set_planner_available(True)
+    readiness.stop()
+    assert not readiness.undrain() and not readiness.ready
+    assert phases == [Phase.READY, Phase.DRAINING, Phase.READY, Phase.STARTING, Phase.READY, Phase.STOPPING]
 
 
 def test_a_call_is_answered_within_a_second_under_load() -> None:
     with running(Engine(), **WITH_ADMIN) as gateway, ThreadPoolExecutor(9) as executor:
-        busy = [
+        load = [
             executor.submit(lambda: [post(gateway, "lookup", SQL)[0] for _ in range(20)]) for _ in range(8)
         ]
-        while not all(f.done() for f in busy):
-            began = time.monotonic()
-            assert send_call(gateway, b"READY\n") == "200 ready\n" and time.monotonic() - began < 1.0
+        while not all(future.done() for future in load):
+            began_at = time.monotonic()
+            assert send_call(gateway, b"READY\n") == "200 ready\n" and time.monotonic() - began_at < 1.0
 
 
 def test_the_admin_address_must_be_distinct_and_needs_one_forwarder() -> None:
@@ -172,41 +175,46 @@
     gateway.loop.close()
 
 
-def live(sock: socket.socket) -> bytes:
+def liveness(sock: socket.socket) -> bytes:
     sock.settimeout(10)
     sock.sendall(b"GET /status/live HTTP/1.1\r\nHost: x\r\n\r\n")
     return sock.recv(65_536)
 
 
 def test_draining_closes_client_connections_and_undrain_serves_again() -> None:
-    """Idle connections are half-closed only once the load balancer sends no more, so no request is lost."""
+    """Guards against requests lost while the gateway drains.
+
+    Idle connections are half-closed only once the load balancer has stopped sending requests.
+    """
     engine = Engine(script={SQL: ["mute"]})
     with running(engine, **WITH_ADMIN) as gateway, ThreadPoolExecutor() as executor:
         address = gateway.http_server.listener.address
         idle, silent, used = (socket.create_connection(address) for _ in range(3))
-        assert live(idle).startswith(b"HTTP/1.1 200") and live(used).startswith(b"HTTP/1.1 200")
+        assert liveness(idle).startswith(b"HTTP/1.1 200") and liveness(used).startswith(b"HTTP/1.1 200")
         waiting = executor.submit(post, gateway, "lookup", SQL, ttl=3_000)
         assert engine.wait("REQ")
         send_call(gateway, b"DRAIN\n")
-        began = time.monotonic()
-        response = live(used)
+        began_at = time.monotonic()
+        response = liveness(used)
         assert (
             response.startswith(b"HTTP/1.1 503") and b"Connection: close" in response and used.recv(1) == b""
         )
-        with socket.create_connection(address) as fresh:  # what the front still sends is served
-            assert live(fresh).startswith(b"HTTP/1.1 503")
+        with socket.create_connection(
+            address
+        ) as fresh:  # connections that the load balancer still opens are served
+            assert liveness(fresh).startswith(b"HTTP/1.1 503")
         assert post(gateway, "lookup", "SELECT 2")[0] == 200
         assert not waiting.done()
         for sock in (idle, silent):
             sock.settimeout(10)
             assert sock.recv(1) == b""
             sock.close()
-        assert 0.4 < time.monotonic() - began < 2.0
+        assert 0.4 < time.monotonic() - began_at < 2.0
         until(lambda: gateway.http_server.draining_for(1.5))
         status, _, headers = post(gateway, "lookup", "SELECT 3")
         assert status == 429 and headers["connection"] == "close"
         assert waiting.result()[2]["connection"] == "close"
         send_call(gateway, b"UNDRAIN\n")
         with socket.create_connection(address) as fresh:
-            assert live(fresh).startswith(b"HTTP/1.1 200") and live(fresh).startswith(b"HTTP/1.1 200")
+            assert liveness(fresh).startswith(b"HTTP/1.1 200") and liveness(fresh).startswith(b"HTTP/1.1 200")
         assert post(gateway, "lookup", "SELECT 4")[0] == 200
--- a/tests/test_race_shutdown.py
+++ b/tests/test_race_shutdown.py
@@ -379,7 +379,7 @@
             assert idle_client.recv(65_536) == b""
         idle_client.close()
         until(lambda: gateway.hot_upgrade and not gateway.hot_upgrade.successor)
-        engine._say(
+        engine._send_frame(
             engine.socks[0],
             f"{next(iter(gateway.engine_pool.by_client_request_id))} ok sheets=1",
             "0\tx\ty\n",
--- a/tests/test_request_arrival.py
+++ b/tests/test_request_arrival.py
@@ -1,4 +1,4 @@
-"""A client's time runs from when its request came, not from when the gateway turned to it."""
+"""A request's deadline counts from its arrival at the socket, not from when the gateway read it."""
 
 import errno
 import gc
@@ -17,11 +17,11 @@
 from tests.test_local import until
 from tests.test_web import SQL, running
 
-SLACK_MS = 150  # that the budget of an attempt may exceed what its client has left
+SLACK_MS = 150  # by which an attempt's budget may exceed the client's remaining time
 
 
 class SlowEngine(Engine):
-    """Takes `seconds` for each request."""
+    """An engine that takes `seconds` for each request."""
 
     def __init__(self, seconds: float) -> None:
         self.seconds = seconds
@@ -33,7 +33,7 @@
 
 
 class UnacceptingSocket:
-    """A listening socket whose accept fails until an event is set."""
+    """A listening socket whose accept fails until `may_accept` is set."""
 
     def __init__(self, sock: socket.socket, error: int, may_accept: threading.Event) -> None:
         self.sock, self.error, self.may_accept = sock, error, may_accept
@@ -63,7 +63,7 @@
 
 
 def test_budget_of_a_pipelined_request_counts_its_wait_behind_the_one_before() -> None:
-    """A client pipelines a second request while the first one is still open."""
+    """Guards against a pipelined request whose budget leaves out its wait for the request before it."""
     engine = SlowEngine(0.6)
     with running(engine) as gateway:
         client = connect(gateway)
@@ -78,7 +78,10 @@
 def test_budget_of_a_request_counts_its_wait_while_nothing_can_be_accepted(
     error: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """A connection waits in the listener's backlog because `accept` fails for a moment."""
+    """Guards against a budget that leaves out the wait in the listener's backlog.
+
+    Connections wait there while `accept` fails for a moment.
+    """
     engine, may_accept = Engine(), threading.Event()
     with running(engine) as gateway:
         listener = gateway.http_server.listener
@@ -98,7 +101,10 @@
 def test_time_between_a_connection_and_its_request_is_not_the_request_s(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """A client connects ahead of its first request, and its accept had to wait."""
+    """Guards against a budget shortened by the time before the request was sent.
+
+    A client connects ahead of its first request, and its connection waits in the backlog.
+    """
     engine, may_accept = Engine(), threading.Event()
     with running(engine) as gateway:
         listener = gateway.http_server.listener
@@ -116,7 +122,7 @@
 
 
 def test_requests_read_behind_one_another_are_all_answered_as_a_stop_ends_their_connection() -> None:
-    """A shutdown begins while several pipelined requests of one connection are open."""
+    """Guards against pipelined requests left unanswered when a shutdown closes their connection."""
     engine = SlowEngine(0.3)
     with running(engine) as gateway:
         client = connect(gateway)
@@ -131,7 +137,10 @@
 
 
 def test_arrivals_are_kept_in_bounds_and_never_later_than_they_were() -> None:
-    """A client sends its bytes in very many small pieces."""
+    """Guards against an arrival log that grows without bound, or that dates a request too late.
+
+    A client sends its bytes in very many small pieces.
+    """
     arrivals = ArrivalLog()
     for number in range(1, 1_001):
         arrivals.record(10, ArrivalTime(float(number), float(number) + 0.5))
@@ -142,7 +151,7 @@
 
 
 def test_connections_that_have_ended_are_freed_without_the_collector() -> None:
-    """Connections end while the garbage collector has not run for long."""
+    """Guards against reference cycles that keep ended connections in memory until the collector runs."""
     with running(Engine()) as gateway:
         gc.collect()
         gc.disable()
@@ -153,8 +162,8 @@
                 assert client.recv(65_536).startswith(b"HTTP/1.1 200")
                 client.close()
             until(lambda: not gateway.http_server.connections)
-            time.sleep(0.1)  # the last one's task ends in its next turn
-            left = [found for found in gc.get_objects() if isinstance(found, HttpConnection)]
+            time.sleep(0.1)  # the last connection's task ends in the next loop turn
+            remaining = [found for found in gc.get_objects() if isinstance(found, HttpConnection)]
         finally:
             gc.enable()
-        assert len(left) <= 1
+        assert len(remaining) <= 1
