--- a/tests/stand_ins.py
+++ b/tests/stand_ins.py
@@ -1,4 +1,4 @@
-"""Stand-ins on loopback for the processes around the gateway: engines, the discovery service, a client."""
+"""Stand-ins for a gateway's surroundings: engines, clients, a configuration, answers of discovery."""
 
 import contextlib
 import http.client
--- a/tests/test_bad_input.py
+++ b/tests/test_bad_input.py
@@ -80,8 +80,8 @@
 def test_a_malformed_configuration_is_rejected_or_works() -> None:
     """Guards against a malformed value that ends the start with a traceback or breaks every later decision.
 
-    A number too large caused the former, engines without cores the latter. Each value is checked when the
-    configuration is read and rejected with a one-line error.
+    A number too large caused the former, engines without cores the latter. Each value is rejected with one
+    line when the configuration is read, or a gateway that starts with it schedules without a fault.
     """
     rejected, broken = 0, []
     for description, raw in each_malformed(RAW):
@@ -126,7 +126,7 @@
     """Guards against a malformed endpoint list event that breaks the planner and every restarted planner.
 
     An engine name with a lone surrogate did so. The watch client rejects such an event as a whole, and the
-    gateway keeps its endpoint list.
+    gateway keeps its endpoint list and goes on scheduling.
     """
     config = parse_configuration(RAW, {})
     assert [description for description, raw in each_malformed(DELTA) if not works(config, raw)] == []
@@ -136,7 +136,8 @@
 def test_an_invalid_number_ends_the_start_with_one_line(value: str, tmp_path: Path) -> None:
     """Guards against a traceback for an unusable number in the configuration file.
 
-    It would not tell the operator which value is wrong. The start ends with exit code 2 and one line.
+    It does not tell the operator which value is wrong. The start ends with exit code 2 and one line on
+    standard error.
     """
     file = tmp_path / "config.json"
     raw = RAW | {"limits": {"cores": 1.0, "memory_mb": 64, "sockets": "PLACEHOLDER"}}
--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -49,11 +49,11 @@
 
 def classify(rules: str, *lines: object) -> list[dict[str, Any]]:
     input_lines = "\n".join(line if isinstance(line, str) else json.dumps(line) for line in lines)
-    done = CliRunner().invoke(
+    result = CliRunner().invoke(
         main, ["statements", "classify", "--rules", rules, "-"], input=input_lines + "\n"
     )
-    assert done.exit_code == 0, done.output
-    return [json.loads(line) for line in done.stdout.splitlines()]
+    assert result.exit_code == 0, result.output
+    return [json.loads(line) for line in result.stdout.splitlines()]
 
 
 def test_classify_prints_an_object_a_line_in_order(rules: str) -> None:
@@ -94,8 +94,8 @@
     for text, error_part in ((dialect, "dialect"), (no_table, "no table"), ("[[[", "TOML")):
         path = tmp_path / "bad.toml"
         path.write_text(text)
-        done = CliRunner().invoke(main, ["statements", "classify", "--rules", str(path)], input="")
-        assert done.exit_code == 2 and error_part in done.output and len(done.output.splitlines()) == 1
+        result = CliRunner().invoke(main, ["statements", "classify", "--rules", str(path)], input="")
+        assert result.exit_code == 2 and error_part in result.output and len(result.output.splitlines()) == 1
 
 
 def test_check_prints_every_fault_with_its_location(tmp_path: Path, rules: str) -> None:
@@ -104,27 +104,31 @@
     first, second = SETTINGS["services"][:2]  # type: ignore[index]
     services = [first | {"aim": 0}, second | {"repeat": "sometimes"}]
     file = config(tmp_path, journal="x", settings=SETTINGS | {"services": services})
-    done = CliRunner().invoke(main, ["check", file, str(bad)])
-    assert done.exit_code == 2
-    for place in ("flight.listen", "flight.colour", "bgp.asn", "bgp.peer", "statements.parsers", "journal",
+    result = CliRunner().invoke(main, ["check", file, str(bad)])
+    assert result.exit_code == 2
+    for location in ("flight.listen", "flight.colour", "bgp.asn", "bgp.peer", "statements.parsers", "journal",
                   "settings.services.0.aim", "settings.services.1.repeat"):  # fmt: skip
-        assert place in done.output, done.output
-    for words in ([config(tmp_path), rules], [config(tmp_path), "--operator", rules], [rules]):
-        good = CliRunner().invoke(main, ["check", *words])
-        assert good.exit_code == 0 and good.stdout == "no faults\n"
+        assert location in result.output, result.output
+    for arguments in ([config(tmp_path), rules], [config(tmp_path), "--operator", rules], [rules]):
+        result = CliRunner().invoke(main, ["check", *arguments])
+        assert result.exit_code == 0 and result.stdout == "no faults\n"
 
 
 def test_check_prints_contradictions_between_files(tmp_path: Path, rules: str) -> None:
     settings = SETTINGS | {"services": SETTINGS["services"][:2], "family-info": {}}  # type: ignore[index]
-    done = CliRunner().invoke(main, ["check", config(tmp_path, settings=settings), rules])
-    assert done.exit_code == 2 and "statements.load" in done.output and "flight.update_class" in done.output
+    result = CliRunner().invoke(main, ["check", config(tmp_path, settings=settings), rules])
+    assert (
+        result.exit_code == 2
+        and "statements.load" in result.output
+        and "flight.update_class" in result.output
+    )
 
 
 def test_check_prints_files_that_cannot_be_read(tmp_path: Path) -> None:
     (tmp_path / "a.json").write_text("{")
     for file in ("a.json", "missing.json", "missing.toml"):
-        done = CliRunner().invoke(main, ["check", str(tmp_path / file)])
-        assert done.exit_code == 2 and file in done.output
+        result = CliRunner().invoke(main, ["check", str(tmp_path / file)])
+        assert result.exit_code == 2 and file in result.output
 
 
 def test_the_version_is_the_package_s() -> None:
@@ -133,9 +137,9 @@
 
 
 def test_a_bad_start_is_one_line_and_code_2(tmp_path: Path) -> None:
-    words = [sys.executable, "-m", "query_gateway", "run", "--config", str(tmp_path / "missing.json")]
-    done = subprocess.run(words, capture_output=True, text=True, cwd=ROOT)
-    assert done.returncode == 2 and len(done.stderr.splitlines()) == 1 and "missing.json" in done.stderr
+    command = [sys.executable, "-m", "query_gateway", "run", "--config", str(tmp_path / "missing.json")]
+    result = subprocess.run(command, capture_output=True, text=True, cwd=ROOT)
+    assert result.returncode == 2 and len(result.stderr.splitlines()) == 1 and "missing.json" in result.stderr
 
 
 def test_the_package_pins_what_the_platform_s_build_installs() -> None:
@@ -147,8 +151,8 @@
 
 
 def test_the_deploy_file_s_example_has_no_faults() -> None:
-    done = CliRunner().invoke(main, ["check", "example/config.json", "deploy/branches.toml"])
-    assert done.exit_code == 0, done.output
+    result = CliRunner().invoke(main, ["check", "example/config.json", "deploy/branches.toml"])
+    assert result.exit_code == 0, result.output
 
 
 def imported_by(path: Path) -> set[str]:
@@ -162,7 +166,8 @@
 def test_the_process_entry_and_the_command_line_do_not_import_each_other() -> None:
     """Guards against a second load of `__main__`, whose top-level statements and imports would run twice.
 
-    It happens when a module imports `__main__`. The entry shares `lifecycle.process` with the command line.
+    It happens when a module imports `__main__`, so none may; the entry and the command line share
+    `lifecycle.process`.
     """
     package = ROOT / "query_gateway"
     importers: dict[str, set[str]] = {"__main__": set(), "cli": set(), "lifecycle.process": set()}
@@ -183,6 +188,6 @@
     monkeypatch.setenv("ROUTER_CONFIG", "unset")
     monkeypatch.setenv("QUERY_GATEWAY_OPERATOR_FILE", "unset")
     monkeypatch.setattr("query_gateway.lifecycle.process.serve", lambda: None)
-    done = CliRunner().invoke(main, ["run", "--config", "a.json", "--operator", "b.toml"])
-    assert done.exit_code == 0, done.output
+    result = CliRunner().invoke(main, ["run", "--config", "a.json", "--operator", "b.toml"])
+    assert result.exit_code == 0, result.output
     assert (os.environ["ROUTER_CONFIG"], os.environ["QUERY_GATEWAY_OPERATOR_FILE"]) == ("a.json", "b.toml")
--- a/tests/test_layers.py
+++ b/tests/test_layers.py
@@ -52,8 +52,8 @@
         f"import {', '.join(modules)}\n"
         "print(*(set(sys.modules) - before))"
     )
-    done = subprocess.run([sys.executable, "-c", code], capture_output=True, text=True, check=True)
-    return set(done.stdout.split())
+    completed = subprocess.run([sys.executable, "-c", code], capture_output=True, text=True, check=True)
+    return set(completed.stdout.split())
 
 
 def within(names: set[str], packages: tuple[str, ...]) -> set[str]:
@@ -156,7 +156,7 @@
 
 
 def imports_between_modules(package: Path) -> dict[str, set[str]]:
-    """The modules of a package that each other one imports, by full names; `__init__` has its package's name."""
+    """The imports between modules of a package, by full names; an `__init__` has its package's name."""
     top = package.parent
     paths = {".".join(path.relative_to(top).with_suffix("").parts): path for path in package.rglob("*.py")}
     names = {name.removesuffix(".__init__"): path for name, path in paths.items()}
--- a/tests/test_local.py
+++ b/tests/test_local.py
@@ -221,8 +221,8 @@
         supervisor = subprocess.Popen([sys.executable, "-c", ""])
         supervisor.wait()
         environ |= {PROCESS_PART_VARIABLE: part, SUPERVISOR_PID_VARIABLE: str(supervisor.pid)}
-        run = [sys.executable, "-m", "query_gateway"]
-        with ended_on_exit(subprocess.Popen(run, env=environ, stderr=subprocess.DEVNULL)) as worker:
+        command = [sys.executable, "-m", "query_gateway"]
+        with ended_on_exit(subprocess.Popen(command, env=environ, stderr=subprocess.DEVNULL)) as worker:
             assert worker.wait(20) == 0
 
 
@@ -230,8 +230,8 @@
     engine, listen = Engine(), ("127.0.0.1", free_port())
     environ = environment_of_processes(tmp_path, engine, listen[1])
     gateway = SimpleNamespace(http_server=SimpleNamespace(listener=SimpleNamespace(address=listen)))
-    run = [sys.executable, "-m", "query_gateway"]
-    with ended_on_exit(subprocess.Popen(run, env=environ, stderr=subprocess.DEVNULL)) as process:
+    command = [sys.executable, "-m", "query_gateway"]
+    with ended_on_exit(subprocess.Popen(command, env=environ, stderr=subprocess.DEVNULL)) as process:
 
         def both_forwarders_serve() -> bool:
             """Whether both have answered two requests each, which they send to the planners in turn."""
--- a/tests/test_momentary_errors.py
+++ b/tests/test_momentary_errors.py
@@ -52,8 +52,8 @@
 
 def connected_pair() -> tuple[socket.socket, socket.socket]:
     with socket.create_server(("127.0.0.1", 0)) as server:
-        near = socket.create_connection(server.getsockname())
-        return near, server.accept()[0]
+        local = socket.create_connection(server.getsockname())
+        return local, server.accept()[0]
 
 
 def fail_calls(stream: Stream, **failures: tuple[int, int]) -> None:
@@ -67,34 +67,34 @@
 
     The kernel is out of buffers or memory, or a signal interrupts the call.
     """
-    loop, (near, far) = Loop(), connected_pair()
-    stream = Stream(loop, near, "here")
+    loop, (local, peer) = Loop(), connected_pair()
+    stream = Stream(loop, local, "here")
     fail_calls(stream, send=(error, 2), recv=(error, 2))
     stream.start()
     stream.write(b"answer")
     assert not stream.reset and stream.outbox
-    far.sendall(b"request")
+    peer.sendall(b"request")
     while stream.outbox or not stream.inbox:
         loop.turn()
-    assert far.recv(100) == b"answer" and stream.take_inbox() == b"request" and not stream.eof
+    assert peer.recv(100) == b"answer" and stream.take_inbox() == b"request" and not stream.eof
     stream.close(Reason.DONE)
-    far.close()
+    peer.close()
     loop.close()
 
 
 @pytest.mark.parametrize("error", [errno.ETIMEDOUT, errno.EHOSTUNREACH, errno.EPIPE, errno.ECONNRESET])
 def test_stream_is_over_after_an_error_of_its_connection(error: int) -> None:
     """Guards against a stream that stays open after a read has reported the end of its connection."""
-    loop, (near, far) = Loop(), connected_pair()
-    stream = Stream(loop, near, "here")
+    loop, (local, peer) = Loop(), connected_pair()
+    stream = Stream(loop, local, "here")
     fail_calls(stream, recv=(error, 1))
     stream.start()
-    far.sendall(b"x")
+    peer.sendall(b"x")
     while not stream.eof:
         loop.turn()
     assert stream.reset
     stream.close(Reason.RESET)
-    far.close()
+    peer.close()
     loop.close()
 
 
@@ -105,16 +105,16 @@
     `close` may fail after a signal or an input/output error.
     """
     loop, pairs = Loop(), [connected_pair() for _ in range(2)]
-    streams = [Stream(loop, near, "here") for near, _ in pairs]
+    streams = [Stream(loop, local, "here") for local, _ in pairs]
     fail_calls(streams[0], close=(error, 1))
     for stream in streams:
         stream.close(Reason.DONE)
     loop.call_at(loop.now(), lambda: None)
     loop.turn()
     assert streams[1].sock.fileno() == -1 and loop.faults == 0
-    for near, far in pairs:
-        near.close()
-        far.close()
+    for local, peer in pairs:
+        local.close()
+        peer.close()
     loop.close()
 
 
@@ -315,7 +315,10 @@
 def test_flight_dial_that_fails_at_once_ends_its_attempt(
     error: int, outcome: OutcomeCode, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Guards against a Flight attempt that never ends because its dial failed within the connect call."""
+    """Guards against a Flight attempt that does not end when its dial fails within the connect call.
+
+    A refused dial ends it at once, a dial without a route after the dial timeout.
+    """
     from query_gateway.flight.engines import FlightConnectionPool
 
     loop, outcomes = Loop(), list[OutcomeCode]()
@@ -440,7 +443,10 @@
 
 
 def test_leftovers_of_killed_processes_are_removed_and_those_of_running_ones_are_not(tmp_path: Path) -> None:
-    """Guards against unfinished snapshot files that accumulate when processes are killed while they write."""
+    """Guards against unfinished snapshot files that pile up, or are removed while a process writes them.
+
+    A process that is killed while it writes a snapshot leaves its unfinished file.
+    """
     ended = subprocess.Popen(["true"])
     ended.wait()
     leftover, present = tmp_path / f"costs.{ended.pid}", tmp_path / f"costs.{os.getpid()}"
--- a/tests/test_ops.py
+++ b/tests/test_ops.py
@@ -1,4 +1,4 @@
-"""The admin server: its calls, its connection limit, its figures, and draining."""
+"""The admin server at its own address: its calls, its connection limit, its figures, and draining."""
 
 import socket
 import time
@@ -199,9 +199,7 @@
         assert (
             response.startswith(b"HTTP/1.1 503") and b"Connection: close" in response and used.recv(1) == b""
         )
-        with socket.create_connection(
-            address
-        ) as fresh:  # connections that the load balancer still opens are served
+        with socket.create_connection(address) as fresh:  # the load balancer's new connections are served
             assert liveness(fresh).startswith(b"HTTP/1.1 503")
         assert post(gateway, "lookup", "SELECT 2")[0] == 200
         assert not waiting.done()
--- a/tests/test_web.py
+++ b/tests/test_web.py
@@ -154,7 +154,7 @@
 def test_a_retry_uses_no_connection_that_a_late_response_may_reach() -> None:
     """Guards against a late response to a stopped attempt on the connection of its retry.
 
-    The attempt is retried at the same engine, whose first response may still come.
+    The attempt is retried at the same engine, whose response to the first attempt may still come.
     """
     engine = Engine(script={SQL: ["mute", "ok"]})
     with running(engine) as gateway:
@@ -592,9 +592,9 @@
     known = {"pos": 7, "entries": []}
     raw = {"listen": "127.0.0.1:0", "journal": old.address, "known": known, "settings": SETTINGS}
     file.write_text(json.dumps(raw))
-    run = [sys.executable, "-m", "query_gateway"]
+    command = [sys.executable, "-m", "query_gateway"]
     environ = os.environ | {"ROUTER_CONFIG": str(file)}
-    with ended_on_exit(subprocess.Popen(run, env=environ, stderr=subprocess.PIPE, text=True)) as process:
+    with ended_on_exit(subprocess.Popen(command, env=environ, stderr=subprocess.PIPE, text=True)) as process:
         assert process.stderr and "listens" in process.stderr.readline()
         held_poll = old.server.accept()[0]  # a long poll, left unanswered
         changed_file = json.dumps(raw | {"journal": new.address})
