--- a/query_gateway/flight/client_call.py
+++ b/query_gateway/flight/client_call.py
@@ -161,7 +161,10 @@
     def _classification_request(
         self, statement: FlightStatement, class_name: str | None
     ) -> "ClassificationRequest":
-        """Build the request to the parser; no deadline without grpc-timeout, as it depends on the class."""
+        """Build the request to the parser; without grpc-timeout it has no deadline.
+
+        The default timeout depends on the class, which is only known after the parse.
+        """
         from query_gateway.parsing.service import ClassificationRequest
 
         key = hex_header(self.request_headers, "x-row", KEY_DIGITS, False)
--- a/query_gateway/flight/engines.py
+++ b/query_gateway/flight/engines.py
@@ -316,7 +316,10 @@
         self.postponed = PostponedAttempts(loop, self.start)
 
     def start(self, attempt: AttemptHandle) -> None:
-        """Send an attempt to its engine; NOT_SENT, no engine fault, if the engine accepts no new attempts."""
+        """Send an attempt to its engine; if the engine accepts no new attempts, end it with NOT_SENT.
+
+        NOT_SENT does not count as a fault of the engine.
+        """
         address = self.addresses.get(attempt.endpoint)
         if address is None:
             self.postponed.remove(attempt)
@@ -330,7 +333,10 @@
         connection.start(flight_attempt)
 
     def _connection_to(self, engine: str, address: str) -> FlightConnection | None:
-        """Return the engine's connection, or a new one if it is unusable; None: no file descriptors."""
+        """Return the engine's connection, or a new one if it is unusable.
+
+        Returns None if the file descriptors are exhausted.
+        """
         connection = self.connections.get(engine)
         if connection and connection.is_usable and connection.address == address:
             return connection
--- a/query_gateway/flight/messages.py
+++ b/query_gateway/flight/messages.py
@@ -27,7 +27,7 @@
 
 
 class FlightMethod(Enum):
-    """The methods of the Flight service that the gateway serves and calls; the values are sent as such."""
+    """The methods of the Flight service that the gateway serves and calls, with their names on the wire."""
 
     GET_FLIGHT_INFO = "GetFlightInfo"
     DO_GET = "DoGet"
@@ -165,7 +165,7 @@
     try:
         return bytes(handle).decode()
     except UnicodeDecodeError:
-        raise FlightMessageError("the ticket is none of ours") from None
+        raise FlightMessageError("the ticket was not issued by this gateway") from None
 
 
 def encode_update(statement: str) -> bytes:
--- a/query_gateway/flight/requests.py
+++ b/query_gateway/flight/requests.py
@@ -14,8 +14,8 @@
 if TYPE_CHECKING:
     from query_gateway.parsing.service import Classification
 
-# The part of the client's timeout that is reserved for transferring the call and the result on the client's
-# Flight SQL connection
+# The part of the client's timeout, but at most half of it, that is reserved for transferring the call and the
+# result on the client's Flight SQL connection
 RETURN_TRIP_RESERVE_NS = 25 * MS
 GRPC_TIMEOUT = re.compile(r"(\d{1,8})([HMSmun])")
 GRPC_TIMEOUT_UNITS_NS = {"H": 3600 * 10**9, "M": 60 * 10**9, "S": 10**9, "m": 10**6, "u": 10**3, "n": 1}
--- a/query_gateway/parsing/parsers.py
+++ b/query_gateway/parsing/parsers.py
@@ -17,7 +17,7 @@
 
 PARSE_TIMEOUT_S = 0.25
 START_TIMEOUT_S = 10.0  # for a new parser process to become ready
-MAX_WAITING = 256  # statements queued for a parser, and also callbacks of one statement
+MAX_WAITING = 256  # limit both of the statements queued for a parser and of the callbacks of one statement
 MAX_WAIT_S = 1.0  # in the queue for a parser
 MAX_FAILED_STARTS = 5  # consecutive, after which starts are delayed
 RESTART_BACKOFF_S = 5.0  # delay of each further start
--- a/query_gateway/parsing/service.py
+++ b/query_gateway/parsing/service.py
@@ -177,7 +177,7 @@
     ) -> None:
         """Learn from the outcome of an attempt.
 
-        `work_ns`: processor time over all threads as the engine reports it, else the run time on all of them.
+        `work_ns`: processor time over all threads as reported by the engine, else run time times threads.
         """
         fingerprint, limits, costs = query.fingerprint, self.classifier.limits, self.classifier.costs
         if code is OutcomeCode.OK:
--- a/query_gateway/parsing/snapshot_store.py
+++ b/query_gateway/parsing/snapshot_store.py
@@ -28,11 +28,11 @@
     """The snapshot file at one path. Keeps no descriptor open between calls."""
 
     def __init__(self, path: str) -> None:
-        """The file need not exist, but its directory has to."""
+        """Use the file at `path`, which need not exist; its directory must."""
         self.path = Path(path)
 
     def save(self, value: Any) -> bool:
-        """Replace the stored value. Returns False if the disk fails, which is logged only."""
+        """Replace the stored value. Returns False if the disk fails; the failure is logged."""
         temporary = self.path.with_name(f"{self.path.name}.{os.getpid()}")
         try:
             _write_synced(temporary, _encode(value))
@@ -89,7 +89,7 @@
 
 
 def _decode(content: bytes) -> Any:
-    """Raises ValueError, of which SnapshotError is a subclass."""
+    """Return the value in a file's content; raises ValueError, or its subclass SnapshotError, if invalid."""
     header, newline, data = content.partition(b"\n")
     name, version, digest, length = header.decode().split()
     if not newline or f"{name} {version}" != HEADER or len(data) != int(length):
--- a/query_gateway/parsing/supervisor.py
+++ b/query_gateway/parsing/supervisor.py
@@ -16,7 +16,9 @@
 REQUEST_NUMBER = 1  # constant, as a process has one request at a time
 START_RETRY_S = 1.0  # after a failed start of a process
 TIMER_SLACK_S = 0.001  # added to a deadline, which has then passed when the timer fires
-PROCESS_LOST = "the parser died on it"  # a reason like the next two; the first two are sent to clients
+# The reasons for restarting a parser process, which are logged; the first two are also sent to the clients of
+# its statement
+PROCESS_LOST = "the parser died on it"
 TIMED_OUT = "it takes too long to parse"
 RULES_CHANGED = "the rules have changed"
 
--- a/query_gateway/rpc/connection.py
+++ b/query_gateway/rpc/connection.py
@@ -186,7 +186,10 @@
         return self.last_received_at + (IDLE_TIMEOUT_S if self.has_received else FIRST_BYTES_TIMEOUT_S)
 
     def _end_idle_connection(self) -> None:
-        """Drain, unless data has just arrived; a call sent before the GOAWAY is received will be refused."""
+        """Drain, unless data has just arrived.
+
+        A call that the client sends before it receives the GOAWAY is refused as not processed.
+        """
         self.stream.read_available()
         if not self.stream.inbox:
             self.end_reason = Reason.IDLE
--- a/query_gateway/statements/cache.py
+++ b/query_gateway/statements/cache.py
@@ -38,11 +38,11 @@
         self.hits = self.misses = 0
 
     def __len__(self) -> int:
-        """Returns the number of entries in all segments."""
+        """Return the number of entries in all segments."""
         return len(self.window) + len(self.probation) + len(self.protected)
 
     def get(self, digest: bytes) -> Value | None:
-        """Returns the entry and counts a use; None if there is none."""
+        """Return the entry and count a use; None if there is none."""
         self.sketch.add(digest)
         if (found := self.protected.pop(digest, None)) is not None:
             self.protected[digest] = found
@@ -60,14 +60,14 @@
         return found
 
     def peek(self, digest: bytes) -> Value | None:
-        """Returns the entry without counting a use; None if there is none."""
+        """Return the entry without counting a use; None if there is none."""
         for segment in (self.protected, self.probation, self.window):
             if (found := segment.get(digest)) is not None:
                 return found
         return None
 
     def put(self, digest: bytes, value: Value) -> bytes | None:
-        """Adds or replaces an entry; returns the digest that was evicted for it, if any."""
+        """Add or replace an entry; returns the digest that was evicted for it, if any."""
         for segment in (self.protected, self.probation, self.window):
             if digest in segment:
                 segment[digest] = value
@@ -78,7 +78,7 @@
         return self._evict_from_window()
 
     def _evict_from_window(self) -> bytes | None:
-        """Moves the window's oldest entry to the main part or evicts an entry; returns the evicted digest."""
+        """Move the window's oldest entry to the main part or evict an entry; returns the evicted digest."""
         candidate = next(iter(self.window))
         value = self.window.pop(candidate)
         if len(self.probation) + len(self.protected) < self.main_capacity:
@@ -93,5 +93,5 @@
         return victim
 
     def clear(self) -> None:
-        """Removes all entries; the frequency sketch is kept."""
+        """Remove all entries; the frequency sketch is kept."""
         self.window, self.probation, self.protected = {}, {}, {}
--- a/query_gateway/statements/classifier.py
+++ b/query_gateway/statements/classifier.py
@@ -48,15 +48,15 @@
         self._distinct_results: dict[ParseResult, ParseResult] = {}
 
     def normalize(self, text: str) -> NormalizedStatement:
-        """Normalizes a statement within the bounds of the rules. Raises UnsupportedStatementError."""
+        """Normalize a statement within the bounds of the rules. Raises UnsupportedStatementError."""
         return normalize(text, self.rules.sort_rows, self.rules.most_length)
 
     def cached(self, statement: NormalizedStatement) -> CachedStatement | None:
-        """Returns the cache entry and counts a use; None: the statement must be parsed."""
+        """Return the cache entry and count a use; None: the statement must be parsed."""
         return self.shapes.get(statement.fingerprint)
 
     def learn(self, statement: NormalizedStatement, parse_result: ParseResult) -> CachedStatement:
-        """Caches the parse result of a statement's shape."""
+        """Cache the parse result of a statement's shape; return the cache entry."""
         if len(self._distinct_results) > MAX_DISTINCT_RESULTS:
             self._distinct_results.clear()
         shared_result = self._distinct_results.setdefault(parse_result, parse_result)
@@ -72,10 +72,10 @@
         requested_key: str | None = None,
         parameters: Sequence[object] = (),
     ) -> Decision:
-        """Decides one statement.
+        """Return the decision about one statement.
 
-        `requested_class` and `requested_key`: those that the client names, if any. `parameters`: the values
-        bound to the statement's parameters.
+        `requested_class` and `requested_key`: the class and key that the client names, or None. `parameters`:
+        the values bound to the statement's parameters.
         """
         parse_result, rules = cached.parse_result, self.rules
         if not parse_result.is_write:
@@ -127,7 +127,7 @@
         return Decision(class_name, True, False, key, parse_result.verb, True)
 
     def update_rules(self, rules: Rules, idempotent_classes: Collection[str]) -> None:
-        """Replaces the rules and drops the parse results of the old ones; cost estimates are kept."""
+        """Replace the rules and drop the parse results of the old ones; cost estimates are kept."""
         self.idempotent_classes = frozenset(idempotent_classes)
         if rules != self.rules:
             self.rules = rules
--- a/query_gateway/statements/costs.py
+++ b/query_gateway/statements/costs.py
@@ -1,8 +1,8 @@
 """Cost estimates learned from outcomes, with fallback from shape to table group and class, then to class.
 
-Each estimate is a small histogram with buckets of logarithmic width. Its counts are halved when their sum
-reaches MAX_TOTAL, so old outcomes lose weight, and the estimate follows a shape that becomes slow within that
-number of outcomes.
+Each estimate is a small histogram with buckets of equal width on a logarithmic scale. Its counts are halved
+when their sum reaches MAX_TOTAL, so old outcomes lose weight, and the estimate follows a shape that becomes
+slow within that number of outcomes. A cost is the work of an attempt: processor time over all threads.
 """
 
 import math
@@ -44,7 +44,7 @@
         self.streak = 0  # consecutive outliers above (+) or below (-) the estimate
 
     def add(self, value: float) -> None:
-        """Adds a positive value in the histogram's unit (nanoseconds, or MB times FIRST_BOUND_NS)."""
+        """Add a positive value in the histogram's unit (nanoseconds, or MB times FIRST_BOUND_NS)."""
         bucket = int((math.log(max(value, 1.0)) - _LOG_FIRST) / _LOG_RATIO)
         self._detect_level_shift(value)
         self.counts[min(BUCKETS - 1, max(0, bucket))] += 1
@@ -54,7 +54,7 @@
             self.total = sum(self.counts)
 
     def _detect_level_shift(self, value: float) -> None:
-        """Reduces the counts after a level shift: SHIFT_OUTCOMES consecutive outliers on one side."""
+        """Reduce the counts after a level shift: SHIFT_OUTCOMES consecutive outliers on one side."""
         median = self.quantile(0.5)
         if median and value > median * OUTLIER_FACTOR:
             self.streak = max(1, self.streak + 1)
@@ -68,7 +68,7 @@
             self.streak = 0
 
     def quantile(self, share: float) -> float:
-        """Returns the quantile, interpolated within its bucket; 0.0 if there are no outcomes."""
+        """Return the quantile, interpolated within its bucket; 0.0 if there are no outcomes."""
         if not self.total:
             return 0.0
         remaining = share * self.total
@@ -83,13 +83,13 @@
 
 
 class CostEstimates:
-    """Estimates of run time and memory for `capacity` shapes and `max_groups` pairs of class and table group.
+    """Estimates of work and memory for `capacity` shapes and `max_groups` pairs of class and table group.
 
     A full table evicts the least recently used shape, unless the new one was seen less often.
     """
 
     def __init__(self, capacity: int = 10_000, max_groups: int = 1_024) -> None:
-        """Starts without estimates; `capacity` and `max_groups` bound the tables."""
+        """Start without estimates; `capacity` and `max_groups` bound the tables."""
         self.capacity, self.max_groups = capacity, max_groups
         self.shapes: dict[bytes, Histogram] = {}
         self.memory: dict[bytes, Histogram] = {}
@@ -101,24 +101,24 @@
         fingerprint: bytes,
         class_name: str,
         table_group: int | None,
-        run_time_ns: int,
+        work_ns: int,
         memory_mb: float = 0.0,
     ) -> None:
-        """Records a successful attempt that took `run_time_ns` of work."""
+        """Record a successful attempt that took `work_ns` of work."""
         self.seen.add(fingerprint)
         if histogram := self._histogram_of(self.shapes, fingerprint):
-            histogram.add(run_time_ns)
+            histogram.add(work_ns)
         if memory_mb > 0 and (histogram := self._histogram_of(self.memory, fingerprint)):
             histogram.add(memory_mb * FIRST_BOUND_NS)
         for key in ((class_name, table_group), (class_name, None)):
             fallback = self.fallbacks.pop(key, None) or Histogram()
             self.fallbacks[key] = fallback
-            fallback.add(run_time_ns)
+            fallback.add(work_ns)
         while len(self.fallbacks) > self.max_groups:
             del self.fallbacks[next(iter(self.fallbacks))]
 
     def _histogram_of(self, table: dict[bytes, Histogram], fingerprint: bytes) -> Histogram | None:
-        """Returns or creates the histogram; None if a full table's oldest shape was seen more often."""
+        """Return or create the histogram; None if a full table's oldest shape was seen more often."""
         if histogram := table.pop(fingerprint, None):
             table[fingerprint] = histogram
             return histogram
@@ -132,7 +132,7 @@
         return table[fingerprint]
 
     def cost_ns(self, fingerprint: bytes, class_name: str, table_group: int | None) -> int | None:
-        """Returns the median run time; None if shape, group and class all have too few outcomes."""
+        """Return the median work; None if shape, group and class all have too few outcomes."""
         candidates = (
             self.shapes.get(fingerprint),
             self.fallbacks.get((class_name, table_group)),
@@ -144,7 +144,7 @@
         return None
 
     def memory_mb(self, fingerprint: bytes) -> float:
-        """Returns the memory at MEMORY_QUANTILE of the shape; 0.0 if there are too few outcomes."""
+        """Return the MEMORY_QUANTILE of the shape's memory in MB; 0.0 if there are too few outcomes."""
         histogram = self.memory.get(fingerprint)
         if histogram is None or histogram.total < MIN_OUTCOMES:
             return 0.0
@@ -153,7 +153,7 @@
     # ---- snapshots for a restart or a successor
 
     def snapshot(self, max_entries: int = MAX_SNAPSHOT_ENTRIES) -> dict[str, Any]:
-        """Returns the most recently used entries as JSON values; at most `max_entries` of each table."""
+        """Return the most recently used entries as JSON values; at most `max_entries` of each table."""
         fallbacks = [
             [class_name, table_group, bytes(histogram.counts).hex()]
             for (class_name, table_group), histogram in list(self.fallbacks.items())[-max_entries:]
@@ -166,7 +166,7 @@
         }
 
     def restore(self, raw: Any) -> bool:
-        """Replaces the estimates by a snapshot's. Returns False, without changes, if any part is invalid."""
+        """Replace the estimates by a snapshot's. Returns False, without changes, if any part is invalid."""
         try:
             if raw[VERSION_KEY] != VERSION:
                 return False
--- a/query_gateway/statements/keys.py
+++ b/query_gateway/statements/keys.py
@@ -26,13 +26,13 @@
 
 
 def qualified_name(table: Any) -> tuple[str, ...]:
-    """Returns a table's qualified name, case-folded; quoted and unquoted names are equal here."""
+    """Return a table's qualified name, case-folded; quoted and unquoted names are equal here."""
     parts = [table.args.get("catalog"), table.args.get("db"), table.this]
     return tuple(part.name.casefold() for part in parts if part)
 
 
 def key_rule_index(table: Any, rules: Sequence[KeyRule]) -> int:
-    """Returns the index of a table's rule. A name without a schema matches any schema, and vice versa.
+    """Return the index of a table's rule. A name without a schema matches any schema, and vice versa.
 
     A rule with a single key for the table takes precedence over rules by column. Raises NoKeyRuleError if no
     rule matches and UndeterminedKeyError if several do.
@@ -144,7 +144,7 @@
 
 
 def conjuncts(node: Any) -> Iterator[Any]:
-    """Yields the conjuncts of a predicate, from the last to the first."""
+    """Yield the conjuncts of a predicate, from the last to the first."""
     stack = [node]
     while stack:
         part = stack.pop()
@@ -251,11 +251,11 @@
     for assignment in assignments:
         is_plain = isinstance(assignment, exp.EQ)
         if not is_plain or not isinstance(assignment.this, (exp.Column, exp.Identifier)):
-            raise UndeterminedKeyError("an assignment that is no plain column = value")
+            raise UndeterminedKeyError("an assignment that is not of the form column = value")
         if may_be_column(assignment.this, column):
             values = _value_references(assignment.expression, source)
             if not values:
-                raise UndeterminedKeyError(f"{column} is set to what the text does not tell")
+                raise UndeterminedKeyError(f"the value assigned to {column} cannot be determined")
             references += values
     return references
 
@@ -291,7 +291,7 @@
 
 
 def _insert_rows(query: Any) -> Iterator[list[Any]]:
-    """Yields the rows of VALUES and SELECTs, also within a UNION."""
+    """Yield the rows of VALUES and SELECTs, also within a UNION."""
     stack = [query]
     while stack:
         part = stack.pop()
@@ -304,7 +304,7 @@
         elif isinstance(part, exp.Select):
             yield part.expressions
         else:
-            raise UndeterminedKeyError("an insert of rows that the text does not tell")
+            raise UndeterminedKeyError("an insert of rows from something other than VALUES or SELECT")
 
 
 def _insert_value_reference(row: list[Any], index: int, width: int, column: str) -> LiteralReference:
@@ -314,7 +314,7 @@
     if any(isinstance(node, exp.Star) or node.find(exp.Star) for node in row[: index + 1] if node):
         reference = None
     if reference is None:
-        raise UndeterminedKeyError(f"the insert gives {column} a value that the text does not tell")
+        raise UndeterminedKeyError(f"the value inserted into {column} cannot be determined")
     return reference
 
 
@@ -362,10 +362,10 @@
     names = [node.name.casefold() for node in insert.this.expressions] if insert.this else []
     values = insert.expression.expressions if insert.expression else []
     if names.count(column.casefold()) != 1 or len(values) != len(names):
-        raise UndeterminedKeyError(f"the merge inserts rows without telling {column}")
+        raise UndeterminedKeyError(f"the merge inserts rows without a value for {column}")
     references = _value_references(values[names.index(column.casefold())], source)
     if not references:
-        raise UndeterminedKeyError(f"the merge gives {column} a value that the text does not tell")
+        raise UndeterminedKeyError(f"the value that the merge inserts into {column} cannot be determined")
     return references
 
 
@@ -373,7 +373,7 @@
 
 
 def target_of(tree: Any) -> Any:
-    """Returns the only table that a load writes. Raises UndeterminedKeyError."""
+    """Return the only table that a load writes. Raises UndeterminedKeyError."""
     target = tree.this
     if isinstance(target, exp.Schema):
         target = target.this
@@ -385,7 +385,7 @@
 
 
 def key_references(tree: Any, rule: KeyRule) -> tuple[LiteralReference, ...]:
-    """Returns the references to the key's values in a load. Raises UndeterminedKeyError."""
+    """Return the references to the key's values in a load. Raises UndeterminedKeyError."""
     if rule.has_single_key:
         return ()
     target, column = target_of(tree), rule.column
--- a/query_gateway/statements/lexer.py
+++ b/query_gateway/statements/lexer.py
@@ -55,7 +55,7 @@
 
 
 def tokenize(text: str, max_length: int = MAX_LENGTH) -> list[str]:
-    """Returns the tokens as written, without comments and white space; `max_length` in characters.
+    """Return the tokens as written, without comments and white space; `max_length` in characters.
 
     Raises UnsupportedStatementError.
     """
@@ -76,7 +76,7 @@
 
 
 def check_depth(text: str, tokens: list[str]) -> None:
-    """Raises UnsupportedStatementError for a statement that nests deeper than MAX_DEPTH.
+    """Raise UnsupportedStatementError for a statement that nests deeper than MAX_DEPTH.
 
     The parser recurses at each level, so deep nesting exhausts its stack, and the parse fails or the parser
     process dies. The depth is therefore checked before any statement is sent to a parser.
@@ -98,7 +98,7 @@
 
 # By the prefix of the first unsupported token; the first matching entry applies
 _REASONS_BY_PREFIX = (
-    (("--",), "a -- without a space after it: a comment to some, an operator to others"),
+    (("--",), "a -- without a space after it: a comment in some dialects, operators in others"),
     (("/*",), "a comment that nests, is never closed or may be executed"),
     (("'", '"', "`"), "a quote that is not closed, holds a backslash or meets another word"),
     (("$",), "a dollar quote or a name with a dollar sign"),
--- a/query_gateway/statements/limits.py
+++ b/query_gateway/statements/limits.py
@@ -4,9 +4,9 @@
     limited --SUCCESSES_PER_STEP consecutive successes--> limit + 1 --UNLIMITED_FROM reached--> unlimited
     limited --LIMIT_EXPIRY_NS without an incident--> unlimited
 
-An incident is an attempt that spilled, ran many times longer than usual, or was the last of consecutive
-failures on several engines. An engine may fail for reasons of its own, so repeated failures on one engine
-count once. Only the scheduler chooses engines.
+An incident is an attempt that spilled, needed many times the usual work of its shape (a runaway), or was the
+last of consecutive failures on several engines. An engine may fail for reasons of its own, so repeated
+failures on one engine count once. A limit does not affect the choice of engines, which is the scheduler's.
 """
 
 from dataclasses import dataclass, field
@@ -14,8 +14,8 @@
 
 SECOND_NS = 1_000_000_000
 FAILED_ENGINES_TO_LIMIT = 3  # distinct engines with a failure since the shape's last success
-RUNAWAY_FACTOR = 8.0  # multiple of the usual run time
-MIN_RUNAWAY_RUN_TIME_NS = SECOND_NS  # shorter attempts are never runaways
+RUNAWAY_FACTOR = 8.0  # a runaway needs more than this multiple of its shape's usual work
+MIN_RUNAWAY_RUN_TIME_NS = SECOND_NS  # of work; attempts with less are never runaways
 INITIAL_LIMIT = 4  # concurrent queries
 SUCCESSES_PER_STEP = 5  # consecutive successes that raise the limit by one
 UNLIMITED_FROM = 16  # concurrent queries: the limit is removed when it reaches this
@@ -68,11 +68,11 @@
         return f"{record.max_concurrent} of this shape run already: {record.reason}"
 
     def query_started(self, fingerprint: bytes) -> None:
-        """Counts an accepted query as running."""
+        """Count an accepted query as running."""
         self.running[fingerprint] = self.running.get(fingerprint, 0) + 1
 
     def query_ended(self, fingerprint: bytes) -> None:
-        """Counts a started query as answered."""
+        """Count a started query as ended: it is answered and has no attempt in flight."""
         still_running = self.running.get(fingerprint, 0) - 1
         if still_running > 0:
             self.running[fingerprint] = still_running
@@ -81,11 +81,11 @@
 
     # ---- outcomes of attempts
 
-    def attempt_succeeded(self, fingerprint: bytes, run_time_ns: int, usual_ns: int | None, now: int) -> None:
-        """Records a success. `usual_ns`: the estimate before this attempt, None if there was none."""
-        if usual_ns and run_time_ns > RUNAWAY_FACTOR * usual_ns and run_time_ns > MIN_RUNAWAY_RUN_TIME_NS:
+    def attempt_succeeded(self, fingerprint: bytes, work_ns: int, usual_ns: int | None, now: int) -> None:
+        """Record a success. `usual_ns`: the estimated work before this attempt, None if there was none."""
+        if usual_ns and work_ns > RUNAWAY_FACTOR * usual_ns and work_ns > MIN_RUNAWAY_RUN_TIME_NS:
             self._record_incident(
-                fingerprint, now, f"one ran {run_time_ns / usual_ns:.0f} times as long as usual"
+                fingerprint, now, f"one ran {work_ns / usual_ns:.0f} times as long as usual"
             )
             return
         record = self.records.get(fingerprint)
@@ -101,11 +101,11 @@
             del self.records[fingerprint]
 
     def attempt_spilled(self, fingerprint: bytes, now: int) -> None:
-        """Records an attempt that needed more memory than its engine had."""
+        """Record an attempt that needed more memory than its engine had."""
         self._record_incident(fingerprint, now, "one spilled")
 
     def attempt_failed(self, fingerprint: bytes, engine: str, now: int) -> None:
-        """Records a failure that the statement itself may have caused."""
+        """Record a failure that the statement itself may have caused."""
         record = self._get_or_create_record(fingerprint)
         record.failed_engines.add(engine)
         record.successes = 0
--- a/query_gateway/statements/messages.py
+++ b/query_gateway/statements/messages.py
@@ -32,8 +32,10 @@
     load: str | None = "load"  # None: writes are rejected
     aggregates: bool = True  # a read with an aggregate is a report
     windows: bool = True  # a read with a window function is a report
-    unselective: bool = True  # so is a read without a selective predicate (equality or IN)
-    sort_rows: int = 1_000  # a sort with a LIMIT of at most this many rows is no report
+    # A read of tables without a selective predicate (equality or IN) is a report if it sorts and has no LIMIT
+    # of at most `sort_rows`; if `unselective` is set, also if only one of the two holds
+    unselective: bool = True
+    sort_rows: int = 1_000
     joins: int = 3  # a read with more joins is a report
     pure: tuple[str, ...] = ()  # additional functions without side effects
     keys: tuple[KeyRule, ...] = ()
--- a/query_gateway/statements/normalizer.py
+++ b/query_gateway/statements/normalizer.py
@@ -63,7 +63,7 @@
         return self.fingerprint.hex()
 
     def canonical(self) -> str:
-        """Returns the text to parse, in which each literal is replaced by one that encodes its slot."""
+        """Return the text to parse, in which each literal is replaced by one that encodes its slot."""
         parts, slot = [], 0
         for token in self.tokens:
             if token in SLOTS:
@@ -81,7 +81,7 @@
 
 
 def normalize(text: str, sort_rows: int = 1_000, max_length: int = MAX_LENGTH) -> NormalizedStatement:
-    """Normalizes one statement; trailing semicolons are removed.
+    """Normalize one statement; trailing semicolons are removed.
 
     Raises UnsupportedStatementError.
     """
@@ -98,7 +98,7 @@
 
 
 def _replace_literals(tokens: list[str], sort_rows: int, literals: list[Literal]) -> list[str]:
-    """Replaces the literals among the tokens and appends them to `literals`.
+    """Replace the literals among the tokens and append them to `literals`.
 
     `map` looks up all tokens at C speed, so only tokens that are not cached are visited one by one. An empty
     string in `out` stands for a removed token.
@@ -134,7 +134,7 @@
 def _normalize_word(
     tokens: list[str], position: int, out: list[str | None], literals: list[Literal], sort_rows: int
 ) -> bool:
-    """Normalizes an unquoted word and the literals that depend on it; returns whether tokens are removed."""
+    """Normalize an unquoted word and the literals that depend on it; returns whether tokens are removed."""
     token = tokens[position]
     if token[-1] == "'":  # without backslashes, e'...' and n'...' are equal to '...'
         literals.append(token[1:])
@@ -165,7 +165,7 @@
 def _normalize_symbol(
     tokens: list[str], position: int, out: list[str | None], literals: list[Literal]
 ) -> bool:
-    """Normalizes a quoted name, parameter or operator run; returns whether it holds several pieces."""
+    """Normalize a quoted name, parameter or operator run; returns whether it holds several pieces."""
     token = tokens[position]
     initial = token[0]
     if initial in '"`':
@@ -195,7 +195,7 @@
 
 
 def _number_parameters(literals: list[Literal]) -> None:
-    """Numbers positional parameters from 0 in the order of the text."""
+    """Number positional parameters from 0 in the order of the text."""
     number = 0
     for slot, literal in enumerate(literals):
         if literal == UNNUMBERED:
@@ -204,7 +204,7 @@
 
 
 def _keep_ordinals(tokens: list[str], start: int, out: list[str | None]) -> None:
-    """Keeps column ordinals: numbers that are complete items of the list after BY."""
+    """Keep column ordinals: numbers that are complete items of the list after BY."""
     depth = 0
     previous = "by"
     for position in range(start, len(tokens)):
@@ -225,7 +225,7 @@
 
 
 def _classify_row_limits(tokens: list[str], position: int, out: list[str | None], sort_rows: int) -> None:
-    """Replaces numbers after LIMIT and similar words: only whether they are within `sort_rows` matters."""
+    """Replace numbers after LIMIT and similar words: only whether they are within `sort_rows` matters."""
     while position < len(tokens) and tokens[position][0].isdigit():
         out[position] = "1" if float(tokens[position]) <= sort_rows else str(sort_rows + 1)
         if position + 1 >= len(tokens) or tokens[position + 1] != ",":
@@ -234,7 +234,7 @@
 
 
 def _collapse_in_list(tokens: list[str], start: int, out: list[str | None], literals: list[Literal]) -> bool:
-    """Collapses an IN list of literals of one kind: IN (1, 2, 3) becomes IN (1)."""
+    """Collapse an IN list of literals of one kind: IN (1, 2, 3) becomes IN (1)."""
     if start >= len(tokens) or tokens[start] != "(":
         return False
     list_kind, values = "", []
@@ -261,7 +261,7 @@
 
 
 def _collapse_rows(tokens: list[str], start: int, out: list[str | None], literals: list[Literal]) -> bool:
-    """Collapses VALUES rows of one pattern: (1, 'a'), (2, 'b') becomes one row with two literals per slot."""
+    """Collapse VALUES rows of one pattern: (1, 'a'), (2, 'b') becomes one row with two literals per slot."""
     first_row = _read_row(tokens, start)
     if first_row is None:
         return False
@@ -280,7 +280,7 @@
 
 
 def _read_row(tokens: list[str], start: int) -> _LiteralRow | None:
-    """Reads the row at `start`; None if it contains more than plain literals and constants."""
+    """Read the row at `start`; None if it contains more than plain literals and constants."""
     if start >= len(tokens) or tokens[start] != "(":
         return None
     values: list[str] = []
--- a/query_gateway/statements/purity.py
+++ b/query_gateway/statements/purity.py
@@ -6,7 +6,7 @@
 
 
 def words(text: str) -> frozenset[str]:
-    """Splits a string at white space."""
+    """Split a string at white space."""
     return frozenset(text.split())
 
 
@@ -73,7 +73,7 @@
     from_base64 to_base64 to_unixtime at_timezone lengthb
 """)
 
-# Also allowed in loads: they change only a counter that no key depends on
+# Also allowed in loads: they change at most a counter that no key depends on
 PURE_LOAD_FUNCTIONS = words("""
     nextval currval lastval uuid_generate_v4 last_insert_rowid newid sysdate
 """)
--- a/query_gateway/statements/reader.py
+++ b/query_gateway/statements/reader.py
@@ -41,7 +41,7 @@
     """Parses normalized statements by one set of rules; stateless between statements."""
 
     def __init__(self, rules: Rules) -> None:
-        """Uses the rules' dialect, additional pure functions, key rules and criteria for reports."""
+        """Use the rules' dialect, additional pure functions, key rules and criteria for reports."""
         self.rules = rules
         self.dialect = "" if rules.dialect == "ansi" else rules.dialect
         pure = {name.casefold() for name in rules.pure}
@@ -50,7 +50,7 @@
         self.qualified_pure_functions = {name for name in pure if "." in name}
 
     def read(self, statement: NormalizedStatement, text: str | None = None) -> ParseResult:
-        """Parses a statement. `text` replaces its canonical text, to compare the results of the two."""
+        """Parse a statement. `text` replaces its canonical text, to compare the results of the two."""
         tokens = statement.tokens
         try:
             if tokens[0] == "explain":
@@ -63,7 +63,7 @@
             return ParseResult(True, reason=str(error))
 
     def _parse(self, text: str) -> Any:
-        """Returns the only tree of the text. Raises UnparsedStatementError."""
+        """Return the only tree of the text. Raises UnparsedStatementError."""
         try:
             trees = sqlglot.parse(text, read=self.dialect)
         except SqlglotError:
@@ -75,7 +75,7 @@
         return trees[0]
 
     def _classify_tree(self, tree: Any, tokens: list[str]) -> ParseResult:
-        """Classifies a parsed statement. Raises NotReadOnlyError."""
+        """Classify a parsed statement. Raises NotReadOnlyError."""
         kind = type(tree).__name__
         if kind in DML_NODE_TYPES:
             return self._parse_load(tree, kind.lower(), tokens)
@@ -88,7 +88,7 @@
         return ParseResult(False, self._is_report(tree))
 
     def _parse_explain(self, statement: NormalizedStatement) -> ParseResult:
-        """Parses the explained statement; EXPLAIN of a write is rejected, because with ANALYZE it runs.
+        """Parse the explained statement; EXPLAIN of a write is rejected, because with ANALYZE it runs.
 
         sqlglot does not parse the statement within an EXPLAIN, so the options are skipped here. Raises
         UnparsedStatementError.
@@ -98,7 +98,7 @@
         explained = tokens[start:]
         has_literals = any(token in SLOTS for token in tokens[:start])
         if not explained or explained[0] in ("explain", *SLOTS) or has_literals:
-            raise UnparsedStatementError("an EXPLAIN of nothing known")
+            raise UnparsedStatementError("an EXPLAIN without a known statement")
         result = self.read(NormalizedStatement(statement.fingerprint, explained, statement.literals))
         if result.is_write:
             raise UnparsedStatementError(f"an EXPLAIN of a write: {result.reason or result.verb}")
@@ -107,7 +107,7 @@
     # ---- check for side effects
 
     def _require_no_side_effects(self, tree: Any, tokens: list[str], is_load: bool) -> None:
-        """Raises NotReadOnlyError at possible side effects; of a load, at any beyond its own write."""
+        """Raise NotReadOnlyError at possible side effects; of a load, at any beyond its own write."""
         self._check_tokens(tree, tokens, is_load)
         token_names = {token.strip(QUOTES).casefold() for token in tokens}
         for table in tree.find_all(exp.Table):
@@ -115,7 +115,7 @@
             # that name, so the statement would be taken for a read of a table. A name that is not among the
             # tokens is not a table.
             if isinstance(table.this, exp.Identifier) and table.name.casefold() not in token_names:
-                raise NotReadOnlyError("a table that is no name")
+                raise NotReadOnlyError("a string in place of a table name")
         for node in tree.walk():
             self._check_node(node, is_load)
 
@@ -156,7 +156,7 @@
         return self.pure_functions_in_loads if is_load else self.pure_functions
 
     def _check_tokens(self, tree: Any, tokens: list[str], is_load: bool) -> None:
-        """Checks the tokens alone: keywords and names that write, and each name before a parenthesis."""
+        """Check the tokens alone: keywords and names that write, and each name before a parenthesis."""
         names_with_columns = _names_with_column_list(tree, is_load)
         for position, token in enumerate(tokens):
             initial = token[0]
@@ -176,7 +176,7 @@
                 self._check_call(tokens, position, name, is_load)
 
     def _check_call(self, tokens: list[str], position: int, name: str, is_load: bool) -> None:
-        """Raises NotReadOnlyError unless the name before a parenthesis is that of a pure function."""
+        """Raise NotReadOnlyError unless the name before a parenthesis is that of a pure function."""
         if position >= 2 and tokens[position - 1] == ".":
             owner = tokens[position - 2]
             owner = owner[1:-1] if owner[0] in QUOTES else owner
@@ -219,7 +219,7 @@
         return (sorts and not is_bounded) or (self.rules.unselective and (sorts or not is_bounded))
 
     def _is_complex(self, tree: Any) -> bool:
-        """Whether windows, aggregates or joins make it a report, regardless of the rows that it selects."""
+        """Whether windows, aggregates or joins make the read a report, regardless of the selected rows."""
         rules = self.rules
         if rules.windows and tree.find(exp.Window):
             return True
@@ -229,7 +229,7 @@
 
 
 def _end_of_explain_options(tokens: list[str]) -> int:
-    """Returns the position after EXPLAIN and its options, with or without parentheses."""
+    """Return the position after EXPLAIN and its options, with or without parentheses."""
     start = 1
     while start < len(tokens) and tokens[start] in EXPLAIN_OPTIONS and tokens[start] != "(":
         start += 1
@@ -243,7 +243,7 @@
 
 
 def _check_query_node(node: Any) -> None:
-    """Raises NotReadOnlyError at a query that locks or stores rows, or at parentheses without a query."""
+    """Raise NotReadOnlyError at a query that locks or stores rows, or at parentheses without a query."""
     if isinstance(node, exp.Select) and (node.args.get("into") or node.args.get("locks")):
         raise NotReadOnlyError("SELECT INTO or a locking clause")
     if isinstance(node, exp.Select) and not node.expressions:
@@ -258,13 +258,13 @@
 
 
 def _check_name_node(node: Any) -> None:
-    """Raises NotReadOnlyError at names, types and tuples that may call code or contain a statement."""
+    """Raise NotReadOnlyError at names, types and tuples that may call code or contain a statement."""
     if isinstance(node, exp.Table) and not isinstance(node.this, (exp.Identifier, exp.Func)):
-        raise NotReadOnlyError("a table that is no name")
+        raise NotReadOnlyError("a table that is neither a name nor a function")
     if isinstance(node, exp.Tuple) and not node.expressions and not node.find_ancestor(exp.Group):
         raise NotReadOnlyError("empty parentheses")
     if isinstance(node, exp.DataType) and node.this == exp.DataType.Type.USERDEFINED:
-        raise NotReadOnlyError("a cast to a type of somebody's own")
+        raise NotReadOnlyError("a cast to a user-defined type")
     plain = (exp.Identifier, exp.Func, exp.Star)
     if isinstance(node, exp.Dot) and not isinstance(node.expression, plain):
         raise NotReadOnlyError("a dotted name that is not plain")
@@ -283,7 +283,7 @@
 
 
 def _check_unquoted_keyword(tokens: list[str], position: int, is_load: bool) -> None:
-    """Raises NotReadOnlyError at a keyword that writes, or that starts another kind of statement."""
+    """Raise NotReadOnlyError at a keyword that writes, or that starts another kind of statement."""
     token = tokens[position]
     previous_token = tokens[position - 1] if position else ""
     next_token = tokens[position + 1] if position + 1 < len(tokens) else ""
@@ -294,7 +294,7 @@
 
 
 def _check_single_write(tree: Any, verb: str) -> None:
-    """Raises UndeterminedKeyError at a load that changes other rows than those that it names."""
+    """Raise UndeterminedKeyError at a load that changes other rows than those that it names."""
     nested = (node for node in tree.walk() if node is not tree and type(node).__name__ in DML_NODE_TYPES)
     if any(not isinstance(node.parent, exp.When) for node in nested):
         raise UndeterminedKeyError("it writes more than one table")
@@ -303,12 +303,12 @@
 
 
 def _aggregates(tree: Any) -> bool:
-    """Whether it aggregates outside of windows."""
+    """Whether the query aggregates outside of windows."""
     return any(not _is_within(node, exp.Window) for node in tree.find_all(exp.AggFunc))
 
 
 def _sorts(tree: Any) -> bool:
-    """Whether it sorts outside of windows."""
+    """Whether the query sorts or removes duplicates outside of windows."""
     return any(not _is_within(node, exp.Window) for node in tree.find_all(exp.Order, exp.Distinct))
 
 
@@ -317,14 +317,14 @@
 
 
 def _reads_tables(tree: Any) -> bool:
-    """Whether it reads a table other than its own common table expressions."""
+    """Whether the query reads a table other than its own common table expressions."""
     cte_names = {cte.alias.casefold() for cte in tree.find_all(exp.CTE)}
     tables = [table for table in tree.find_all(exp.Table) if isinstance(table.this, exp.Identifier)]
     return any(table.name.casefold() not in cte_names or table.args.get("db") for table in tables)
 
 
 def _is_bounded(tree: Any, max_rows: int) -> bool:
-    """Whether a LIMIT of at most `max_rows` bounds its result; such a limit is normalized to 1."""
+    """Whether a LIMIT of at most `max_rows` bounds the result; such a limit is normalized to 1."""
     limit = tree.args.get("limit")
     if limit is None:
         return False
--- a/query_gateway/statements/sketch.py
+++ b/query_gateway/statements/sketch.py
@@ -24,7 +24,7 @@
         self.additions = 0
 
     def add(self, key: bytes) -> None:
-        """Increments the count of a key. The loop over rows is unrolled because every statement runs it."""
+        """Increment the count of a key. The loop over rows is unrolled because every statement runs it."""
         mask = self.mask
         bits = int.from_bytes(key, "little")
         row0, row1, row2, row3 = self.rows
@@ -46,7 +46,7 @@
             self.rows = [row.translate(self._halving_table) for row in self.rows]
 
     def count(self, key: bytes) -> int:
-        """Estimates how often the key was seen recently, at most MAX_COUNT."""
+        """Estimate how often the key was seen recently, at most MAX_COUNT."""
         mask = self.mask
         bits = int.from_bytes(key, "little")
         row0, row1, row2, row3 = self.rows
--- a/query_gateway/statements/values.py
+++ b/query_gateway/statements/values.py
@@ -23,7 +23,7 @@
 
 
 def normalize_value(raw: str, reference: LiteralReference, key_type: str) -> str:
-    """Returns the canonical spelling of a literal, for a key of `key_type` as in `KeyRule.type`.
+    """Return the canonical spelling of a literal, for a key of `key_type` as in `KeyRule.type`.
 
     Raises UndeterminedKeyError if an engine might interpret the literal as another value.
     """
@@ -68,7 +68,7 @@
 
 
 def _fold_collation(text: str) -> str:
-    """Folds strings that any collation treats as equal: removes case, accents and outer white space."""
+    """Fold strings that any collation treats as equal: remove case, accents and outer white space."""
     decomposed = unicodedata.normalize("NFKD", text.casefold())
     folded = "".join(character for character in decomposed if _is_significant(character))
     return unicodedata.normalize("NFKC", folded).casefold().strip()
@@ -84,7 +84,7 @@
     literals: Sequence[Literal],
     parameters: Sequence[object] = (),
 ) -> str:
-    """Returns the key of one statement as 16 hexadecimal digits. `parameters`: the bound values.
+    """Return the key of one statement as 16 hexadecimal digits. `parameters`: the bound values.
 
     Raises UndeterminedKeyError.
     """
@@ -100,14 +100,14 @@
 
 
 def _resolve_parameter(raw: str, parameters: Sequence[object]) -> str:
-    """Returns a literal unchanged, and the value bound to a parameter as a literal."""
+    """Return a literal unchanged, and the value bound to a parameter as a literal."""
     if raw[0] not in "?$:":
         return raw
     first_index = 1 if raw[0] == "$" else 0
     position = int(raw[1:]) - first_index if raw[1:].isdigit() else -1
     if not 0 <= position < len(parameters):
-        raise UndeterminedKeyError("the key is a parameter whose value is not told")
+        raise UndeterminedKeyError("the key is a parameter without a bound value")
     value = parameters[position]
     if isinstance(value, bool) or not isinstance(value, (int, str)):
-        raise UndeterminedKeyError("the key is a parameter of a kind that no key has")
+        raise UndeterminedKeyError("the key is a parameter that is neither an integer nor a string")
     return str(value) if isinstance(value, int) else "'" + value.replace("'", "''") + "'"
