--- a/query_gateway/parsing/parsers.py
+++ b/query_gateway/parsing/parsers.py
@@ -83,7 +83,7 @@
         return pending
 
     def deadline(self) -> float | None:
-        """The time at which the start or the parse times out; None while the process is idle."""
+        """Return the time at which the start or the parse times out; None while the process is idle."""
         if self.state is SlotState.IDLE:
             return None
         timeout = PARSE_TIMEOUT_S if self.state is SlotState.PARSING else START_TIMEOUT_S
@@ -103,7 +103,7 @@
         self.timed_out_count = self.lost_count = 0
 
     def quarantined(self, statement: NormalizedStatement, now: float) -> ParseResult | None:
-        """The result of a statement in quarantine; None if it may be parsed.
+        """Return the result of a statement in quarantine; None if it may be parsed.
 
         A quarantine expires, as a parser may also be lost for a reason other than its statement.
         """
@@ -183,7 +183,7 @@
         return pending
 
     def overdue(self, now: float) -> list[ParserSlot]:
-        """The slots whose process is to be killed because its parse or start has timed out."""
+        """Return the slots whose process is to be killed because its parse or start has timed out."""
         parses = [slot for slot in self.slots if _is_overdue(slot, SlotState.PARSING, PARSE_TIMEOUT_S, now)]
         starts = [slot for slot in self.slots if _is_overdue(slot, SlotState.STARTING, START_TIMEOUT_S, now)]
         self.timed_out_count += len(parses)
@@ -199,7 +199,7 @@
         return expired
 
     def next_deadline(self) -> float | None:
-        """The time of the next timeout; None if nothing is queued, starting or being parsed."""
+        """Return the time of the next timeout; None if nothing is queued, starting or being parsed."""
         deadlines = [deadline for slot in self.slots if (deadline := slot.deadline()) is not None]
         if self.waiting:
             deadlines.append(self.waiting[0].enqueued_at + MAX_WAIT_S)
--- a/query_gateway/parsing/service.py
+++ b/query_gateway/parsing/service.py
@@ -154,7 +154,7 @@
     # ---- the forwarder's observer: outcomes of statements
 
     def rejection_reason(self, fingerprint: bytes, now: int) -> str:
-        """The reason to reject a further statement of the shape; empty if it may be accepted.
+        """Return the reason to reject a further statement of the shape; empty if it may be accepted.
 
         `now`: clock time in nanoseconds.
         """
@@ -215,7 +215,7 @@
             self.snapshot_store.save(self.classifier.costs.snapshot())
 
     def figures(self) -> list[str]:
-        """The figures of classification and parsing, as lines for the admin server."""
+        """Return the figures of classification and parsing, as lines for the admin server."""
         pool = self.supervisor.pool
         figures = {
             **self.classifier.figures(),
--- a/query_gateway/parsing/supervisor.py
+++ b/query_gateway/parsing/supervisor.py
@@ -71,7 +71,7 @@
         return True
 
     def quarantined(self, statement: NormalizedStatement) -> ParseResult | None:
-        """The result of a statement in quarantine; None if it may be parsed."""
+        """Return the result of a statement in quarantine; None if it may be parsed."""
         return self.pool.quarantined(statement, self.loop.now())
 
     def update_rules(self, rules: Rules) -> None:
--- a/query_gateway/rpc/connection.py
+++ b/query_gateway/rpc/connection.py
@@ -188,7 +188,7 @@
     def _end_idle_connection(self) -> None:
         """Drain, unless data has just arrived.
 
-        A call that the client sends before it receives the GOAWAY is refused as not processed.
+        A call that the client sends before it receives the GOAWAY is refused, and so known not to have run.
         """
         self.stream.read_available()
         if not self.stream.inbox:
--- a/query_gateway/statements/classifier.py
+++ b/query_gateway/statements/classifier.py
@@ -135,7 +135,7 @@
             self._distinct_results.clear()
 
     def figures(self) -> dict[str, float]:
-        """Figures for the admin server, by metric name without the prefix."""
+        """Return the figures for the admin server, by metric name without the prefix."""
         return {
             "statement_hits_total": self.shapes.hits,
             "statement_misses_total": self.shapes.misses,
@@ -150,7 +150,7 @@
 
 
 def rejected_decision(error: UnsupportedStatementError) -> Decision:
-    """The decision about an unsupported statement."""
+    """Return the decision about an unsupported statement."""
     return _rejected(str(error))
 
 
@@ -161,7 +161,7 @@
     costs: CostEstimates,
     was_cached: bool,
 ) -> dict[str, Any]:
-    """The output of `query-gateway statements classify` for one statement."""
+    """Return the output of `query-gateway statements classify` for one statement."""
     cost_ns = None
     if cached and statement and decision.class_name:
         cost_ns = costs.cost_ns(statement.fingerprint, decision.class_name, cached.table_group)
--- a/query_gateway/statements/keys.py
+++ b/query_gateway/statements/keys.py
@@ -58,7 +58,10 @@
 
 
 def literal_reference(node: Any) -> LiteralReference | None:
-    """The reference to a literal, optionally with a sign or a value-preserving cast; None for other nodes."""
+    """Return the reference to a literal that may have a sign or a value-preserving cast.
+
+    Returns None for other nodes.
+    """
     negative, cast = False, ""
     while True:
         if isinstance(node, (exp.Paren, exp.Alias)):
@@ -79,7 +82,7 @@
 
 
 def _cast_kind(data_type: Any) -> str:
-    """`integer` or `text`; empty for a type whose cast may change the value."""
+    """Return `integer` or `text`; empty for a type whose cast may change the value."""
     if not isinstance(data_type, exp.DataType) or data_type.expressions:
         return ""
     name = data_type.this.name if hasattr(data_type.this, "name") else str(data_type.this)
@@ -89,7 +92,7 @@
 
 
 def _slot_of(node: Any) -> int:
-    """The slot that a literal of the canonical text encodes; -1 for any other node."""
+    """Return the slot that a literal of the canonical text encodes; -1 for any other node."""
     if isinstance(node, exp.Literal) and not node.is_string:
         return int(node.this) - FIRST_NUMBER if node.this.isdigit() else -1
     found = None
@@ -159,7 +162,10 @@
 def _predicate_references(
     predicate: Any, column: str, scope: TargetScope, source: SourceColumns
 ) -> list[LiteralReference]:
-    """The references of the first conjunct that fixes the column; others only narrow down the rows."""
+    """Return the references of the first conjunct that fixes the column.
+
+    The other conjuncts only narrow down the rows. Raises UndeterminedKeyError if no conjunct fixes it.
+    """
     for part in conjuncts(predicate):
         references: list[LiteralReference] = []
         if isinstance(part, exp.EQ):
@@ -182,14 +188,14 @@
 
 
 def _in_list_references(membership: Any) -> list[LiteralReference]:
-    """The literals of an IN list; empty if it has any other member."""
+    """Return the literals of an IN list; empty if it has any other member."""
     if membership.args.get("query") or membership.args.get("unnest"):
         return []
     return _literal_references(membership.expressions)
 
 
 def _literal_references(nodes: Iterable[Any]) -> list[LiteralReference]:
-    """The references of all nodes; empty if any node is not a literal."""
+    """Return the references of all nodes; empty if any node is not a literal."""
     references = []
     for node in nodes:
         reference = literal_reference(node)
@@ -200,7 +206,7 @@
 
 
 def _value_references(node: Any, source: SourceColumns) -> list[LiteralReference]:
-    """The references of an expression: a literal, or a source column that holds only literals."""
+    """Return the references of an expression: a literal, or a source column that holds only literals."""
     if reference := literal_reference(node):
         return [reference]
     if isinstance(node, exp.Column) and node.table:
@@ -209,7 +215,7 @@
 
 
 def _source_columns(source: Any) -> SourceColumns:
-    """The columns of a MERGE source that hold only literals, by qualified name."""
+    """Return the columns of a MERGE source that hold only literals, by qualified name."""
     alias = source.args.get("alias")
     if alias is None or not alias.name:
         return {}
@@ -231,7 +237,7 @@
 
 
 def _source_rows(source: Any, names: list[str]) -> SourceRows:
-    """The rows of VALUES or of a simple SELECT; no rows for any other source."""
+    """Return the rows of VALUES or of a simple SELECT; no rows for any other source."""
     if isinstance(source, exp.Subquery):
         source = source.this
     if isinstance(source, exp.Values):
@@ -246,7 +252,10 @@
 def _assignment_references(
     assignments: Iterable[Any], column: str, source: SourceColumns
 ) -> list[LiteralReference]:
-    """The references of all values assigned to the column, each of which must be a literal."""
+    """Return the references of all values assigned to the column.
+
+    Raises UndeterminedKeyError if a value is neither a literal nor a source column that holds only literals.
+    """
     references: list[LiteralReference] = []
     for assignment in assignments:
         is_plain = isinstance(assignment, exp.EQ)
@@ -279,7 +288,7 @@
 
 
 def _key_column_index(schema: Any, column: str) -> int:
-    """The position of the key column in the insert's list of columns."""
+    """Return the position of the key column in the insert's list of columns."""
     names = [node.name.casefold() for node in schema.expressions]
     if names.count(column.casefold()) != 1:
         raise UndeterminedKeyError(f"the insert does not give {column}")
--- a/query_gateway/statements/lexer.py
+++ b/query_gateway/statements/lexer.py
@@ -106,7 +106,7 @@
 
 
 def unsupported_reason(remainder: str) -> str:
-    """Why a statement is unsupported; `remainder` starts with its first unsupported token."""
+    """Return why a statement is unsupported; `remainder` starts with its first unsupported token."""
     for prefixes, reason in _REASONS_BY_PREFIX:
         if remainder.startswith(prefixes):
             return reason
--- a/query_gateway/statements/limits.py
+++ b/query_gateway/statements/limits.py
@@ -55,7 +55,7 @@
         self.rejected_count = 0
 
     def rejection_reason(self, fingerprint: bytes, now: int) -> str:
-        """Why another query of the shape is rejected; empty if it is accepted."""
+        """Return the reason to reject another query of the shape; empty if it is accepted."""
         record = self.records.get(fingerprint)
         if record is None or not record.max_concurrent:
             return ""
--- a/query_gateway/statements/normalizer.py
+++ b/query_gateway/statements/normalizer.py
@@ -302,7 +302,10 @@
 
 
 def _literal_kind(token: str) -> str:
-    """NUMBER or STRING; empty for other tokens. Parameters depend on their position and are not collapsed."""
+    """Return NUMBER or STRING; empty for other tokens, also for parameters.
+
+    Parameters depend on their position and are not collapsed.
+    """
     initial = token[0]
     if initial.isdigit():
         return NUMBER
--- a/query_gateway/statements/reader.py
+++ b/query_gateway/statements/reader.py
@@ -271,7 +271,7 @@
 
 
 def _names_with_column_list(tree: Any, is_load: bool) -> set[str]:
-    """Names before a list of columns in parentheses, which are not function calls."""
+    """Return the names before lists of columns in parentheses, which are not function calls."""
     names = set()
     for alias in tree.find_all(exp.TableAlias):
         if alias.args.get("columns") and alias.this:
