--- a/query_gateway/parsing/service.py
+++ b/query_gateway/parsing/service.py
@@ -154,7 +154,7 @@
     # ---- the forwarder's observer: outcomes of statements
 
     def rejection_reason(self, fingerprint: bytes, now: int) -> str:
-        """The reason to reject a further statement of the shape; empty if it may be accepted.
+        """Return the reason to reject a further statement of the shape; empty if it may be accepted.
 
         `now`: clock time in nanoseconds.
         """
@@ -177,7 +177,7 @@
     ) -> None:
         """Learn from the outcome of an attempt.
 
-        `work_ns`: processor time over all threads as the engine reports it, else the run time on all of them.
+        `work_ns`: processor time over all threads as reported by the engine, else run time times threads.
         """
         fingerprint, limits, costs = query.fingerprint, self.classifier.limits, self.classifier.costs
         if code is OutcomeCode.OK:
@@ -215,7 +215,7 @@
             self.snapshot_store.save(self.classifier.costs.snapshot())
 
     def figures(self) -> list[str]:
-        """The figures of classification and parsing, as lines for the admin server."""
+        """Return the figures of classification and parsing, as lines for the admin server."""
         pool = self.supervisor.pool
         figures = {
             **self.classifier.figures(),
