--- a/query_gateway/flight/messages.py
+++ b/query_gateway/flight/messages.py
@@ -165,7 +165,7 @@
     try:
         return bytes(handle).decode()
     except UnicodeDecodeError:
-        raise FlightMessageError("the ticket was not issued by this gateway") from None
+        raise FlightMessageError("the ticket is none of ours") from None
 
 
 def encode_update(statement: str) -> bytes:
--- a/query_gateway/statements/keys.py
+++ b/query_gateway/statements/keys.py
@@ -260,11 +260,11 @@
     for assignment in assignments:
         is_plain = isinstance(assignment, exp.EQ)
         if not is_plain or not isinstance(assignment.this, (exp.Column, exp.Identifier)):
-            raise UndeterminedKeyError("an assignment that is not of the form column = value")
+            raise UndeterminedKeyError("an assignment that is no plain column = value")
         if may_be_column(assignment.this, column):
             values = _value_references(assignment.expression, source)
             if not values:
-                raise UndeterminedKeyError(f"the value assigned to {column} cannot be determined")
+                raise UndeterminedKeyError(f"{column} is set to what the text does not tell")
             references += values
     return references
 
@@ -313,7 +313,7 @@
         elif isinstance(part, exp.Select):
             yield part.expressions
         else:
-            raise UndeterminedKeyError("an insert of rows from something other than VALUES or SELECT")
+            raise UndeterminedKeyError("an insert of rows that the text does not tell")
 
 
 def _insert_value_reference(row: list[Any], index: int, width: int, column: str) -> LiteralReference:
@@ -323,7 +323,7 @@
     if any(isinstance(node, exp.Star) or node.find(exp.Star) for node in row[: index + 1] if node):
         reference = None
     if reference is None:
-        raise UndeterminedKeyError(f"the value inserted into {column} cannot be determined")
+        raise UndeterminedKeyError(f"the insert gives {column} a value that the text does not tell")
     return reference
 
 
@@ -371,10 +371,10 @@
     names = [node.name.casefold() for node in insert.this.expressions] if insert.this else []
     values = insert.expression.expressions if insert.expression else []
     if names.count(column.casefold()) != 1 or len(values) != len(names):
-        raise UndeterminedKeyError(f"the merge inserts rows without a value for {column}")
+        raise UndeterminedKeyError(f"the merge inserts rows without telling {column}")
     references = _value_references(values[names.index(column.casefold())], source)
     if not references:
-        raise UndeterminedKeyError(f"the value that the merge inserts into {column} cannot be determined")
+        raise UndeterminedKeyError(f"the merge gives {column} a value that the text does not tell")
     return references
 
 
--- a/query_gateway/statements/lexer.py
+++ b/query_gateway/statements/lexer.py
@@ -98,7 +98,7 @@
 
 # By the prefix of the first unsupported token; the first matching entry applies
 _REASONS_BY_PREFIX = (
-    (("--",), "a -- without a space after it: a comment in some dialects, operators in others"),
+    (("--",), "a -- without a space after it: a comment to some, an operator to others"),
     (("/*",), "a comment that nests, is never closed or may be executed"),
     (("'", '"', "`"), "a quote that is not closed, holds a backslash or meets another word"),
     (("$",), "a dollar quote or a name with a dollar sign"),
--- a/query_gateway/statements/reader.py
+++ b/query_gateway/statements/reader.py
@@ -98,7 +98,7 @@
         explained = tokens[start:]
         has_literals = any(token in SLOTS for token in tokens[:start])
         if not explained or explained[0] in ("explain", *SLOTS) or has_literals:
-            raise UnparsedStatementError("an EXPLAIN without a known statement")
+            raise UnparsedStatementError("an EXPLAIN of nothing known")
         result = self.read(NormalizedStatement(statement.fingerprint, explained, statement.literals))
         if result.is_write:
             raise UnparsedStatementError(f"an EXPLAIN of a write: {result.reason or result.verb}")
@@ -115,7 +115,7 @@
             # that name, so the statement would be taken for a read of a table. A name that is not among the
             # tokens is not a table.
             if isinstance(table.this, exp.Identifier) and table.name.casefold() not in token_names:
-                raise NotReadOnlyError("a string in place of a table name")
+                raise NotReadOnlyError("a table that is no name")
         for node in tree.walk():
             self._check_node(node, is_load)
 
@@ -260,11 +260,11 @@
 def _check_name_node(node: Any) -> None:
     """Raise NotReadOnlyError at names, types and tuples that may call code or contain a statement."""
     if isinstance(node, exp.Table) and not isinstance(node.this, (exp.Identifier, exp.Func)):
-        raise NotReadOnlyError("a table that is neither a name nor a function")
+        raise NotReadOnlyError("a table that is no name")
     if isinstance(node, exp.Tuple) and not node.expressions and not node.find_ancestor(exp.Group):
         raise NotReadOnlyError("empty parentheses")
     if isinstance(node, exp.DataType) and node.this == exp.DataType.Type.USERDEFINED:
-        raise NotReadOnlyError("a cast to a user-defined type")
+        raise NotReadOnlyError("a cast to a type of somebody's own")
     plain = (exp.Identifier, exp.Func, exp.Star)
     if isinstance(node, exp.Dot) and not isinstance(node.expression, plain):
         raise NotReadOnlyError("a dotted name that is not plain")
--- a/query_gateway/statements/values.py
+++ b/query_gateway/statements/values.py
@@ -106,8 +106,8 @@
     first_index = 1 if raw[0] == "$" else 0
     position = int(raw[1:]) - first_index if raw[1:].isdigit() else -1
     if not 0 <= position < len(parameters):
-        raise UndeterminedKeyError("the key is a parameter without a bound value")
+        raise UndeterminedKeyError("the key is a parameter whose value is not told")
     value = parameters[position]
     if isinstance(value, bool) or not isinstance(value, (int, str)):
-        raise UndeterminedKeyError("the key is a parameter that is neither an integer nor a string")
+        raise UndeterminedKeyError("the key is a parameter of a kind that no key has")
     return str(value) if isinstance(value, int) else "'" + value.replace("'", "''") + "'"
