--- a/query_gateway/cli.py
+++ b/query_gateway/cli.py
@@ -117,7 +117,7 @@
 
 
 def _check_configuration(file: str) -> tuple[Configuration | None, list[str]]:
-    """Read and validate a configuration file: the configuration if it is valid, and the errors."""
+    """Read and validate a configuration file; return it, or None if it is invalid, and its errors."""
     from query_gateway.configuration.schema import find_configuration_errors
 
     try:
@@ -129,7 +129,7 @@
 
 
 def _check_operator_file(file: str, config: Configuration | None) -> list[str]:
-    """The errors of an operator's file, including inconsistencies with the configuration if one is given."""
+    """Return the errors of an operator's file, also its inconsistencies with a given configuration."""
     try:
         return [f"{file}: {error}" for error in find_operator_file_errors(load_operator_file(file), config)]
     except ConfigurationError as error:
--- a/query_gateway/flight/engines.py
+++ b/query_gateway/flight/engines.py
@@ -54,7 +54,9 @@
         self.opened_at = 0  # clock time when the call's headers were encoded
         self.method = FlightMethod.DO_PUT if attempt.request.is_update else FlightMethod.GET_FLIGHT_INFO
         self.tickets: list[bytes] = []
-        self.schema: ResultMessage | None = None  # held until more follows, as a schema has no rows
+        # Held until more follows, as it has no rows: once any message of a result has been forwarded, no
+        # other attempt can serve the request
+        self.schema: ResultMessage | None = None
         self.status: str | None = None  # grpc-status of the current call
         self.is_ended = False
 
@@ -158,7 +160,7 @@
         return headers
 
     def _on_message_released(self) -> None:
-        """Report the message as written once the socket, too, has accepted it after flow control."""
+        """Flow control has released the message; report it as written once the socket has accepted it."""
         self.connection.grpc.stream.call_when_sent(self.attempt.on_written)
 
     def _outcome_of_abort(self, never_ran: bool) -> OutcomeCode:
@@ -389,6 +391,6 @@
         connection.grpc.drain()
         for flight_attempt in list(self.attempts.values()):
             if flight_attempt.connection is connection and self.withdraw(flight_attempt.attempt):
-                # As for `NOT_SENT`, the scheduler treats the attempt as never run, but for CONNECT_FAILED it
-                # also ejects the engine
+                # The scheduler treats an attempt that ends with CONNECT_FAILED or NOT_SENT as never run, but
+                # only CONNECT_FAILED makes it eject the engine
                 flight_attempt.attempt.on_ended(OutcomeCode.CONNECT_FAILED)
--- a/query_gateway/parsing/service.py
+++ b/query_gateway/parsing/service.py
@@ -22,7 +22,7 @@
 
 @dataclass(slots=True)
 class Classification:
-    """The classification of a statement for a front. `decision` is None if it cannot be parsed now."""
+    """The classification of a statement for a front. `decision` is None if it cannot be made at present."""
 
     decision: Decision | None
     fingerprint: bytes = b""
--- a/query_gateway/parsing/supervisor.py
+++ b/query_gateway/parsing/supervisor.py
@@ -171,7 +171,7 @@
             request = ParseRequest(REQUEST_NUMBER, statement.tokens, len(statement.literals))
             try:
                 self.processes[slot.number].sock.sendall(encode_frame(request))
-            except OSError:  # the loss is detected by the socket's end, or by the parse's timeout
+            except OSError:  # end-of-file on the socket or the parse timeout reports the loss
                 continue
         self._schedule()
 
--- a/query_gateway/rpc/call.py
+++ b/query_gateway/rpc/call.py
@@ -194,7 +194,7 @@
         """Whether the first byte of the message may be sent now, or has been sent already."""
         if message.may_send is None:
             return True
-        self.connection.flush()  # the call's headers, which the socket may not accept
+        self.connection.flush()  # may fill the outbox if the socket does not accept the call's headers
         if not self.connection.can_write or not message.may_send():
             return False
         message.may_send = None
--- a/query_gateway/rpc/connection.py
+++ b/query_gateway/rpc/connection.py
@@ -59,7 +59,7 @@
         self.h2.initiate_connection()  # now, as calls may be opened before the task runs
         self.h2.increment_flow_control_window(CONNECTION_WINDOW_INCREMENT_BYTES)
         self.flush()
-        # A client cancels a call with a frame, which must be read before an attempt for the call is sent
+        # Urgent for clients: a frame that cancels a call must be read before an attempt for the call is sent
         self.task: Task = loop.spawn(self._run(), is_urgent=not is_client)
         stream.on_activity = self.task.wake
 
--- a/query_gateway/statements/__init__.py
+++ b/query_gateway/statements/__init__.py
@@ -1,4 +1,4 @@
-"""SQL statements: read or write, request class, key, estimated cost and concurrency limit of the shape.
+"""Classifies SQL statements: read or write, class, key, estimated cost and concurrency limit of the shape.
 
 Owns the cached shapes, the learned state of each and the limits on shapes that spilled, needed far too much
 work or failed on several engines. Performs no I/O: callers pass the time, and `query_gateway.parsing` runs
--- a/query_gateway/statements/costs.py
+++ b/query_gateway/statements/costs.py
@@ -44,7 +44,7 @@
         self.streak = 0  # consecutive outliers above (+) or below (-) the estimate
 
     def add(self, value: float) -> None:
-        """Add a positive value in the histogram's unit (nanoseconds, or MB times FIRST_BOUND_NS)."""
+        """Add a positive value: nanoseconds, or MB times FIRST_BOUND_NS, so that buckets start at 1 MB."""
         bucket = int((math.log(max(value, 1.0)) - _LOG_FIRST) / _LOG_RATIO)
         self._detect_level_shift(value)
         self.counts[min(BUCKETS - 1, max(0, bucket))] += 1
@@ -125,7 +125,8 @@
         if len(table) >= self.capacity:
             oldest = next(iter(table))
             if self.seen.count(oldest) > self.seen.count(fingerprint):
-                table[oldest] = table.pop(oldest)  # to the end: the next new shape competes with another
+                # Moved to the end, so that the next new shape is compared with another one
+                table[oldest] = table.pop(oldest)
                 return None
             del table[oldest]
         table[fingerprint] = Histogram()
--- a/query_gateway/statements/keys.py
+++ b/query_gateway/statements/keys.py
@@ -19,7 +19,8 @@
 INTEGER_TYPES, TEXT_TYPES = ("INT", "BIGINT"), ("TEXT", "VARCHAR")
 MAX_SHOWN_NAME = 80  # characters of a table's name in a reason
 STRING_SLOT, PARAMETER_SLOT = re.compile(r"s(\d+)"), re.compile(r"p(\d+)")
-SourceColumns = dict[str, list[LiteralReference]]  # columns that hold only literals, by qualified name
+# The columns of a MERGE source that hold only literals, by qualified name
+SourceColumns = dict[str, list[LiteralReference]]
 
 
 # ---- key rules of tables
@@ -32,10 +33,11 @@
 
 
 def key_rule_index(table: Any, rules: Sequence[KeyRule]) -> int:
-    """Return the index of a table's rule. A name without a schema matches any schema, and vice versa.
+    """Return the index of a table's rule.
 
-    A rule with a single key for the table takes precedence over rules by column. Raises NoKeyRuleError if no
-    rule matches and UndeterminedKeyError if several do.
+    A table name without a schema matches rules for any schema; a rule without a schema matches tables of any
+    schema. A rule with a single key for the table takes precedence over rules by column. Raises
+    NoKeyRuleError if no rule matches and UndeterminedKeyError if several do.
     """
     name = qualified_name(table)
     matching = [index for index, rule in enumerate(rules) if _matches(name, rule)]
--- a/query_gateway/statements/lexer.py
+++ b/query_gateway/statements/lexer.py
@@ -33,7 +33,7 @@
 # The last alternative matches all remaining text, so unsupported text is always the last token
 TOKEN = re.compile(f"{SKIPPED}({TOKEN_PATTERN} | .++ | \\Z)", REGEX_FLAGS)
 SUPPORTED_TOKEN = re.compile(TOKEN_PATTERN, REGEX_FLAGS)
-# Variant without comments, faster, for statements that contain neither "--" nor "/*", which is nearly all
+# Faster variant for statements that contain neither "--" nor "/*", as nearly all do
 NOT_A_COMMENT = r"(?!--|/\*)"
 assert NOT_A_COMMENT in TOKEN_PATTERN
 UNCOMMENTED_TOKEN = re.compile(
--- a/query_gateway/statements/messages.py
+++ b/query_gateway/statements/messages.py
@@ -19,7 +19,7 @@
 
     @property
     def key_namespace(self) -> str:
-        """Prefix that separates its keys from those of other rules; identical on every gateway."""
+        """Prefix that separates the rule's keys from those of other rules; identical on every gateway."""
         return f"{self.table.casefold()}\0{self.column.casefold()}"
 
 
@@ -27,9 +27,9 @@
     """How statements are classified. The class names are those of the platform's configuration."""
 
     dialect: str = "postgres"
-    lookup: str = "lookup"  # class names
-    report: str = "report"
-    load: str | None = "load"  # None: writes are rejected
+    lookup: str = "lookup"  # the class of reads that are not reports
+    report: str = "report"  # the class of reads that meet a criterion below
+    load: str | None = "load"  # the class of writes; None: they are rejected
     aggregates: bool = True  # a read with an aggregate is a report
     windows: bool = True  # a read with a window function is a report
     # A read of tables without a selective predicate (equality or IN) is a report if it sorts and has no LIMIT
--- a/query_gateway/statements/reader.py
+++ b/query_gateway/statements/reader.py
@@ -50,7 +50,7 @@
         self.qualified_pure_functions = {name for name in pure if "." in name}
 
     def read(self, statement: NormalizedStatement, text: str | None = None) -> ParseResult:
-        """Parse a statement. `text` replaces its canonical text, to compare the results of the two."""
+        """Parse a statement. `text` is parsed in place of its canonical text, to compare both results."""
         tokens = statement.tokens
         try:
             if tokens[0] == "explain":
@@ -107,7 +107,7 @@
     # ---- check for side effects
 
     def _require_no_side_effects(self, tree: Any, tokens: list[str], is_load: bool) -> None:
-        """Raise NotReadOnlyError at possible side effects; of a load, at any beyond its own write."""
+        """Raise NotReadOnlyError at possible side effects; the write of a load itself is allowed."""
         self._check_tokens(tree, tokens, is_load)
         token_names = {token.strip(QUOTES).casefold() for token in tokens}
         for table in tree.find_all(exp.Table):
