--- a/query_gateway/admin/figures.py
+++ b/query_gateway/admin/figures.py
@@ -23,7 +23,7 @@
     outstanding: int  # unanswered requests
     discovered: int  # engines in the endpoint list
     ejected: int  # engines of the list that the planners have ejected
-    held_for_order: int  # requests with a key that are held while an earlier request may still be unread
+    held_for_order: int  # requests with a key that wait until the gateway has read all earlier requests
     accept_failures: int  # failed calls of accept(), summed over all listeners
 
 
--- a/query_gateway/simulator_adapter.py
+++ b/query_gateway/simulator_adapter.py
@@ -101,7 +101,7 @@
 
 
 def decode_load_report(fields: list[str], index: int) -> tuple[float, ...]:
-    """Decode numbers separated by commas; an empty tuple if the field is absent."""
+    """Decode a load report: numbers separated by commas; an empty tuple if the field is absent."""
     text = optional_string(fields, index)
     return tuple(float(part) for part in text.split(",")) if text else ()
 
--- a/query_gateway/statements/keys.py
+++ b/query_gateway/statements/keys.py
@@ -164,9 +164,9 @@
 def _predicate_references(
     predicate: Any, column: str, scope: TargetScope, source: SourceColumns
 ) -> list[LiteralReference]:
-    """Return the references of the first conjunct that fixes the column.
+    """Return the references of the first conjunct that restricts the column to literals.
 
-    The other conjuncts only narrow down the rows. Raises UndeterminedKeyError if no conjunct fixes it.
+    The other conjuncts only narrow down the rows. Raises UndeterminedKeyError if no conjunct does so.
     """
     for part in conjuncts(predicate):
         references: list[LiteralReference] = []
--- a/query_gateway/statements/normalizer.py
+++ b/query_gateway/statements/normalizer.py
@@ -3,7 +3,7 @@
 Two texts normalize to one statement only if they differ in literals, the length of lists of literals, the
 number of VALUES rows of one pattern, white space, comments or the case of unquoted words. Two kinds of
 numbers stay, because they are not values: column ordinals after BY, and whether a number after LIMIT is above
-`sort_rows`, on which a rule depends.
+`sort_rows`, as this decides whether some reads are reports.
 
 The parser reads only the normalized statement (`NormalizedStatement.canonical`), never the original text, so
 a decision cannot depend on what was replaced. The code is optimized for speed: every statement passes it.
