--- a/query_gateway/composition.py
+++ b/query_gateway/composition.py
@@ -71,7 +71,7 @@
     def of(
         parts: SharedParts, handles_signals: bool, statements: "StatementService | None"
     ) -> "FrontOptions":
-        """Derive the options; `handles_signals`: whether the process runs nothing but this gateway."""
+        """Derive the options; `handles_signals` is True only if the process runs nothing but this gateway."""
         active, options = parts.active, parts.options
         # A successor that cannot inherit the listeners must be able to bind the same addresses
         successor_must_bind = (
@@ -104,7 +104,7 @@
 
     @property
     def read_through(self) -> int:
-        """The clock time before which every arrived request is known."""
+        """The clock time up to which all arrived requests have been read."""
         return clock_time_of(self.loop.watermark.read_through)
 
     def await_progress(self, is_awaited: bool) -> None:
--- a/query_gateway/forwarder/attempt.py
+++ b/query_gateway/forwarder/attempt.py
@@ -141,7 +141,7 @@
     # ---- events from the engine client
 
     def may_be_written(self) -> bool:
-        """Whether the request may be written now; the last check for a client that has disconnected."""
+        """Whether the request may be written now; includes the last check whether its client is connected."""
         refusal = self.exchange.context.send_guard.refusal_to_write(self)
         if refusal is None:
             return True
--- a/query_gateway/forwarder/engine_side.py
+++ b/query_gateway/forwarder/engine_side.py
@@ -19,8 +19,8 @@
 
 # How long a cancelled attempt still counts as in flight, which delays the next attempt of the request. The
 # next attempt may reach the same engine over another connection; sent at once, it could overtake the
-# cancellation, and both would run at the same time. After this time the cancellation has arrived. An exchange
-# that is already answered does not wait.
+# cancellation, and both would run at the same time. After this time the cancellation is assumed to have
+# arrived. The attempt of an exchange that is already answered ends at once, as no other attempt follows.
 CANCEL_PROPAGATION_NS: Final = 60 * MS
 
 
--- a/query_gateway/forwarder/exchange.py
+++ b/query_gateway/forwarder/exchange.py
@@ -192,8 +192,8 @@
             self._end()
             self.trace(TraceStep.ABANDONED)
             self.notify_planner(RequestAbandoned(self.request_id))
-            # Does not rely on the planner process, which may cancel late or never: an attempt that is still
-            # unsent is withdrawn, so that no engine runs a request without a client
+            # The planner process may cancel late or never. An attempt that is still unsent is therefore
+            # withdrawn here, so that no engine runs a request without a client
             self.engine_side.withdraw()
             self.settle()
 
@@ -231,7 +231,10 @@
         self.settle()
 
     def end_without_planner(self) -> None:
-        """End the exchange after the loss of its planner: as rejected if a retry is safe, else as failed."""
+        """End the exchange because its planner is lost, or because the process is about to exit.
+
+        The request is rejected if a retry by its client is safe, otherwise it fails.
+        """
         self.planner_notified = False
         self.trace(TraceStep.PLANNER_LOST)
         # Withdrawn first, because an attempt that was never sent does not rule out a rejection
--- a/query_gateway/forwarder/messages.py
+++ b/query_gateway/forwarder/messages.py
@@ -54,7 +54,7 @@
 class RequestClass:
     """The properties of a request class that servers use: its number and the keys that its requests need."""
 
-    index: int  # in the settings
+    index: int  # the class number: the position of the class in `Settings.classes`
     needs_idempotency_key: bool
     ordered_by_key: bool
 
@@ -70,7 +70,7 @@
     class_index: int
     class_name: str
     statement: bytes
-    deadline: int  # clock time by which the answer must be sent, with the transfer to the client deducted
+    deadline: int  # clock time by which the answer must be sent; leaves time for the transfer to the client
     is_retry: bool
     key: str | None  # requests with the same key run one at a time
     idempotency_key: str | None
--- a/query_gateway/forwarder/planner_routing.py
+++ b/query_gateway/forwarder/planner_routing.py
@@ -22,7 +22,7 @@
     index: int
     notify: Notify
     connected: bool  # whether events reach the planner
-    settings: Settings | None  # sent when it connects; None: no reload yet, it keeps those of its start
+    settings: Settings | None  # sent when it connects; None until a reload: it keeps those of its start
 
     def connect(self, endpoints: tuple[EndpointInfo, ...]) -> None:
         """Send a planner that has started the state it needs to decide: its settings, then all endpoints."""
@@ -64,7 +64,7 @@
         """The planner that decides on a request with this key.
 
         A key is always routed to the same planner, connected or not. Requests without a key are distributed
-        round-robin over the connected planners.
+        round-robin over the connected planners; if none is connected, they go to the first planner.
         """
         if key:
             return self.planners[crc32(key.encode()) % len(self.planners)]
--- a/query_gateway/forwarder/predecessor_fence.py
+++ b/query_gateway/forwarder/predecessor_fence.py
@@ -5,8 +5,8 @@
 
 Each process orders only the requests that it has received itself; the order is not transferred to the
 successor. While the predecessor serves, it may accept requests of any key, so this process rejects all
-requests with a key. While the predecessor drains, it accepts none but may still run some, so they wait here.
-After it has ended, they wait for one more key quarantine.
+requests with a key. While the predecessor drains, it accepts none but may still run some, so new ones
+wait here. After it has ended, they wait for one more key quarantine.
 """
 
 from collections.abc import Callable
--- a/query_gateway/forwarder/send_guard.py
+++ b/query_gateway/forwarder/send_guard.py
@@ -27,8 +27,8 @@
 from query_gateway.model.endpoints import EndpointState
 from query_gateway.policy.repetition import NEVER
 
-# Tolerance of `check_written` for the time from the guard's decision to the last byte on the socket, in which
-# the request may end
+# Tolerance of `check_written`: the request may end, or its deadline pass, between the guard's decision and
+# the last byte on the socket
 SEND_LATENCY_NS: Final = 100_000_000
 
 
--- a/query_gateway/forwarder/table_group.py
+++ b/query_gateway/forwarder/table_group.py
@@ -57,7 +57,7 @@
 
 
 def _tokenize(text: str) -> list[Token]:
-    """The tokens of a statement without white space and comments; unterminated ones extend to the end."""
+    """The tokens of a statement without white space and comments; unterminated tokens extend to the end."""
     tokens: list[Token] = []
     position = 0
     while match := _TOKEN.match(text, position):
--- a/query_gateway/gateway.py
+++ b/query_gateway/gateway.py
@@ -88,8 +88,8 @@
         share = OVERLAP_SHARE if self.options.inherited else FULL_SHARE
         self.settings_publisher = PlannerSettingsPublisher(self.forwarder, self.active, share)
         self.planner_links = build_planner_links(parts, share)
-        # The planners are notified of the endpoint list before the fronts accept requests: an earlier request
-        # would find no engine and wait in the scheduler's queue
+        # The planners are notified of the endpoint list before the fronts accept requests: a request accepted
+        # before that would find no engine and wait in the scheduler's queue
         config = self.active.config
         start_times = StartTimes(steady_now_ns, wall_clock_offset_ns)
         self.endpoint_feed = EndpointFeed(self.forwarder, config.zones_and_kinds, start_times)
--- a/query_gateway/lifecycle/hot_upgrade.py
+++ b/query_gateway/lifecycle/hot_upgrade.py
@@ -13,12 +13,13 @@
        connections, and exits when all its
        requests are answered
 
-The offer holds the listening sockets, so from step 2 on both processes have the same accept queue. If SIGTERM
+The offer holds the listening sockets, so from step 2 on both processes share one accept queue. If SIGTERM
 comes before step 3 and a successor connects by the end of the grace period, the predecessor keeps accepting
 clients, also beyond that period, until the successor is ready; only then does it release its listeners and
 send draining. If the successor is still not ready when the predecessor aborts its open requests, the
-predecessor accepts the clients in the queue, rejects their requests and closes its listeners. After that a
-successor that has the offer keeps the queue open with its sockets, and new clients wait there.
+predecessor accepts the clients in the queue, rejects their requests and closes its listeners. A successor
+that has received the offer still holds the same sockets, so the queue stays open, and new clients wait there
+until the successor accepts.
 
 A successor that starts after the predecessor has closed its listeners is offered none and binds the addresses
 itself. Steps 3 to 5 are the same, so that requests with a key wait for the predecessor.
@@ -117,7 +118,7 @@
     host: UpgradeHost
 
     def __init__(self, loop: Loop, path: str) -> None:
-        """`path`: the predecessor's socket path. No socket is opened before `start` and `announce_ready`."""
+        """`path`: the socket path of the gateway. No socket is opened before `start` and `announce_ready`."""
         self.loop = loop
         self.listener = UpgradeListener(loop, path, self._on_successor_connects)
         self.predecessor: UpgradeConnection[FromPredecessor] | None = None
--- a/query_gateway/lifecycle/overlap.py
+++ b/query_gateway/lifecycle/overlap.py
@@ -10,8 +10,8 @@
     one of the two has ended   all for the other    1.0 for the other, after the overload window
 
 Until the predecessor drains, it alone serves requests with a key, and the successor rejects them. After that
-the successor holds them until the predecessor has ended and the attempts that it abandoned last can no longer
-run.
+the successor queues them until one key quarantine after the end of the predecessor, when the attempts that
+the predecessor left behind can no longer be running.
 
 The successor also inherits the learned state of the predecessor's scheduler and statement classifier, as of
 the time of the offer. State that the predecessor learns later is lost with it.
--- a/query_gateway/lifecycle/planner_links.py
+++ b/query_gateway/lifecycle/planner_links.py
@@ -2,7 +2,7 @@
 
 The states of a planner as seen by this process; a local planner is replaced and CONNECTED again at once:
 
-    LOST --connection established--> CONNECTED --connection closed, or decision module raised an error--> LOST
+    LOST --connection established--> CONNECTED --connection closed, or its scheduler raised an error--> LOST
 
 When a planner is lost, its queues, its view of the engines and its learned state are lost with it. The
 forwarder ends all of the planner's open requests at once (`Forwarder.on_planner_lost`): a request is rejected
@@ -59,9 +59,9 @@
         return bool(self.planner.pending_events)
 
     def _restart_local(self) -> None:
-        """Replace the decision module instance that raised an error, and end its open requests."""
+        """Replace the planner's scheduler, which has raised an error, and end its open requests."""
         self.planner.restart()
-        # Pending events concern requests that the new instance has never seen, so they are dropped
+        # Pending events concern requests that the new scheduler has never seen, so they are dropped
         self.forwarder.on_planner_lost(LOCAL_PLANNER_INDEX)
         self.planner.pending_events.clear()
         self.forwarder.on_planner_connected(LOCAL_PLANNER_INDEX)
--- a/query_gateway/lifecycle/planner_settings.py
+++ b/query_gateway/lifecycle/planner_settings.py
@@ -8,8 +8,8 @@
 from query_gateway.lifecycle.active_configuration import ActiveConfiguration
 from query_gateway.model.settings import Settings
 
-FLIGHT_EXTRA_RUN_TIME_NS = 500_000_000  # allowance of a Flight attempt beyond its run time
-DESCRIPTORS_PER_CLIENT = 3  # planners assume client connections on a third of the descriptors at most
+FLIGHT_EXTRA_RUN_TIME_NS = 500_000_000  # added to the run time after which a Flight attempt is overdue
+DESCRIPTORS_PER_CLIENT = 3  # planners assume that clients use at most a third of the descriptors
 
 
 def planner_settings(config: Configuration, operator: OperatorSettings, planner_index: int = 0) -> Settings:
--- a/query_gateway/lifecycle/process.py
+++ b/query_gateway/lifecycle/process.py
@@ -56,7 +56,7 @@
     """Run this process's part and return the exit code; `part_name` is empty without a supervisor."""
     early_sighups: list[int] = []
     # If a SIGHUP arrives while the configuration is read, the files read may be outdated, and they are read
-    # again once the gateway runs. So the handler is installed before.
+    # again once the gateway runs. The handler is therefore installed before the first read.
     signal.signal(signal.SIGHUP, lambda *_: early_sighups.append(1))
     config = read_configuration(os.environ)
     operator = read_operator_settings(os.environ, config)
--- a/query_gateway/lifecycle/reload.py
+++ b/query_gateway/lifecycle/reload.py
@@ -5,9 +5,9 @@
                  +---------+--> rejected: one log line, and the old configuration stays active
 
 No change is made before both files have been read and validated as a whole. Open requests keep the settings
-under which they were accepted. Settings that need a restart keep their old value, which the log line
-reports. `max_descriptors` is an exception: the connection limit that planners receive with their next
-settings is derived from the new value.
+under which they were accepted. Settings that need a restart keep their old value, and the log line
+states that they need one. `max_descriptors` is an exception: the connection limit that planners receive with
+their next settings is derived from the new value.
 """
 
 import os
@@ -39,7 +39,7 @@
     from query_gateway.flight.engines import FlightConnectionPool
     from query_gateway.statements.messages import Rules
 
-MAX_REPORTED_CLASSES = 256  # since the start of the process; each class adds lines to the figures
+MAX_REPORTED_CLASSES = 256  # all classes configured since the process started; each adds lines to the figures
 
 
 RESTART_NOTICE = "; changes of name, addresses, sockets, zones and kinds need a restart"
@@ -156,7 +156,7 @@
 
 
 def _check_idempotency(config: Configuration, rules: "Rules") -> None:
-    """Raise ContradictionError if the class of reads is not idempotent, or the class of writes is."""
+    """Raise ContradictionError if the class of lookups or reports is not idempotent, or that of loads is."""
     idempotent = idempotent_classes(config)
     for name in (rules.lookup, rules.report):
         if name not in idempotent:
--- a/query_gateway/lifecycle/shutdown.py
+++ b/query_gateway/lifecycle/shutdown.py
@@ -7,10 +7,11 @@
 The readiness of FINISHING and ABORTED is `Phase.STOPPING`. `Phase.DRAINING` is a different state, which an
 operator sets to send clients away and can revert.
 
-SIGTERM is followed by SIGKILL some time later. Clients and routers notice the shutdown with a delay, so
-FINISHING begins with the withdrawal of the addresses, and clients that still connect are served. Shortly
-before the SIGKILL every open request is aborted, which answers it without a planner: it is rejected if its
-client can safely retry it, otherwise it fails.
+SIGTERM is followed by SIGKILL some time later. At the start of FINISHING the process is no longer ready, and
+its BGP routes are withdrawn unless a ready successor serves the same addresses. Clients and routers notice
+this with a delay, so clients that still connect are served. Shortly before the SIGKILL every open request is
+aborted, which answers it without a planner: it is rejected if its client can safely retry it, otherwise it
+fails.
 
 Which process accepts clients while this one is not SERVING (`Listener` holds the state of each listening
 socket):
@@ -97,7 +98,8 @@
     def _serving_to_finishing(self, signalled_at: float) -> None:
         self.state = ShutdownState.FINISHING
         log("shutdown", f"stopping with {self.parts.forwarder.open_request_count} requests open")
-        # Withdraws the addresses, so that clients go elsewhere; clients that still connect are served
+        # Readiness ends and the BGP routes are withdrawn (see `RouteAnnouncer`), so that clients use another
+        # gateway; those that still connect are served
         self.parts.readiness.stop()
         # The delay until SIGKILL counts from the signal, however late the loop handles the signal
         self.loop.call_at(signalled_at + self._seconds_until_abort(), self.abort_open_requests)
--- a/query_gateway/lifecycle/slow_start_share.py
+++ b/query_gateway/lifecycle/slow_start_share.py
@@ -28,9 +28,9 @@
     def change_after_window(self, share: float) -> None:
         """Use a new share after the overload window, when the other process's requests no longer count.
 
-        If it were used at once, the requests of both processes together could overload an engine in slow
-        start, where requests that the other process forwarded under its larger share still run. An engine
-        counts requests over one overload window, so after that time the two shares add up to one budget at
+        The other process has forwarded requests under its previous, larger share. If this process used its
+        new share at once, the requests of both could overload an engine in slow start. The budget applies to
+        the work sent within one overload window, so after that time the two shares add up to one budget at
         most.
         """
         self._change_after(self.publisher.forwarder.settings.slow_start_overload_window / 1e9, share)
--- a/query_gateway/lifecycle/upgrade_messages.py
+++ b/query_gateway/lifecycle/upgrade_messages.py
@@ -1,6 +1,6 @@
 """The messages between predecessor and successor, and their encoding as packets.
 
-A packet is one JSON object, for some messages with file descriptors:
+A packet is one JSON object. Some messages also carry file descriptors:
 
     from         message         packet                                                   descriptors
     successor    Hello           {"hello": VERSION}
