--- a/query_gateway/forwarder/key_quarantine.py
+++ b/query_gateway/forwarder/key_quarantine.py
@@ -6,7 +6,7 @@
 
 The same applies in a hot upgrade: the predecessor runs requests with keys that this process does not know of.
 
-Input:   the planner of the request, whether it has a key, and the duration of the quarantine (nanoseconds)
+Input:   the request's planner and key, if any, and the duration of the quarantine (nanoseconds)
 Result:  whether the request must wait; waiting requests are released together, in arrival order
 """
 
