--- a/query_gateway/model/events.py
+++ b/query_gateway/model/events.py
@@ -6,7 +6,8 @@
 from query_gateway.model.endpoints import EndpointInfo, EndpointUpdateKind
 from query_gateway.model.settings import Settings
 
-LAST_ATTEMPT = -1  # stands for the number of the last attempt, where the exchange that numbers them has ended
+# Attempt number of an outcome that denotes the last attempt: the exchange that counts the attempts has ended
+LAST_ATTEMPT = -1
 
 
 class OutcomeCode(Enum):
@@ -19,7 +20,8 @@
     CONNECT_FAILED = "connect_failed"
     RESET = "reset"
     CANCELLED = "cancelled"
-    NOT_SENT = "moot"  # "moot" in the trace; also if the engine declined the attempt as already over
+    # "moot" in the trace; also if the attempt was sent, but the engine declined it as its request had ended
+    NOT_SENT = "moot"
 
 
 class ProgressKind(Enum):
@@ -51,7 +53,7 @@
     estimated_work: int | None  # processor time over all threads, nanoseconds
     estimated_memory_mb: float
     is_retry: bool  # as marked by the client
-    received_at: int = 0  # clock time of arrival, of a request with a key; 0: unknown
+    received_at: int = 0  # clock time of arrival, set only for requests with a key; 0: unknown
 
 
 @dataclass(slots=True, frozen=True)
--- a/query_gateway/model/forecasts.py
+++ b/query_gateway/model/forecasts.py
@@ -41,9 +41,9 @@
     ) -> float:
         """Nanoseconds until enough attempts have ended to free `needed` threads.
 
-        `threads_in_use` is the current number; it offsets the index by the threads that started or ended
-        since the forecast was built. Beyond the last known end, each further `limit` threads are assumed to
-        take `run_time` nanoseconds.
+        `threads_in_use` is the current number; it corrects for the threads that started or ended since the
+        forecast was built. After the last forecast end, `limit` threads are assumed to be freed in each
+        further `run_time` nanoseconds.
         """
         if not self.completes_at:
             return max(0.0, needed) / max(1.0, limit) * run_time
--- a/query_gateway/model/learning.py
+++ b/query_gateway/model/learning.py
@@ -20,7 +20,8 @@
     load_decay_ns: int  # of the mean threads in use and of the weight of a load report
     slowdown_decay_ns: int  # of the slowdowns of classes, engines and the fleet
     slowdown_decay_answers: int  # added for an engine's slowdown, in mean times between two of its answers
-    prior_samples: float  # weight of the prior of a decayed mean, in samples; an engine's prior is the fleet
+    # Weight of the prior of a decayed mean, in samples; the fleet's slowdown is the prior of an engine's
+    prior_samples: float
     sample_weight: float  # minimum weight of a new sample in a class mean
     learned_samples: int  # samples at which a learned deviation weighs as much as the prior one
     min_log_slowdown: float  # bounds of one log slowdown sample
--- a/query_gateway/model/request_classes.py
+++ b/query_gateway/model/request_classes.py
@@ -37,7 +37,7 @@
 
 
 class RequestClasses:
-    """The classes of the settings in force, by their index in these."""
+    """The classes of the settings in force, by their index in `Settings.classes`."""
 
     def __init__(self, prior_work: float) -> None:
         """Start without classes.
--- a/query_gateway/model/state.py
+++ b/query_gateway/model/state.py
@@ -1,6 +1,7 @@
 """The state shared by the modules of `policy`: one `SchedulerState` per scheduler, passed to each function.
 
-Its parts, with the modules of `policy`, and `model.learning`, that modify them beside the methods here:
+Its parts, and the modules that modify them besides the methods here (`learning` is in `model`, the others are
+in `policy`):
 
     classes         learning, class_lengths           settings and learned state of each class
     queries         admission, answers                requests that are open or have attempts in flight
--- a/query_gateway/planner/arrival_merge.py
+++ b/query_gateway/planner/arrival_merge.py
@@ -25,7 +25,7 @@
 
 
 class ArrivalMerge(Generic[Forwarder]):
-    """Holds the requests that wait for replies. Independent of connections."""
+    """Holds the requests that wait for replies. Any hashable value may denote a forwarder."""
 
     def __init__(
         self, send_query: Callable[[Forwarder, Request], None], on_released: Callable[[Request], None]
--- a/query_gateway/planner/learned_state.py
+++ b/query_gateway/planner/learned_state.py
@@ -245,7 +245,7 @@
 def _is_same_start(listed_here: int, listed_by_predecessor: int) -> bool:
     """Whether two listed start times denote the same start.
 
-    Each process has converted its own to the steady clock, so the times may differ slightly.
+    Each process has converted the listed time to its own steady clock, so the results may differ slightly.
     """
     if not listed_here or not listed_by_predecessor:
         return listed_here == listed_by_predecessor
--- a/query_gateway/planner/planner.py
+++ b/query_gateway/planner/planner.py
@@ -19,7 +19,7 @@
     """Queues events for the decision module, returns its actions, and owns its timers."""
 
     def __init__(self, settings: Settings, seed: int, clock: Callable[[], int], call_at: CallAt) -> None:
-        """Create the first instance of the module. `clock` returns the nanoseconds that `call_at` uses."""
+        """Create the first instance of the module. `clock` returns the time on the clock of `call_at`."""
         self.settings = settings
         self.seed = seed
         self.clock = clock
--- a/query_gateway/policy/admission.py
+++ b/query_gateway/policy/admission.py
@@ -100,7 +100,7 @@
     if state.now + state.controller.lag_ratio * delay + query.run_time >= query.due_at:
         return EndReason.LATE
     # Each queued query holds a client connection. Once all connections are held, new clients cannot connect
-    # and time out without an answer; a client that can connect is at least rejected.
+    # and time out without an answer; a client that can connect at least receives a rejection.
     if delay > 0 and _holds_most_connections(state):
         return EndReason.TOO_MANY_QUEUED
     # Requests over quota have a low weight, but at a saturated engine they still delay all other queries
--- a/query_gateway/policy/attempt_terms.py
+++ b/query_gateway/policy/attempt_terms.py
@@ -12,7 +12,7 @@
 from query_gateway.model.settings import MemoryShortage
 from query_gateway.model.state import SchedulerState
 
-MEMORY_MARGIN: Final = 1.15  # factor on the corrected estimate, where a grant takes memory from others
+MEMORY_MARGIN: Final = 1.15  # factor on the corrected estimate, where a grant takes memory from other queries
 LATE_PRIORITY: Final = 0
 LONG_PRIORITY: Final = 1
 SHORT_PRIORITY: Final = 3
@@ -24,13 +24,16 @@
     if not settings.takes_memory_grants:
         return 0.0
     largest_mb = engine.memory_mb * settings.max_grant_share
-    if settings.memory_shortage is MemoryShortage.PAGE:  # only memory in use counts: grant the maximum
+    if settings.memory_shortage is MemoryShortage.PAGE:  # an unused grant takes no memory: grant the maximum
         return largest_mb
     return min(largest_mb, query.corrected_memory_mb() * MEMORY_MARGIN)
 
 
 def priority(state: SchedulerState, query: QueryState) -> int:
-    """Priority of a query at its engine. Loads rank as short: other queries wait for their tables and key."""
+    """Priority of a query at its engine.
+
+    Loads get the priority of short queries, as others wait for the tables that they lock and for their key.
+    """
     if state.now >= query.due_at:
         return LATE_PRIORITY
     is_long = query.request_class.is_long and not query.settings.locks_tables
--- a/query_gateway/policy/capacity.py
+++ b/query_gateway/policy/capacity.py
@@ -7,7 +7,7 @@
 
 The thread limit of a class is derived from its share of the cores (UNIT, section 2.3; cited in `scheduler`).
 Each gateway may have one short and one long query at every engine, even if its share of the cores is smaller
-than that; the gateway's share of the fleet bounds their number.
+than that. Over all engines, its share of the fleet bounds the number of these queries.
 """
 
 import math
--- a/query_gateway/policy/class_lengths.py
+++ b/query_gateway/policy/class_lengths.py
@@ -16,7 +16,7 @@
 def refresh_class_lengths(classes: RequestClasses) -> None:
     """Refresh which classes are long, their shares of the work, and the mean threads per query."""
     mean_works = [request_class.mean_work() for request_class in classes]
-    weights = [  # proportional to the threads in flight of a class
+    weights = [  # sums of work, to which the threads in flight of each class are proportional
         (request_class.work.count + 1) * request_class.mean_work() for request_class in classes
     ]
     total = math.fsum(weights)
--- a/query_gateway/policy/fleet_snapshot.py
+++ b/query_gateway/policy/fleet_snapshot.py
@@ -57,7 +57,8 @@
     snapshot.all_ejected = not usable  # ejections are then ignored: the cause is not a single engine
     for engine in engines:
         engine.snapshot.in_slow_start = is_in_slow_start(settings, engine.started_at, state.now)
-    # Credits bound the engines in slow start, so neither their cores nor their threads count here
+    # Credits bound the queries sent to an engine in slow start (`slow_start`), so neither its cores nor its
+    # threads count in the fleet's totals
     snapshot.engines_in_slow_start = [engine for engine in snapshot.up if engine.snapshot.in_slow_start]
     past_slow_start = [engine for engine in usable or snapshot.up if not engine.snapshot.in_slow_start]
     snapshot.cores = float(sum(engine.cores for engine in past_slow_start)) or 1.0
--- a/query_gateway/policy/key_ordering.py
+++ b/query_gateway/policy/key_ordering.py
@@ -22,13 +22,13 @@
 
 
 def quarantine(key_queues: KeyQueues, query: QueryState, until: int) -> None:
-    """Delay the next query of a key until a clock time, as an attempt of this one may still be running."""
+    """Delay the next query of a key until a clock time, as an attempt of `query` may still be running."""
     if query.request.key and query.settings.ordered_by_key:
         key_queues.quarantined_until[query.request.key] = until
 
 
 def weight_lost_behind(key_queues: KeyQueues, query: QueryState, now: int) -> float:
-    """Priority weight that queries behind the first of a key lose if it runs now; 0 if `query` is another."""
+    """Priority weight that queries behind `query` in its key lose if it runs now; 0 if it is not first."""
     queue = key_queues.queues[query.request.key or ""]
     run_time_before, lost_weight = 0.0, 0.0
     for other in queue[1:] if queue and queue[0] is query else ():
--- a/query_gateway/policy/load_placement.py
+++ b/query_gateway/policy/load_placement.py
@@ -1,8 +1,8 @@
 """Load placement: which engines take the loads of a table group; all gateways choose the same ones.
 
-Loads lock tables, and readers wait for the locks. Gateways do not know of each other's loads. A hash of the
-engine's name and the table group sends the loads of all gateways to the same engines, one in `LOAD_ENGINES`;
-readers prefer the other engines (`routing`).
+Loads, which are the queries of classes with `locks_tables`, lock tables, and readers wait for the locks.
+Gateways do not know of each other's loads. A hash of the engine's name and the table group sends the loads of
+all gateways to the same engines, one in `LOAD_ENGINES`; readers prefer the other engines (`routing`).
 """
 
 from typing import Final
--- a/query_gateway/policy/progress_review.py
+++ b/query_gateway/policy/progress_review.py
@@ -28,9 +28,11 @@
 
 LOST_NOTE_PERIODS: Final = 1.6  # note periods without a progress note after which an attempt counts as lost
 PRIOR_LOG_SPREAD: Final = 0.7  # standard deviation of a class's log run times before it is learned
-OVERDUE_DEVIATIONS: Final = 1.8  # standard deviations of log run times above the expected one
+# Standard deviations of log run times above the expected one after which an attempt is overdue
+OVERDUE_DEVIATIONS: Final = 1.8
 RESTART_GAIN: Final = 2.0  # factor by which the remaining time must exceed a new run for a restart
-HOPELESS_OVERRUN: Final = 1.3  # remaining time / time to the limit that ends an attempt; notes are imprecise
+# Remaining time / time to the limit above which a query is given up; above 1, as progress notes are imprecise
+HOPELESS_OVERRUN: Final = 1.3
 
 
 def review_attempts(state: SchedulerState) -> None:
--- a/query_gateway/policy/release.py
+++ b/query_gateway/policy/release.py
@@ -1,10 +1,10 @@
 """Release of queued queries: by earliest deadline, each is sent once an engine has capacity, or is given up.
 
     given up as CLIENT_TIMEOUT    its client is about to time out
-    given up as LATE              half a run would end after the due time, and the query may not run late
+    given up as LATE              less than half its run time is left until it is due, and it may not run late
     stays queued                  it is not the next of its key, or no engine has capacity for it
-    sent                          to its own engine if it was just routed there, else to that with the least
-                                  expected run time
+    sent                          to the engine to which it was routed on arrival in this batch, else to the
+                                  engine with capacity that has the least expected run time
 
 Input: the queue by earliest deadline, the capacity of each engine. Times are nanoseconds.
 """
@@ -117,9 +117,10 @@
 
 
 def _may_run_late(state: SchedulerState, query: QueryState) -> bool:
-    """Whether a query may run although it will be late: it waited for its key, which a rejection cannot undo.
+    """Whether a query may run although it will be late.
 
-    Its late answer must be worth more than the loss of the queries behind it in its key. No engine past slow
+    Only a query ordered by key may: rejecting it does not recover the time that it waited for its key. Its
+    late answer must be worth more than the loss of the queries behind it in its key. No engine past slow
     start may be saturated, as other queries could be in time there instead.
     """
     if not query.is_key_ordered:
@@ -132,7 +133,7 @@
 
 
 def _engine_with_capacity(state: SchedulerState, query: QueryState) -> EngineState | None:
-    """Engine with capacity, the query's own or another, so that none is idle while queries wait."""
+    """An engine with capacity: the one where the query is queued or another, so that none idles meanwhile."""
     own_engine = query.queued_at
     # Routed on arrival in this batch, among all candidates, without a start delay
     just_routed = query.start_at <= query.arrived_at == state.now
--- a/query_gateway/policy/routing.py
+++ b/query_gateway/policy/routing.py
@@ -1,4 +1,4 @@
-"""Routing: selects the engine that should answer a query first.
+"""Routing: selects the engine that is expected to answer a query earliest.
 
 The route is the engine with the smallest sum of start delay (`start_times`) and expected run time. The
 expected run time is the run time of the query multiplied by a cost: 1 at a healthy idle engine, more for
@@ -21,7 +21,8 @@
 # Costs in shares of the run time
 LOAD_COST: Final = 1.0  # for one thread of this gateway per core of its share
 WARM_CACHE_GAIN: Final = 0.3  # saved where this gateway recently read the same tables
-LOADS_AND_READERS_COST: Final = 1.0  # for a load off the engines chosen for its tables, or a reader on them
+# For a load at an engine that takes no loads of its table group, or a reader at one that does
+LOADS_AND_READERS_COST: Final = 1.0
 CROSS_ZONE_COST: Final = 2.0  # per unit of the site's fee for crossing zones
 WARM_ENGINE_COST: Final = 0.5  # for an engine without a slow-start credit, so that credits are used first
 REPEATED_ENGINE_COST: Final = 1.0  # for an engine where an attempt of the query may already have run
@@ -30,11 +31,11 @@
 
 @dataclass(slots=True)
 class Route:
-    """An engine for a query, with the delays until the query should start and be answered there."""
+    """An engine for a query, with the expected delays until the query starts and is answered there."""
 
     engine: EngineState
     start_delay: float  # nanoseconds
-    answer_delay: float  # nanoseconds, including all costs as run time
+    answer_delay: float  # nanoseconds, including all costs, converted to run time
 
 
 def candidates(state: SchedulerState, query: QueryState) -> list[EngineState]:
--- a/query_gateway/policy/tenants.py
+++ b/query_gateway/policy/tenants.py
@@ -1,4 +1,4 @@
-"""Tenant quotas: this gateway's share of each quota, by the gossip of its peers, and the weight beyond it.
+"""Tenant quotas: this gateway's share of each quota, by its peers' gossip, and the weight of excess requests.
 
     a request within its tenant's quota     the priority weight of its class
     a request beyond it                     that weight times `over_quota_weight`
@@ -17,7 +17,8 @@
 from query_gateway.model.units import MS, SEC
 
 BURST_SECONDS: Final = 4.0  # seconds of quota that may be used at once, as when a peer's clients move here
-GOSSIP_FANOUT: Final = 2  # peers that get the counts each period; with all, messages would grow quadratically
+# Peers that get the counts each period; sent to all, the messages would grow quadratically with the gateways
+GOSSIP_FANOUT: Final = 2
 GOSSIP_PERIOD_NS: Final = 1 * SEC
 GOSSIP_LIFETIME_NS: Final = 3 * SEC  # how long a report counts; one or two lost reports are tolerated
 MIN_OBSERVED_NS: Final = 100 * MS  # added to the observation time, which is 0 when a gateway starts
