--- a/query_gateway/model/learning.py
+++ b/query_gateway/model/learning.py
@@ -19,7 +19,8 @@
 
     load_decay_ns: int  # of the mean threads in use and of the weight of a load report
     slowdown_decay_ns: int  # of the slowdowns of classes, engines and the fleet
-    slowdown_decay_answers: int  # added for an engine's slowdown, in mean times between two of its answers
+    # Added to `slowdown_decay_ns` for an engine's slowdown, in mean times between two answers of an engine
+    slowdown_decay_answers: int
     # Weight of the prior of a decayed mean, in samples; the fleet's slowdown is the prior of an engine's
     prior_samples: float
     sample_weight: float  # minimum weight of a new sample in a class mean
--- a/query_gateway/model/settings.py
+++ b/query_gateway/model/settings.py
@@ -85,7 +85,9 @@
     cross_zone_cost: float
     slow_start_initial_capacity: float  # share of its capacity with which an engine starts
     slow_start_window: int  # nanoseconds
-    slow_start_overload_factor: float  # overload limit per window, times the capacity; 0: no slow start
+    # Work sent within an overload window, relative to the engine's present capacity, above which it fails;
+    # 0: no slow start
+    slow_start_overload_factor: float
     slow_start_overload_window: int  # nanoseconds
     key_quarantine: int  # nanoseconds
     max_poll_interval: int  # nanoseconds; validated only: the endpoint list is watched
--- a/query_gateway/policy/unresponsive.py
+++ b/query_gateway/policy/unresponsive.py
@@ -30,7 +30,8 @@
     runs, longest_ns = [], []
     for attempt in engine.in_flight.values():
         idle_ns = now - max(engine.last_received_at, attempt.sent_at)
-        # A run past its expected run time when the engine fell silent is expected to take as long again
+        # A run that had exceeded its expected run time when the engine fell silent is expected to take as
+        # long again as it had run by then
         runs.append(idle_ns / max(attempt.query.run_time, now - attempt.sent_at - idle_ns))
         longest_ns.append(idle_ns)
     return IdleHazard(math.fsum(runs), max(longest_ns))
