--- a/query_gateway/configuration/schema.py
+++ b/query_gateway/configuration/schema.py
@@ -81,11 +81,11 @@
 
 
 class Key(Table):
-    """The key rule for loads of certain tables: by a column, or a single key for all loads."""
+    """The key rule for loads of the tables that `table` matches: a key from a column, or one key for all."""
 
     table: Annotated[str, Field(pattern=r"^[^.\s]+(\.[^.\s]+){0,2}$", max_length=200)]
     column: Annotated[str, Field(max_length=200)] = ""
-    is_single: Annotated[bool, Field(alias="whole")] = False  # all loads of the table share one key
+    is_single: Annotated[bool, Field(alias="whole")] = False  # all loads of these tables share one key
     type: Literal["any", "integer", "text"] = "any"
 
     def consistency_errors(self, dialect: str) -> Iterator[str]:
@@ -169,7 +169,7 @@
 
 
 class RequestClass(PlatformTable):
-    """A class of requests."""
+    """A request class: its durations, its priority weight, and whether its requests may run again."""
 
     name: Name
     latency_objective: Annotated[Nanoseconds, Field(alias="aim")]
--- a/query_gateway/configuration/settings_parser.py
+++ b/query_gateway/configuration/settings_parser.py
@@ -25,7 +25,7 @@
 }
 BOOLEAN_VALUES = {"true": True, "false": False, "1": True, "0": False}
 ABSENT_VALUE = "-"
-POLLED_ENDPOINT_LIST = "ask"  # the alternative is "push"
+POLLED_ENDPOINT_LIST = "ask"  # value of `registry-mode`; the alternative is "push"
 
 
 class SettingsReader:
--- a/query_gateway/discovery/endpoint_feed.py
+++ b/query_gateway/discovery/endpoint_feed.py
@@ -49,7 +49,8 @@
         """Start without a position; `apply_initial_list` sets it."""
         self.forwarder, self.names, self.start_times = forwarder, names, start_times
         self.state = FeedState.IN_SEQUENCE
-        self.complete_at: int | None = None  # clock time of the last answer; None: it may lack events
+        # Clock time of the last answer, as of which the list is complete; None: that answer may lack events
+        self.complete_at: int | None = None
         self.position = 0  # of the last event received; 0: a snapshot is needed
         self.newest_event: EndpointListEvent | None = None  # the event at that position
         self.tombstones = EndpointTombstones()
--- a/query_gateway/discovery/start_times.py
+++ b/query_gateway/discovery/start_times.py
@@ -77,9 +77,10 @@
         plausible = [start for start in (by_current_offset, by_first_offset) if start <= now + CLOCK_SKEW_NS]
         started_at = min(now, max(plausible, default=now))
         if complete_at is not None:
-            # The engine was not in the list then, so it cannot have started long before
+            # The engine was not in the list at `complete_at`, so it cannot have started long before
             return max(started_at, complete_at - MAX_LISTING_DELAY_NS)
         if now - started_at > MAX_CLOCK_STEP_NS:
             return started_at
-        # A snapshot tells only that an engine is older than those that started after it
+        # It is only certain how much earlier the engine started than the newest one, which may have started
+        # just now
         return max(started_at, now - (latest_start - listed_start))
--- a/query_gateway/discovery/tombstones.py
+++ b/query_gateway/discovery/tombstones.py
@@ -53,7 +53,11 @@
             del self._tombstones[next(iter(self._tombstones))]
 
     def apply(self, endpoints: Iterable[Endpoint]) -> list[Endpoint]:
-        """Return the endpoints without the removed ones, and the draining ones marked as draining."""
+        """Correct endpoints that are reported as up but have a tombstone with the same start time.
+
+        Returns all endpoints, without those whose tombstone says removed, and with those whose tombstone says
+        draining marked as draining.
+        """
         applied = []
         for endpoint in endpoints:
             tombstone = self._tombstones.get(endpoint.info.name)
--- a/query_gateway/discovery/watch_client.py
+++ b/query_gateway/discovery/watch_client.py
@@ -59,11 +59,12 @@
         self.loop, self.address, self.position = loop, address, position
         self.on_answer, self.on_caught_up = callbacks.on_answer, callbacks.on_caught_up
         self._stopped = self._address_changed = False
-        self._has_answered = False  # at least one poll
-        self._connection_lost = False  # since the last answer
+        self._has_answered = False  # the service has answered at least one poll
+        self._connection_lost = False  # a connection was lost since the last answer
         self._random, self._backoff = Random(seed), MIN_BACKOFF_SECONDS
-        # Urgent: after a slow turn, an unread answer may report that an engine drains, while a connection to
-        # that engine is established in the same turn
+        # Urgent, to run before the coroutines of engine connections: after a slow turn, an unread answer may
+        # report that an engine drains, while a connection to that engine is established in the same turn and
+        # would send it the requests that wait for the dial
         self.task = loop.spawn(self._run(), is_urgent=True)
 
     def stop(self) -> None:
--- a/query_gateway/engine_protocol/attempt_table.py
+++ b/query_gateway/engine_protocol/attempt_table.py
@@ -1,7 +1,7 @@
 """The attempts in flight on one connection, from their assignment to the connection until their end.
 
     unwritten --take_unwritten, and the request is written--> written
-    unwritten --withdraw: the attempt has not run-----------> removed
+    unwritten --withdraw or cancel: the attempt has not run-> removed
     written --remove: the result is complete----------------> removed
     written --cancel, or remove with `may_respond`----------> removed, but its id is kept
 
--- a/query_gateway/engine_protocol/connection.py
+++ b/query_gateway/engine_protocol/connection.py
@@ -40,11 +40,12 @@
 
 
 class ConnectionState(Enum):
-    """The state of a connection; the module lists the transitions, and no state is entered again."""
+    """The state of a connection. The module's docstring lists the transitions; no state is entered again."""
 
     DIALLING = "dialling"  # attempts wait for the dial
-    # Requests are written when they are assigned. The state follows the stream's `connected` by up to a loop
-    # turn, in which requests still wait for the coroutine, so that each is written only once
+    # Requests are written when they are assigned. The coroutine enters this state up to a loop turn after the
+    # stream is `connected`. Requests assigned in between still wait for the coroutine, so that each is
+    # written only once
     ESTABLISHED = "established"
     RETIRED = "retired"  # gets no more attempts and closes after the last one
     CLOSED = "closed"
@@ -93,7 +94,8 @@
     def can_take(self, client_request_id: str) -> bool:
         """Whether the connection has room for an attempt, and no late response can bear the attempt's id."""
         if self.state is ConnectionState.ESTABLISHED:
-            # A request that is written after the engine's close would count as possibly executed
+            # Detects a close by the engine that has not been read yet. A request that is written after the
+            # close would count as possibly executed
             self.stream.read_available()
         return (
             len(self.attempts.open) < self.owner.streams_per_connection
@@ -111,7 +113,10 @@
             if now - self.last_used_at > self.owner.idle_timeout:
                 return False  # the engine may close it at any moment
             if self.responses.decoder.partial:
-                return False  # the next response would be appended to an incomplete frame of no attempt
+                # The incomplete frame belongs to no attempt in flight; it may be part of a late response to a
+                # cancelled one. If the engine never sends the rest of it, the next response would be decoded
+                # as that rest
+                return False
         is_established = self.state is ConnectionState.ESTABLISHED
         return not is_established or now < (self._response_deadline(SUSPECT_INTERVALS) or math.inf)
 
@@ -126,7 +131,7 @@
         self.attempts.add(attempt, self.last_used_at)
         if self.state is ConnectionState.ESTABLISHED:
             self.writer.write_waiting(self.stream)
-        self.task.wake()  # the response deadline of the attempt starts now
+        self.task.wake()  # so that the coroutine applies the attempt's response deadline, which starts now
 
     def withdraw(self, client_request_id: str) -> bool:
         """Remove an attempt if no byte of it was written; return whether this was the case."""
@@ -178,7 +183,10 @@
         entry.attempt.on_ended(outcome)
 
     def fail_malformed(self, client_request_id: str) -> None:
-        """End an attempt whose result is invalid or overdue, and retire, as later results may be as well."""
+        """End an attempt whose result is invalid or overdue, and retire.
+
+        Later results on the connection may be invalid or overdue as well.
+        """
         self._retire()
         self.finish(client_request_id, OutcomeCode.ERROR)
 
--- a/query_gateway/engine_protocol/liveness.py
+++ b/query_gateway/engine_protocol/liveness.py
@@ -24,7 +24,8 @@
     def __init__(self, now: float) -> None:
         """Start as if bytes had arrived at `now`."""
         self.last_received_at = now
-        self.last_frame_end_at = now  # when a frame was last completed, or none was incomplete
+        # When the last frame was completed, or later, when the first bytes of the next one arrived
+        self.last_frame_end_at = now
 
     def on_bytes(self, now: float, within_frame: bool) -> None:
         """Bytes have arrived; `within_frame`: they continue a frame that earlier bytes began."""
@@ -56,7 +57,7 @@
 
     @property
     def latest_response_start(self) -> float:
-        """The latest start time of an incomplete response that is overdue.
+        """Incomplete responses that started at or before this time are overdue.
 
         While bytes keep arriving `deadline` never passes, so a response that does not end needs this bound.
         """
--- a/query_gateway/engine_protocol/open_attempt.py
+++ b/query_gateway/engine_protocol/open_attempt.py
@@ -15,11 +15,11 @@
     )  # fmt: skip
 
     def __init__(self, attempt: AttemptHandle, client_request_id: str, assigned_at: float) -> None:
-        """`assigned_at` is when the connection got the attempt; it may still have been dialling."""
+        """`assigned_at` is when the connection got the attempt, possibly while it was still dialling."""
         self.attempt = attempt
         self.client_request_id = client_request_id
         self.assigned_at = assigned_at
-        self.request_sent = False  # completely, to the last byte
+        self.request_sent = False  # the kernel has accepted it to the last byte
         self.has_response = False  # the first response line, which contains page 0, has arrived
         self.page_count = 0
         self.pages: dict[int, bytes] = {}  # by page number
@@ -31,7 +31,7 @@
         self.attempt.on_written()
 
     def on_response_started(self, now: float) -> None:
-        """The response has begun."""
+        """The first response line has arrived at loop time `now`."""
         self.has_response = True
         self.response_started_at = self.last_page_at = now
 
--- a/query_gateway/engine_protocol/response_handler.py
+++ b/query_gateway/engine_protocol/response_handler.py
@@ -25,8 +25,8 @@
 OUTCOMES: Final = {
     frames.REFUSED: OutcomeCode.FULL,
     frames.ERROR: OutcomeCode.ERROR,
-    # The attempt was sent, but the engine declined it because its request had already ended. The code applies
-    # nevertheless: nothing ran, and the engine is not at fault
+    # The attempt was sent, but the engine declined it because its request had already ended. It still
+    # counts as `NOT_SENT`: nothing ran, and the engine is not at fault
     frames.STALE: OutcomeCode.NOT_SENT,
 }
 MAX_NUMBER_DIGITS: Final = 9
@@ -56,7 +56,7 @@
     def __init__(
         self, attempts: AttemptTable, liveness: ConnectionLiveness, connection: ResponseActions
     ) -> None:
-        """Handle the frames of one connection, whose commands are in `connection`."""
+        """Handle the frames of one connection; `connection` carries out the commands of this handler."""
         self.attempts = attempts
         self.liveness = liveness
         self.connection = connection
@@ -79,7 +79,7 @@
     def _handle(self, frame: frames.Frame) -> None:
         entry = self.attempts.open.get(frame.client_request_id)
         if entry is None:
-            return  # a late response to an attempt that was cancelled
+            return  # a late response to an attempt that has ended
         if frame.kind == frames.PROGRESS:
             self._on_progress(entry.attempt, frame)
         elif frame.kind == frames.OK:
--- a/query_gateway/http/connection.py
+++ b/query_gateway/http/connection.py
@@ -63,7 +63,10 @@
     """Transfers an idle connection to the successor in a hot upgrade."""
 
     def __call__(self, sock: socket.socket, peer: str, has_sent_request: bool, /) -> bool:
-        """Return whether the successor has accepted it; `has_sent_request`: it has had a complete request."""
+        """Return whether the successor has accepted it.
+
+        `has_sent_request`: a complete request has been read from the connection.
+        """
 
 
 class ConnectionContext(RequestContext, Protocol):
--- a/query_gateway/http/request_handler.py
+++ b/query_gateway/http/request_handler.py
@@ -50,7 +50,7 @@
         return self._has_left()
 
     def send_page(self, page: bytes, on_sent: Callable[[], None]) -> None:
-        """Never called: the engine client of this wire does not stream results."""
+        """Never called: the line protocol, by which this front's requests run, does not stream results."""
         raise NotImplementedError("the HTTP front does not support streamed results")
 
     def send_answer(self, answer: Answer) -> None:
--- a/query_gateway/http/server.py
+++ b/query_gateway/http/server.py
@@ -96,7 +96,10 @@
         return True
 
     def _eviction_candidate(self) -> HttpConnection | None:
-        """The oldest without a byte, else the longest idle, else the oldest with an incomplete first request.
+        """The connection to evict, or None.
+
+        It is the oldest from which no byte has arrived, else the one that has been idle longest, else the
+        oldest with an incomplete first request.
 
         The first two cases read what has arrived before they judge a connection, so that one whose request
         has arrived but has not been read is not evicted as inactive.
@@ -113,7 +116,7 @@
         return next(incomplete, None)
 
     def start_transfer(self, transfer: IdleTransfer | None) -> None:
-        """Transfer connections once they are idle; with None close them instead, as in a plain shutdown."""
+        """Transfer connections once they are idle; with None close them, as without a successor."""
         self.transfer = transfer
         if transfer is None:
             self.closing = True
--- a/query_gateway/net/arrival_watermark.py
+++ b/query_gateway/net/arrival_watermark.py
@@ -21,7 +21,8 @@
         self.backlogged: set[object] = set()  # listeners with connections that could not be accepted
         self._read_through = self._accepted_through = now
         self._undecoded: dict[object, float] = {}  # arrival times of requests that are read but not decoded
-        # Poll time of this turn; None if it was not awaited from its start, or was marked incomplete
+        # Poll time of this turn; None if the watermark was not awaited when the turn began, or the turn was
+        # marked incomplete
         self._complete_turn_polled_at: float | None = None
 
     @property
--- a/query_gateway/net/buffered_socket.py
+++ b/query_gateway/net/buffered_socket.py
@@ -38,7 +38,8 @@
         self.loop, self.sock, self.on_activity = loop, sock, on_activity
         self.inbox, self.outbox = bytearray(), Outbox()
         self.arrivals = ArrivalLog(waiting_since)
-        self._is_accepted = True  # a client's deadlines count from arrival, so arrival times are recorded
+        # Accepted, not dialled. Only then are arrival times recorded, from which a client's deadlines count
+        self._is_accepted = True
         self.bytes_consumed = 0  # bytes taken out of the inbox so far
         self._awaits_writable = False  # `try_write` wrote nothing, so `on_activity` is due once writable
         self.connected = True
@@ -55,7 +56,7 @@
         """Start reading an accepted connection."""
         self.loop.watch(self.sock, self.mask, self._ready)
         if self.arrivals.unread_since is not None:
-            # Only the bytes that are pending now have waited since then, not those that arrive later
+            # `unread_since` applies only to the bytes that are pending now, not to those that arrive later
             self.read_available()
             self.arrivals.unread_since = None
 
--- a/query_gateway/net/outbox.py
+++ b/query_gateway/net/outbox.py
@@ -5,12 +5,12 @@
 
 
 class _SentCallback(NamedTuple):
-    end_position: int  # in bytes ever queued; the callback is due once all up to it are sent
+    end_position: int  # in bytes ever queued; the callback is due once all bytes up to it are sent
     callback: Callable[[], None]
 
 
 class Outbox:
-    """Bytes in the order in which they are sent; false if there are none. Independent of the socket."""
+    """Unsent bytes in the order of sending; an empty outbox is falsy. Independent of the socket."""
 
     def __init__(self) -> None:
         """Start empty."""
