--- a/query_gateway/configuration/platform.py
+++ b/query_gateway/configuration/platform.py
@@ -60,7 +60,7 @@
     dial_timeout: float
     connection_idle_timeout: float
     max_open_requests: int
-    setting_paths: frozenset[str]  # the paths of all keys in the file; see `check_no_key_dropped`
+    setting_paths: frozenset[str]  # from `collect_key_paths`; see `check_no_key_dropped`
 
 
 def check_no_key_dropped(current: Configuration, new: Configuration) -> None:
--- a/query_gateway/configuration/settings_flattening.py
+++ b/query_gateway/configuration/settings_flattening.py
@@ -2,7 +2,8 @@
 
 from typing import Any
 
-# The endpoint list in the configuration. Its keys vary with each event, so they do not count as settings.
+# The endpoint list in the configuration. Its keys vary with each event, so `collect_key_paths` omits them,
+# and a reload may drop them (see `platform.check_no_key_dropped`)
 ENDPOINT_LIST_KEY = "known"
 
 
@@ -33,7 +34,10 @@
 
 
 def collect_key_paths(value: Any, path: str = "") -> frozenset[str]:
-    """The paths of all keys; for a list of objects, the keys that all of its objects have in common."""
+    """The paths of all keys, except those within the endpoint list.
+
+    Of a list of objects, the keys that all of its objects have in common are included.
+    """
     if isinstance(value, dict):
         by_path = {f"{path}.{key}" if path else str(key): inner for key, inner in value.items()}
         nested = (
--- a/query_gateway/discovery/endpoint_feed.py
+++ b/query_gateway/discovery/endpoint_feed.py
@@ -4,7 +4,7 @@
 
     IN_SEQUENCE --the service restarted its numbering--> RESYNCING --snapshot--> IN_SEQUENCE
 
-    position 0: an event is missing, so the next poll asks for a snapshot, in either state
+    In either state, position 0 means that an event is missing: the next poll asks for a snapshot.
 
 A restarted service may have older information than this process. While RESYNCING, endpoints that it reports
 as up are therefore checked against the tombstones.
--- a/query_gateway/discovery/watch_client.py
+++ b/query_gateway/discovery/watch_client.py
@@ -133,8 +133,9 @@
     def _poll(self, connection: PollConnection) -> Generator[float | None, None, Reason | None]:
         """Poll once; return the reason why the connection must end, or None."""
         position, polled_at = self.position, self.loop.now()
-        # A service that restarted its numbering while it was not connected may have passed our position. Its
-        # answer would then seem to continue the events received, but the list would lack its earlier events.
+        # A service that restarted its numbering while the connection was lost may have passed our position in
+        # the new numbering. Its answer would then seem to continue the events received, but the list would
+        # lack the earlier events of the new numbering.
         # So after a lost connection, the poll asks again for the event at our position; a different event
         # there reveals the restart.
         verifies_newest = self._connection_lost and position > 0
--- a/query_gateway/http/end_reasons.py
+++ b/query_gateway/http/end_reasons.py
@@ -1,4 +1,4 @@
-"""Reason codes for the end of a client connection, as far as the front itself decides to close it.
+"""Reason codes for client connections that end between two requests or after a response.
 
 If a connection fails while a request is being read or handled, `h11_request` and `request_handler` return the
 reason instead. `docs/on-call.md` documents what an operator should do about each code.
--- a/query_gateway/net/listener.py
+++ b/query_gateway/net/listener.py
@@ -95,7 +95,7 @@
 
     @property
     def closed(self) -> bool:
-        """Whether nothing is accepted any more, unless another process ends and this one resumes."""
+        """Whether the listener has stopped accepting, for good or until a released one resumes."""
         return self.state in (ListenerState.RELEASED, ListenerState.CLOSED)
 
     @property
