--- a/query_gateway/model/actions.py
+++ b/query_gateway/model/actions.py
@@ -1,18 +1,21 @@
-"""Actions that the scheduler requests from its host. Durations are in nanoseconds."""
+"""Actions that the scheduler returns, for the planner, the forwarder or the simulator to carry out.
+
+Durations are in nanoseconds.
+"""
 
 from dataclasses import dataclass, field
 from enum import Enum
 
 
 class EndReason(Enum):
-    """Why a planner ends a request. The values are written to the trace only."""
+    """Why a planner ends a request. The values appear in the trace and in messages to the forwarder."""
 
     UNKNOWN = "unknown"
-    LATE = "late"  # it cannot be answered before it is due
+    LATE = "late"  # the request is not expected to be answered before it is due
     CLIENT_TIMEOUT = "client-timeout"  # its client is about to time out
     TOO_MANY_QUEUED = "too-many-queued"  # the queue would take the connections that new clients need
     OVER_QUOTA = "over-quota"  # its tenant is over quota and the engine is saturated
-    ENDANGERS_OTHERS = "endangers-others"  # it would make queries of more priority weight than its own late
+    ENDANGERS_OTHERS = "endangers-others"  # it would make queries with a larger total priority weight late
     NO_FURTHER_ATTEMPT = (
         "no-further-attempt"  # the last attempt failed, and a retry is not allowed or would be late
     )
@@ -58,7 +61,7 @@
     """Set the memory grant and priority of the next `Forward`, or the priority of an attempt in flight."""
 
     request_id: int
-    memory_mb: float  # 0: no grant, or unchanged
+    memory_mb: float  # 0: no grant; for an attempt in flight: unchanged
     priority: int  # 0 is the lowest
 
 
--- a/query_gateway/model/averages.py
+++ b/query_gateway/model/averages.py
@@ -13,7 +13,7 @@
     count: int = 0
 
     def add(self, sample: float, weight: float) -> None:
-        """Add a sample with the larger of `weight` and `1 / count`, its weight in an unweighted mean."""
+        """Add a sample; it weighs `1 / count`, as in an unweighted mean, but at least `weight`."""
         self.count += 1
         sample_weight = max(weight, 1 / self.count)
         difference = sample - self.value
@@ -44,6 +44,6 @@
         return self.weight * math.exp(-(now - self.updated_at) / decay)
 
     def mean(self, now: int, decay: float, prior: float, prior_weight: float) -> float:
-        """The average at a clock time, shrunk towards a prior of weight `prior_weight`."""
+        """The average at a clock time, shrunk towards `prior`, which counts as `prior_weight` new samples."""
         factor = math.exp(-(now - self.updated_at) / decay)
         return (self.total * factor + prior * prior_weight) / (self.weight * factor + prior_weight)
--- a/query_gateway/model/budgets.py
+++ b/query_gateway/model/budgets.py
@@ -26,7 +26,7 @@
 
 @dataclass(slots=True)
 class RetryBudget:
-    """Clock times (nanoseconds) of the requests and retries within a sliding window."""
+    """Clock times (nanoseconds) of requests and retries; `policy.retry_budget` limits the retries by them."""
 
     requests: deque[int] = field(default_factory=deque)
     retries: deque[int] = field(default_factory=deque)
--- a/query_gateway/model/costs.py
+++ b/query_gateway/model/costs.py
@@ -15,7 +15,7 @@
 
 @dataclass(slots=True)
 class CostTotals:
-    """Decayed sums of priority weight, all updated at the same time."""
+    """Decayed sums of priority weight, updated together, so that their ratios hold between updates."""
 
     requested: DecayedAverage = field(default_factory=DecayedAverage)
     rejected: DecayedAverage = field(default_factory=DecayedAverage)
--- a/query_gateway/model/endpoints.py
+++ b/query_gateway/model/endpoints.py
@@ -5,7 +5,10 @@
 
 
 class EndpointState(Enum):
-    """Whether an endpoint accepts queries. The values are written on the IPC."""
+    """Whether an endpoint accepts queries.
+
+    The values are part of the messages between forwarders and planners in separate processes.
+    """
 
     UP = "up"
     DRAINING = "draining"
@@ -13,12 +16,15 @@
 
 
 class EndpointUpdateKind(Enum):
-    """The kind of an update of the endpoint list. The values are written on the IPC."""
+    """The kind of an update of the endpoint list; a snapshot replaces the list, a delta lists the changes.
+
+    The values are part of the messages between forwarders and planners in separate processes.
+    """
 
     DELTA = "changes"
     SNAPSHOT = "full"
-    CACHED = "cached"
-    FAILED = "failed"
+    CACHED = "cached"  # applied like a snapshot
+    FAILED = "failed"  # the watch of the list has failed; the update has no entries
 
 
 @dataclass(slots=True, frozen=True)
@@ -28,7 +34,7 @@
     name: str
     state: EndpointState
     zone: int
-    kind: int  # index into the lists by kind of `Settings`
+    kind: int  # index into `Settings.cores_by_kind` and `memory_mb_by_kind`
     group: int  # the cell in which idempotency keys are deduplicated
-    started_at: int  # clock time, nanoseconds; 0: unknown
-    size: float  # relative to others of its kind
+    started_at: int  # start of the engine process; 0: unknown
+    size: float  # relative to others of its kind; no decision uses it
--- a/query_gateway/model/estimates.py
+++ b/query_gateway/model/estimates.py
@@ -14,7 +14,7 @@
 
     trusted_progress: float  # share of the work done beyond which progress predicts the end
     extrapolation_start: float  # age, as a share of the expected run time, from which age predicts the rest
-    extrapolation_ratio: float  # remaining time as a share of the age, from there on
+    extrapolation_ratio: float  # from `extrapolation_start` on: remaining time as a share of the age
 
     def remaining_time(self, attempt: AttemptState, now: int) -> float:
         """Expected nanoseconds until an attempt ends."""
@@ -36,7 +36,7 @@
         return forecast_completions(ends, now, now + 1 + lifetime * len(ends))
 
     def lock_wait(self, engine: EngineState, query: QueryState, now: int) -> float:
-        """Expected nanoseconds until this gateway's other loads of the table group end at the engine."""
+        """Expected nanoseconds until this gateway's other loads of the table group, one by one, end there."""
         if query.request.table_group is None:
             return 0.0
         return math.fsum(
--- a/query_gateway/model/events.py
+++ b/query_gateway/model/events.py
@@ -6,7 +6,8 @@
 from query_gateway.model.endpoints import EndpointInfo, EndpointUpdateKind
 from query_gateway.model.settings import Settings
 
-# Attempt number of an outcome that denotes the last attempt: the exchange that counts the attempts has ended
+# Attempt number in an outcome if the forwarder's exchange, which numbers the attempts, has already ended.
+# It denotes the last attempt of the request; the planner process replaces it with the actual number.
 LAST_ATTEMPT = -1
 
 
@@ -15,7 +16,7 @@
 
     OK = "ok"
     ERROR = "error"
-    FULL = "full"
+    FULL = "full"  # the engine refused the attempt for lack of capacity
     TIMEOUT = "timeout"
     CONNECT_FAILED = "connect_failed"
     RESET = "reset"
@@ -25,7 +26,7 @@
 
 
 class ProgressKind(Enum):
-    """The kind of a progress note, which defines `ProgressNote.level`."""
+    """What a progress note reports, and thus what its `level` measures."""
 
     PROGRESS = 1
     SPILLING = 2
@@ -34,7 +35,7 @@
 
 @dataclass(slots=True, frozen=True)
 class EndpointUpdate:
-    """A snapshot or a delta of the endpoint list."""
+    """A snapshot or a delta of the endpoint list, or the failure of the watch of the list."""
 
     kind: EndpointUpdateKind
     endpoints: tuple[EndpointInfo, ...]
@@ -53,15 +54,15 @@
     estimated_work: int | None  # processor time over all threads, nanoseconds
     estimated_memory_mb: float
     is_retry: bool  # as marked by the client
-    received_at: int = 0  # clock time of arrival, set only for requests with a key; 0: unknown
+    received_at: int = 0  # clock time of arrival, which orders the requests of a key; 0: unknown
 
 
 @dataclass(slots=True, frozen=True)
 class SettingsUpdate:
-    """New settings take effect; open requests keep the settings under which they arrived."""
+    """New settings take effect; open requests keep the class settings and attempt limit of their arrival."""
 
     settings: Settings
-    new_classes: tuple[int, ...]  # indexes that now denote a class without learned state
+    new_classes: tuple[int, ...]  # indexes that now denote another class, which has no learned state yet
 
 
 @dataclass(slots=True, frozen=True)
@@ -78,7 +79,7 @@
     """An attempt has ended."""
 
     request_id: int
-    final: bool  # the client has been answered
+    final: bool  # the client has been answered or has disconnected
     code: OutcomeCode
     duration: int  # nanoseconds
     attempt_number: int
@@ -96,7 +97,7 @@
     attempt_number: int
     endpoint: str
     kind: ProgressKind
-    level: float  # share of the work done, or MB spilled
+    level: float  # PROGRESS: share of the work done; SPILLING: MB spilled; WAITING: not used
 
 
 @dataclass(slots=True, frozen=True)
--- a/query_gateway/model/fleet.py
+++ b/query_gateway/model/fleet.py
@@ -1,7 +1,7 @@
 """State that a scheduler keeps about all engines. Times are clock times in nanoseconds.
 
-`policy.fleet_snapshot` refreshes `FleetSnapshot` and the `EngineSnapshot` of each engine together; all other
-fields are updated as events arrive.
+`policy.fleet_snapshot` refreshes `FleetSnapshot`, `Fleet.mean_threads_in_use` and the `EngineSnapshot` of
+each engine together; all other fields are updated as events arrive.
 """
 
 from dataclasses import dataclass, field
@@ -18,11 +18,12 @@
     up: list[EngineState] = field(default_factory=list)
     engines_in_slow_start: list[EngineState] = field(default_factory=list)  # a subset of `up`
     all_ejected: bool = False  # every engine that is up is ejected
-    cores: float = 1.0  # of the engines that are up, not ejected and past slow start
+    # Of the engines that are up and past slow start, without ejected ones unless all are ejected; 1 if none
+    cores: float = 1.0
     load: float = 0.0  # decayed mean of the load reports; without any, estimated from this gateway's threads
     slowdown: float = 0.0  # decayed mean of log(run time / uncontended run time) over all samples
-    median_slowdown: float = 0.0  # over the engines past slow start
-    congestion: float = 1.0  # divisor of this gateway's capacity
+    median_slowdown: float = 0.0  # median log slowdown of the engines that are up and past slow start
+    congestion: float = 1.0  # divisor of this gateway's thread limit over all engines
     answer_interval: float = 0.0  # mean time between two answers of one engine
 
 
@@ -32,6 +33,6 @@
 
     engines: dict[str, EngineState] = field(default_factory=dict)  # by name
     mean_threads_in_use: float = 0.0  # of this gateway; decayed mean
-    slowdown_samples: DecayedAverage = field(default_factory=DecayedAverage)  # of `FleetSnapshot.slowdown`
-    load_reports: DecayedAverage = field(default_factory=DecayedAverage)  # busy share of the cores
+    slowdown_samples: DecayedAverage = field(default_factory=DecayedAverage)  # log slowdowns
+    load_reports: DecayedAverage = field(default_factory=DecayedAverage)  # reported busy shares of the cores
     snapshot: FleetSnapshot = field(default_factory=FleetSnapshot)
--- a/query_gateway/model/forecasts.py
+++ b/query_gateway/model/forecasts.py
@@ -1,4 +1,7 @@
-"""Forecasts over attempts in flight and queued queries. Each is built once and reused for a short time."""
+"""Forecast of the ends of the attempts in flight, and sums of the threads of queued queries.
+
+Long ones are costly to build and are therefore reused until their `valid_until`.
+"""
 
 from bisect import bisect_left
 from dataclasses import dataclass
@@ -41,7 +44,7 @@
     ) -> float:
         """Nanoseconds until enough attempts have ended to free `needed` threads.
 
-        `threads_in_use` is the current number; it corrects for the threads that started or ended since the
+        `threads_in_use` is the current number, which corrects for the threads that started or ended since the
         forecast was built. After the last forecast end, `limit` threads are assumed to be freed in each
         further `run_time` nanoseconds.
         """
@@ -63,7 +66,7 @@
 
 @dataclass(slots=True)
 class QueuedThreadIndex:
-    """Prefix sums of the threads of short and of long classes in a long queue."""
+    """Prefix sums over a long queue: the threads of queries of short classes, and of long ones."""
 
     valid_until: int  # clock time, nanoseconds
     places: list[QueuePlace]  # ascending
--- a/query_gateway/model/gossip.py
+++ b/query_gateway/model/gossip.py
@@ -1,4 +1,4 @@
-"""Request counts by tenant: counted by this gateway and reported by its peers."""
+"""Request counts by tenant: those that this gateway counts itself, and those that its peers report."""
 
 import math
 from dataclasses import dataclass, field
@@ -24,7 +24,10 @@
     reports: dict[int, PeerReport] = field(default_factory=dict)
 
     def local_requests(self, tenant: int, now: int, lifetime: int, observed: int) -> float:
-        """Requests of a tenant at this gateway within `lifetime`, extrapolated if `observed` is shorter."""
+        """Requests of a tenant at this gateway within `lifetime`, extrapolated if `observed` is shorter.
+
+        `observed` is how long this gateway has counted. Both are in nanoseconds.
+        """
         covered = 1 - math.exp(-observed / lifetime)
         return self.counts[tenant].weight_at(now, lifetime) / covered
 
@@ -36,7 +39,10 @@
     def extrapolated_peer_requests(
         self, tenant: int, now: int, lifetime: int, peers: int, reporting: float
     ) -> float:
-        """Peer requests extrapolated to all peers, of which at most `reporting` report within `lifetime`."""
+        """Requests of a tenant at all `peers`, extrapolated from the reports of some of them.
+
+        `reporting` is the number of reports that this gateway expects within `lifetime` nanoseconds.
+        """
         return self.peer_requests(tenant, now, lifetime) * peers / max(1, min(peers, reporting))
 
     def message(self, now: int, lifetime: int, observed: int) -> str:
--- a/query_gateway/model/key_queues.py
+++ b/query_gateway/model/key_queues.py
@@ -7,7 +7,7 @@
 
 @dataclass(slots=True)
 class KeyQueues:
-    """A FIFO queue for each key of a class whose queries run one at a time per key.
+    """A FIFO queue for each key, with the queries of the classes that run one at a time per key.
 
     Entries of `quarantined_until` stay after they expire; the next quarantine of the key overwrites them.
     """
--- a/query_gateway/model/learning.py
+++ b/query_gateway/model/learning.py
@@ -24,9 +24,11 @@
     # Weight of the prior of a decayed mean, in samples; the fleet's slowdown is the prior of an engine's
     prior_samples: float
     sample_weight: float  # minimum weight of a new sample in a class mean
-    learned_samples: int  # samples at which a learned deviation weighs as much as the prior one
-    min_log_slowdown: float  # bounds of one log slowdown sample
-    max_log_slowdown: float
+    # Samples from which the estimates of a class are trusted; its learned deviation then weighs as much as
+    # the prior one
+    learned_samples: int
+    min_log_slowdown: float  # lower bound of one log slowdown sample
+    max_log_slowdown: float  # upper bound of one log slowdown sample
     max_class_slowdown: float  # upper bound of one sample in the mean of its class
     full_threads_per_core: float  # reported threads per core at which an engine is fully loaded
     max_uncontended_load: float  # busy share of the cores up to which a run is uncontended
@@ -61,8 +63,8 @@
         """
         request_class = query.request_class
         # If answers do not report the measured work, run times on engines that are not fully loaded replace
-        # it. Otherwise a class whose estimates are all too low would raise the slowdown of its engines, and
-        # they would count as saturated.
+        # it. Without this, a class whose estimates are all too low would raise the slowdown of its engines,
+        # and they would count as saturated.
         infers_work = engine.snapshot.load <= self.max_uncontended_load
         uncontended = not is_saturated or request_class.work.count < self.learned_samples
         slowdown = self._learn_class(query, outcome, infers_work, uncontended)
@@ -73,8 +75,8 @@
     ) -> float:
         """Update the class means with a query's work, memory and run time; return its slowdown.
 
-        With `infers_work`, the run time replaces a measured work that is not reported. Without
-        `uncontended`, only a measured or estimated work is added to the mean work.
+        With `infers_work`, the error of the estimate is learned from the run time if the answer reports no
+        work. Without `uncontended`, only measured or estimated work is added to the mean work.
         """
         request_class, weight = query.request_class, self.sample_weight
         threads, estimate = request_class.settings.threads, query.request.estimated_work
@@ -97,9 +99,9 @@
         return run_time / max(1.0, expected)
 
     def learn_from_progress(self, state: SchedulerState, attempt: AttemptState, progress: float) -> None:
-        """Learn the slowdown from the first progress note, if this gateway sends the engine few queries.
+        """Learn the slowdown from the first progress note, if this gateway's share is below one core.
 
-        With few queries of one gateway at an engine, the short runs end first. Learned from answers alone,
+        With few queries of this gateway at an engine, the short runs end first. Learned from answers alone,
         the engine would appear fast until its slow runs end, and would be sent more queries until then.
         """
         engine, query = attempt.engine, attempt.query
@@ -130,8 +132,8 @@
     def class_slowdown(self, state: SchedulerState, request_class: ClassState) -> float:
         """The slowdown of a class; without answers, the slowdown of the fleet.
 
-        It decays without new answers: a class that is rejected because of past congestion gets no answers
-        that would show the end of the congestion.
+        Without new answers it decays towards the slowdown of the fleet: a class that is rejected because of
+        past congestion gets no answers that would show the end of the congestion.
         """
         prior = math.exp(state.fleet.snapshot.slowdown)
         return request_class.slowdown.mean(state.now, self.slowdown_decay_ns, prior, self.prior_samples)
--- a/query_gateway/model/records.py
+++ b/query_gateway/model/records.py
@@ -41,9 +41,9 @@
     engine: "EngineState"
     sent_at: int
     last_note_at: int  # time of the last progress note, or of the send
-    is_long: bool  # length of its class when the attempt was sent
+    is_long: bool  # whether its class was long when the attempt was sent
     progress: float = 0.0  # share of the work done, by the last progress note
-    progress_at: int = 0  # time of that note
+    progress_at: int = 0  # time of that note; 0: none
     cancelled: bool = False
     lost: bool = False  # presumed lost: its threads no longer count as in use
 
@@ -76,27 +76,27 @@
     max_attempts: int  # limit in force at its arrival
     attempt_count: int = 0
     in_flight: list[AttemptState] = field(default_factory=list)
-    executed: list[ExecutedAttempt] = field(default_factory=list)
+    executed: list[ExecutedAttempt] = field(default_factory=list)  # in the order in which they ended
     failed_at: list["EngineState"] = field(default_factory=list)  # engines at which an attempt ended in error
     queued_at: "EngineState | None" = None
     start_at: float = 0.0  # expected start, estimated at admission
     ended: bool = False
-    restarts: int = 0  # attempts cancelled to run again, except from ejected or removed engines
+    restarts: int = 0  # attempts cancelled to run again, other than from ejected or removed engines
     priority: int = -1  # last priority sent to the engine; -1: none yet
 
     @property
     def settings(self) -> ClassSettings:
-        """The settings of its class at its arrival."""
+        """The class settings that were in force when the query arrived."""
         return self.request_class.settings
 
     @property
     def is_idempotent(self) -> bool:
-        """Whether it may safely run more than once."""
+        """Whether the query may safely run more than once, without an idempotency key."""
         return self.request_class.settings.idempotency is Idempotency.IDEMPOTENT
 
     @property
     def is_key_ordered(self) -> bool:
-        """Whether it is subject to per-key ordering: queries of its key run one at a time."""
+        """Whether per-key ordering applies to the query: queries of its key run one at a time."""
         return self.request_class.settings.ordered_by_key and self.request.key is not None
 
     @property
@@ -125,7 +125,10 @@
 
 @dataclass(slots=True, eq=False)
 class DeadlineQueue:
-    """Queries sorted by deadline, with a cached index of their threads."""
+    """Queries sorted by deadline.
+
+    `index` caches sums of the threads queued before each place, for `threads_before` in a long queue.
+    """
 
     entries: list[QueueEntry] = field(default_factory=list)
     index: QueuedThreadIndex | None = None
@@ -139,7 +142,7 @@
         self.entries.remove(QueueEntry(query.place, query))
 
     def threads_before(self, query: QueryState, now: int, exact_length: int, index_age: int) -> int:
-        """Threads queued before a query, by classes of the same length (short or long).
+        """Threads of the queries before a query in the queue, of classes of the same length (short or long).
 
         For a queue longer than `exact_length` the result comes from a cached index, which is rebuilt after
         `index_age` nanoseconds per entry or when the queue length has changed by more than an eighth.
@@ -194,9 +197,9 @@
 
     slowdown: float = 0.0  # log(run time / uncontended run time)
     load: float = 0.0  # busy share of its cores, by queries of all gateways
-    load_of_others: float = 0.0  # threads of other gateways per core
+    load_of_others: float = 0.0  # estimated part of `load` that is due to other gateways
     saturated: bool = False
-    saturation_threads: float = 0.0  # threads of this gateway at which it counts as saturated
+    saturation_threads: float = 0.0  # threads of this gateway at which the engine is saturated
     penalty: float = 1.0  # expected run time relative to a healthy engine; also updated at each fault
     in_slow_start: bool = False
 
@@ -214,9 +217,11 @@
     # Queries in flight and queued
     workload: Workload = field(default_factory=Workload)
     in_flight: dict[AttemptKey, AttemptState] = field(default_factory=dict)
-    table_locks: dict[float, list[AttemptState]] = field(default_factory=dict)  # by table group
-    warm_table_groups: list[float] = field(default_factory=list)  # least recently used first
-    takes_loads_of: dict[float, bool] = field(default_factory=dict)  # by table group
+    table_locks: dict[float, list[AttemptState]] = field(default_factory=dict)  # loads, by table group
+    # Table groups whose data the cache of the engine is assumed to hold, least recently used first
+    warm_table_groups: list[float] = field(default_factory=list)
+    # Cached results of `policy.load_placement.takes_loads`, by table group
+    takes_loads_of: dict[float, bool] = field(default_factory=dict)
     # Speed and health
     log_slowdown: DecayedAverage = field(default_factory=DecayedAverage)
     reported_load: float = 0.0  # busy share of its cores, from its last load report
@@ -224,10 +229,11 @@
     fault_rate: float = 0.0  # decayed share of attempts that ended in error
     last_received_at: int = 0  # time of the last answer or progress note
     ejected_until: int = 0
-    ejection_time: int = 0  # duration of the last ejection
+    ejection_time: int = 0  # duration of the last ejection, without jitter; 0 after probation or a restart
     on_probation: bool = False
     probation_since: int = 0
-    unreachable: bool = False  # connections fail, and nothing has been received for a long time
+    # A connection failed when nothing had been received for longer than a brief pause (`policy.unresponsive`)
+    unreachable: bool = False
     # Start of the engine process
     started_at: int = 0
     start_known_at: int = 0  # when this gateway learned of that start
@@ -235,11 +241,11 @@
 
     @property
     def is_up(self) -> bool:
-        """Whether the endpoint list has it as up: not draining and not removed."""
+        """Whether the endpoint list has the engine as up: not draining and not removed."""
         return self.listed and self.info.state is EndpointState.UP
 
     def is_ejected(self, now: int) -> bool:
-        """Whether it is ejected at clock time `now`."""
+        """Whether the engine is ejected at clock time `now`."""
         return now < self.ejected_until
 
     def record_send(self, request_class: ClassState, now: int, lifetime: int) -> None:
@@ -249,7 +255,7 @@
             self.recent_sends.popleft()
 
     def record_table_group(self, table_group: float | None, limit: int) -> None:
-        """Record the table group read last; the `limit` most recently read ones are kept."""
+        """Record the table group of a query sent here; the `limit` most recent table groups are kept."""
         if table_group is not None:
             other_groups = [group for group in self.warm_table_groups if group != table_group]
             self.warm_table_groups = [*other_groups, table_group][-limit:]
--- a/query_gateway/model/request_classes.py
+++ b/query_gateway/model/request_classes.py
@@ -25,7 +25,7 @@
     run_time_error: RunningMean = field(default_factory=RunningMean)  # log(run time / expected run time)
     is_long: bool = False  # as of the last fleet snapshot
     work_share: float = 1.0  # share of the work of all classes, as of the last fleet snapshot
-    longest_timeout: int = 0  # longest client timeout of a request that is not a retry
+    longest_timeout: int = 0  # longest time from arrival to deadline of a request that is not a retry
 
     def with_settings(self, settings: ClassSettings) -> "ClassState":
         """A copy with new settings. It shares its means with the old record, which open queries still use."""
@@ -47,10 +47,10 @@
         self.prior_work = prior_work
         self.classes: list[ClassState] = []
         self.has_lock_conflicts = False  # some class locks tables and some class waits for locks
-        self.threads_per_query = 1.0  # mean over the queries in flight, as of the last fleet snapshot
+        self.threads_per_query = 1.0  # estimated mean over queries in flight, as of the last fleet snapshot
 
     def __len__(self) -> int:
-        """The number of classes."""
+        """The number of classes, which is also the first index that is not in use."""
         return len(self.classes)
 
     def __getitem__(self, index: int) -> ClassState:
--- a/query_gateway/model/settings.py
+++ b/query_gateway/model/settings.py
@@ -8,7 +8,10 @@
 
 
 class Idempotency(Enum):
-    """Whether a query may safely run more than once. The values are written on the IPC."""
+    """Whether a query may safely run more than once: always, only with an idempotency key, or never.
+
+    The values are part of the messages between forwarders and planners in separate processes.
+    """
 
     IDEMPOTENT = "safe"
     KEYED = "keyed"
@@ -36,13 +39,13 @@
     """The settings of one class of queries."""
 
     latency_objective: int  # nanoseconds
-    objective_per_run_time: float  # added to the latency objective, in run times
+    objective_per_run_time: float  # expected uncontended run times added to the latency objective
     timeout: int  # nanoseconds until clients time out
     priority_weight: float  # value of an answer in time, relative to other classes
     late_weight: float  # value of a late answer, as a share of the priority weight
     idempotency: Idempotency
     deduplication_scope: DeduplicationScope
-    deduplication_window: int  # nanoseconds
+    deduplication_window: int  # nanoseconds for which an engine drops duplicates of an idempotency key
     threads: int  # per query
     locks_tables: bool
     waits_for_locks: bool
@@ -85,8 +88,8 @@
     cross_zone_cost: float
     slow_start_initial_capacity: float  # share of its capacity with which an engine starts
     slow_start_window: int  # nanoseconds
-    # Work sent within an overload window, relative to the engine's present capacity, above which it fails;
-    # 0: no slow start
+    # Work sent within an overload window, as a multiple of what the engine can do in it at its present
+    # capacity, above which the engine fails; 0: no slow start
     slow_start_overload_factor: float
     slow_start_overload_window: int  # nanoseconds
     key_quarantine: int  # nanoseconds
@@ -94,7 +97,7 @@
     retry_allowance: float | None
     retries_per_request: float
     retry_window: int  # nanoseconds
-    slow_start_share: float = 1.0  # share of one instance's slow-start sends that this process may make
+    slow_start_share: float = 1.0  # of one instance's slow-start sends; below 1 during a hot upgrade
     max_client_connections: int = 0  # limit of open client connections; 0: unknown
     # Nanoseconds added to the run time after which an attempt is overdue, for connects and network pauses
     extra_run_time: int = 0
--- a/query_gateway/model/state.py
+++ b/query_gateway/model/state.py
@@ -1,7 +1,7 @@
 """The state shared by the modules of `policy`: one `SchedulerState` per scheduler, passed to each function.
 
-Its parts, and the modules that modify them besides the methods here (`learning` is in `model`, the others are
-in `policy`):
+Its parts, and the modules that modify them most besides the methods here (`learning` is in `model`, the
+others are in `policy`):
 
     classes         learning, class_lengths           settings and learned state of each class
     queries         admission, answers                requests that are open or have attempts in flight
@@ -69,7 +69,10 @@
 
 @dataclass(slots=True)
 class FleetShareState:
-    """State for rounding this gateway's share of the fleet."""
+    """State for rounding this gateway's share of the fleet to a whole number of queries.
+
+    The share is rounded up or down at random, with a new draw in each period (`policy.capacity`).
+    """
 
     phase: float  # random offset of this gateway's periods from those of other gateways, in periods
     rounding: PeriodicFraction = field(default_factory=PeriodicFraction)
@@ -108,7 +111,7 @@
 
 
 class SchedulerState:
-    """The complete state of a scheduler. Only `policy` and the restoring of learned state modify it."""
+    """The complete state of a scheduler. Only `policy` and `planner.learned_state` modify it."""
 
     def __init__(self, settings: Settings, random: Random, prior_work: float) -> None:
         """Start without engines and queries.
--- a/query_gateway/model/workload.py
+++ b/query_gateway/model/workload.py
@@ -1,4 +1,4 @@
-"""Threads in use and completion forecasts by class length (short or long); parts of a `Workload`."""
+"""Threads in use and completion forecasts by class length (short or long); parts of `records.Workload`."""
 
 from dataclasses import dataclass
 
--- a/query_gateway/policy/answers.py
+++ b/query_gateway/policy/answers.py
@@ -1,6 +1,6 @@
 """Ends queries: rejects those that a client may safely retry, fails the others, and records abandoned ones.
 
-    no attempt may have run, or a second run has no further effect     Reject: the client may retry
+    no attempt can have run, or a second run has no further effect     Reject: the client may retry
     otherwise                                                          Fail: the request may have run
 
 `repetition` decides between the two. Attempts that are still in flight are cancelled where the site allows
@@ -17,7 +17,7 @@
 from query_gateway.policy.controller import record_cost
 from query_gateway.policy.repetition import may_be_rejected
 
-MIN_RETRY_AFTER_NS: Final = 100 * MS  # the timer period; a shorter wait would lead to the same decision
+MIN_RETRY_AFTER_NS: Final = 100 * MS  # the scheduler's timer period; an earlier retry would be decided alike
 
 
 def give_up(state: SchedulerState, query: QueryState, reason: EndReason, start_delay: float = 0.0) -> None:
@@ -46,7 +46,7 @@
 
 
 def _record_cost(state: SchedulerState, query: QueryState, late: bool) -> None:
-    """Record a query that was given up, as late or rejected; a retry was counted with its first request."""
+    """Count a given-up query as late or rejected, except a client's retry: its first request was counted."""
     if not query.request.is_retry:
         weight = query.priority_weight
         record_cost(state, 0.0, 0.0 if late else weight, weight if late else 0.0)
--- a/query_gateway/policy/attempt_terms.py
+++ b/query_gateway/policy/attempt_terms.py
@@ -12,7 +12,9 @@
 from query_gateway.model.settings import MemoryShortage
 from query_gateway.model.state import SchedulerState
 
-MEMORY_MARGIN: Final = 1.15  # factor on the corrected estimate, where a grant takes memory from other queries
+# Factor on the corrected estimate for a grant that takes memory from other queries, as it does unless the
+# site's engines behave as `MemoryShortage.PAGE`
+MEMORY_MARGIN: Final = 1.15
 LATE_PRIORITY: Final = 0
 LONG_PRIORITY: Final = 1
 SHORT_PRIORITY: Final = 3
@@ -32,7 +34,8 @@
 def priority(state: SchedulerState, query: QueryState) -> int:
     """Priority of a query at its engine.
 
-    Loads get the priority of short queries, as others wait for the tables that they lock and for their key.
+    Loads get the priority of short queries, as other queries wait for the tables that a load locks and for
+    its key.
     """
     if state.now >= query.due_at:
         return LATE_PRIORITY
--- a/query_gateway/policy/attempts.py
+++ b/query_gateway/policy/attempts.py
@@ -5,7 +5,7 @@
          --other outcome, no attempt in flight------------> admitted again if a further attempt is allowed and
                                                             in time (`attempt_guard`), else given up
 
-An outcome also updates the health of the engine (`outliers`) and the estimates of its class
+An outcome also updates the health of the engine (`outliers`) and the estimates of the query's class
 (`fleet_estimator`), and may start a key quarantine (`key_quarantine`).
 """
 
--- a/query_gateway/policy/capacity.py
+++ b/query_gateway/policy/capacity.py
@@ -2,8 +2,8 @@
 
     engine on probation with a query in flight     no capacity (`probation`)
     engine not saturated, or query ordered by key  capacity, without a limit
-    engine saturated                               within the concurrency limit of the class there, and within
-                                                   this gateway's share of the fleet
+    engine saturated                               within the concurrency limit of the class there and, unless
+                                                   in slow start, within this gateway's share of the fleet
 
 The thread limit of a class is derived from its share of the cores (UNIT, section 2.3; cited in `scheduler`).
 Each gateway may have one short and one long query at every engine, even if its share of the cores is smaller
@@ -35,7 +35,7 @@
 
 
 def concurrency_limit(state: SchedulerState, cores: float, request_class: ClassState) -> float:
-    """Threads that a class may use at an engine with `cores`: its share, but at least one query."""
+    """Threads that a class may use at an engine with `cores`: its share, but enough for one query."""
     return max(float(request_class.settings.threads), class_share(state, cores, request_class))
 
 
--- a/query_gateway/policy/controller.py
+++ b/query_gateway/policy/controller.py
@@ -1,7 +1,7 @@
 """Controller of the lag ratio (UNIT, section 3.2): balances rejections against late answers.
 
     more weight late than rejected     lag ratio multiplied by `LAG_RATIO_STEP`: stricter admission
-    more weight rejected than late     lag ratio divided by it: more permissive admission
+    more weight rejected than late     lag ratio divided by the step: more permissive admission
     both at most `COST_FLOOR`          no step
 
 Input: decayed sums of the priority weight that was requested, rejected and late. The metric is the share of
@@ -17,9 +17,11 @@
 from query_gateway.policy import tenants
 
 CONTROL_PERIOD_NS: Final = 1 * SEC
-METRIC_DROP: Final = 0.01  # a larger fall of the metric triggers a step before the period is over
+METRIC_DROP: Final = 0.01  # a larger fall of the metric triggers a check before the period is over
 LAG_RATIO_STEP: Final = 1.1  # factor by which one step raises or lowers the lag ratio
-MIN_LAG_RATIO: Final = 0.25  # outside this range the ratio would admit either everything or nothing
+# Bounds of the lag ratio: below them, admission would almost ignore the start delay; above them, it would
+# reject almost every query that has to wait
+MIN_LAG_RATIO: Final = 0.25
 MAX_LAG_RATIO: Final = 4.0
 COST_FLOOR: Final = 0.02  # share of the requested weight; differences between smaller costs are noise
 COST_DECAY_NS: Final = 10 * SEC  # decay time of the weight sums: several control periods
@@ -31,7 +33,7 @@
 
 
 def adjust_lag_ratio(state: SchedulerState) -> None:
-    """Step the lag ratio and send gossip if a control period has passed or the metric fell."""
+    """Step the lag ratio and send gossip if a control period has passed or the metric fell sharply."""
     controller, costs = state.controller, state.controller.costs.shares()
     metric = 1 - costs.rejected - costs.late
     is_due = state.now - controller.checked_at >= CONTROL_PERIOD_NS
--- a/query_gateway/policy/fault_rate.py
+++ b/query_gateway/policy/fault_rate.py
@@ -1,6 +1,6 @@
 """Fault rate: which engine an error is attributed to, and how strongly routing avoids a faulty engine.
 
-    first error of a query                      counts against its engine
+    first error of a query                      counts against the engine that returned it
     further error at the same engine            counts against that engine
     error at a second engine                    clears the first engine: the query is at fault
 
@@ -14,7 +14,7 @@
 from query_gateway.model.records import EngineState, QueryState
 from query_gateway.model.state import SchedulerState
 
-FAULT_WEIGHT: Final = 0.15  # minimum weight of a new outcome in the fault rate
+FAULT_WEIGHT: Final = 0.15  # minimum weight of an answer in the fault rate; weight of a lost attempt
 TOLERATED_SLOWDOWN: Final = 0.25  # log slowdown above the peers' median that adds no penalty
 MIN_SUCCESS_RATE: Final = 0.1  # bounds the penalty of an engine whose attempts all fail
 
@@ -38,7 +38,7 @@
 
 
 def record_lost_attempt(state: SchedulerState, engine: EngineState) -> None:
-    """Count a lost attempt as a fault of its engine, which answers others but did not answer this one."""
+    """Count a lost attempt as a fault of its engine, which may still answer other attempts."""
     engine.fault_rate += FAULT_WEIGHT * (1 - engine.fault_rate)
     refresh_penalty(state, engine)
 
--- a/query_gateway/policy/key_ordering.py
+++ b/query_gateway/policy/key_ordering.py
@@ -28,7 +28,10 @@
 
 
 def weight_lost_behind(key_queues: KeyQueues, query: QueryState, now: int) -> float:
-    """Priority weight that queries behind `query` in its key lose if it runs now; 0 if it is not first."""
+    """Priority weight that the queries behind `query` in its key's queue lose if `query` runs now.
+
+    0 if `query` is not the first of its key.
+    """
     queue = key_queues.queues[query.request.key or ""]
     run_time_before, lost_weight = 0.0, 0.0
     for other in queue[1:] if queue and queue[0] is query else ():
--- a/query_gateway/policy/key_quarantine.py
+++ b/query_gateway/policy/key_quarantine.py
@@ -2,11 +2,12 @@
 
     attempt ended by OK, ERROR, or it never ran      no quarantine: no attempt of the key can still be running
     attempt ended by TIMEOUT, RESET or CANCELLED     `Settings.key_quarantine`, from the end of the attempt
-    the planner of a key was lost                    the same, for all keys of that planner
+    the planner of a key was lost                    `Settings.key_quarantine`, from then on, for all its keys
 
-Queries of a key run one at a time. An engine whose connection was lost may still be running its query, so the
-next one sent at once could overtake it. The scheduler quarantines single keys; the forwarder quarantines
-all keys of a lost planner. All functions are pure; times are clock times in nanoseconds.
+Queries of a key run one at a time. An engine whose connection was lost may still be running its query, and
+the next query of the key could overtake that one if it were sent at once. The scheduler quarantines single
+keys; the forwarder quarantines all keys of a lost planner. All functions are pure; times are clock times in
+nanoseconds.
 """
 
 from typing import Final
--- a/query_gateway/policy/load_placement.py
+++ b/query_gateway/policy/load_placement.py
@@ -11,7 +11,7 @@
 from query_gateway.model.records import EngineState
 
 LOAD_ENGINES: Final = 3  # one in this many engines takes the loads of a table group
-REMEMBERED_TABLE_GROUPS: Final = 4096  # per engine; bounds the memory of the cache
+REMEMBERED_TABLE_GROUPS: Final = 4096  # per engine; bounds the memory of the cached results
 
 
 def takes_loads(engine: EngineState, table_group: float) -> bool:
--- a/query_gateway/policy/probation.py
+++ b/query_gateway/policy/probation.py
@@ -24,8 +24,8 @@
 def record_response(engine: EngineState, now: int) -> None:
     """Record an answer or a progress note, which ends probation once the ejection is over.
 
-    An engine that was unreachable runs in a new process, whose start the endpoint list may not report yet.
-    Its slow start begins here, as a full share of the queries at once would overload it.
+    An engine that was unreachable is assumed to run in a new process, whose start the endpoint list may not
+    report yet. Its slow start begins here, as a full share of the queries at once would overload it.
     """
     engine.last_received_at = now
     if engine.on_probation and now >= engine.ejected_until:
--- a/query_gateway/policy/progress_review.py
+++ b/query_gateway/policy/progress_review.py
@@ -26,9 +26,10 @@
 from query_gateway.policy.fleet_estimator import FLEET_ESTIMATOR
 from query_gateway.policy.start_times import REMAINING_TIME
 
-LOST_NOTE_PERIODS: Final = 1.6  # note periods without a progress note after which an attempt counts as lost
+# An attempt counts as lost after this many progress intervals without a progress note
+LOST_NOTE_PERIODS: Final = 1.6
 PRIOR_LOG_SPREAD: Final = 0.7  # standard deviation of a class's log run times before it is learned
-# Standard deviations of log run times above the expected one after which an attempt is overdue
+# An attempt is overdue once its log run time exceeds the expected one by this many standard deviations
 OVERDUE_DEVIATIONS: Final = 1.8
 RESTART_GAIN: Final = 2.0  # factor by which the remaining time must exceed a new run for a restart
 # Remaining time / time to the limit above which a query is given up; above 1, as progress notes are imprecise
@@ -97,9 +98,9 @@
 def _is_overdue(state: SchedulerState, attempt: AttemptState) -> bool:
     """Whether an attempt without progress has exceeded the run time of its class, allowing for a slow engine.
 
-    The spread, a standard deviation of log run times, is mixed with a prior one until it is learned: a class
-    whose runs never end would never show its spread, and its attempts would fill all engines. Where engines
-    send progress notes, these show how far a run is, so only a learned spread counts there.
+    The spread, a standard deviation of log run times, is mixed with a prior one until it is learned. Without
+    the prior, a class whose runs never end would never show its spread, and its attempts would fill all
+    engines. Where engines send progress notes, these show how far a run is, so only a learned spread counts.
     """
     query, enough = attempt.query, FLEET_ESTIMATOR.learned_samples
     error = query.request_class.run_time_error
--- a/query_gateway/policy/recovery_ramp.py
+++ b/query_gateway/policy/recovery_ramp.py
@@ -1,7 +1,7 @@
 """Recovery ramp: when an engine is in slow start, and the share of its capacity that it has at a given age.
 
 From its start, an engine's capacity grows linearly from `slow_start_initial_capacity` to 1 over
-`slow_start_window`. It fails under overload if it is sent more than `slow_start_overload_factor` times its
+`slow_start_window`. An engine fails under overload if sent more than `slow_start_overload_factor` times its
 present capacity within `slow_start_overload_window`.
 
 The scheduler spaces its sends by this ramp (`slow_start`), and the forwarder's slow-start budgets use it to
--- a/query_gateway/policy/release.py
+++ b/query_gateway/policy/release.py
@@ -1,7 +1,7 @@
 """Release of queued queries: by earliest deadline, each is sent once an engine has capacity, or is given up.
 
     given up as CLIENT_TIMEOUT    its client is about to time out
-    given up as LATE              less than half its run time is left until it is due, and it may not run late
+    given up as LATE              under half its expected run time is left until due, and it may not run late
     stays queued                  it is not the next of its key, or no engine has capacity for it
     sent                          to the engine to which it was routed on arrival in this batch, else to the
                                   engine with capacity that has the least expected run time
@@ -28,8 +28,11 @@
 )
 from query_gateway.policy.saturation import is_saturated
 
-CLIENT_MARGIN_NS: Final = 200 * MS  # before a client's timeout; two timer periods, as one may be late
-LAST_START_SHARE: Final = 0.5  # of the run time that must fit before the due time; some runs are that short
+# Time before the client's deadline at which a query is given up; two timer periods, as one may be late
+CLIENT_MARGIN_NS: Final = 200 * MS
+# A queued query is late once less than this share of its expected run time is left until it is due; some runs
+# take only half of the expected time
+LAST_START_SHARE: Final = 0.5
 
 
 @dataclass(slots=True)
@@ -133,9 +136,12 @@
 
 
 def _engine_with_capacity(state: SchedulerState, query: QueryState) -> EngineState | None:
-    """An engine with capacity: the one where the query is queued or another, so that none idles meanwhile."""
+    """The engine with capacity to which a query is sent now; None if there is none.
+
+    Engines other than the one where the query is queued are considered, so that none idles while it waits.
+    """
     own_engine = query.queued_at
-    # Routed on arrival in this batch, among all candidates, without a start delay
+    # A query that was routed on arrival in this batch, without a start delay, needs no second comparison
     just_routed = query.start_at <= query.arrived_at == state.now
     if own_engine and just_routed and _may_start(state, own_engine, query):
         return own_engine
--- a/query_gateway/policy/repetition.py
+++ b/query_gateway/policy/repetition.py
@@ -1,6 +1,6 @@
 """Repetition: whether, until when and where a request may run again, and whether its client may retry it.
 
-    no attempt may have run yet              another attempt may start until the client's deadline
+    no attempt can have run yet              another attempt may start until the client's deadline
     an attempt may have run, and the class is
         IDEMPOTENT       it may run again
         KEYED            it may run again while engines still drop a duplicate of the first attempt: within
@@ -33,7 +33,7 @@
 def repeat_deadline(settings: ClassSettings, first_executed_at: int | None) -> int:
     """Clock time until which a further attempt may start, regardless of the client's deadline.
 
-    `first_executed_at` is when the first attempt that may have run was sent; None: no attempt may have run.
+    `first_executed_at` is when the first attempt that may have run was sent; None: no attempt can have run.
     """
     if first_executed_at is None or settings.idempotency is Idempotency.IDEMPOTENT:
         return NO_DEADLINE
--- a/query_gateway/policy/routing.py
+++ b/query_gateway/policy/routing.py
@@ -17,14 +17,15 @@
 from query_gateway.policy.slow_start import has_credit
 from query_gateway.policy.start_times import REMAINING_TIME, fleet_start_delay, start_delay
 
-SAMPLE_SIZE: Final = 12  # engines considered per query; bounds the time, and gateways draw different ones
+SAMPLE_SIZE: Final = 12  # engines considered per query; bounds the time that routing takes
 # Costs in shares of the run time
 LOAD_COST: Final = 1.0  # for one thread of this gateway per core of its share
-WARM_CACHE_GAIN: Final = 0.3  # saved where this gateway recently read the same tables
-# For a load at an engine that takes no loads of its table group, or a reader at one that does
+WARM_CACHE_GAIN: Final = 0.3  # subtracted where this gateway recently sent a query of the same table group
+# For a load at an engine that takes no loads of its table group, or for a reader at an engine that takes them
 LOADS_AND_READERS_COST: Final = 1.0
 CROSS_ZONE_COST: Final = 2.0  # per unit of the site's fee for crossing zones
-WARM_ENGINE_COST: Final = 0.5  # for an engine without a slow-start credit, so that credits are used first
+# For every engine but those in slow start with a credit for the query, so that credits are used first
+WARM_ENGINE_COST: Final = 0.5
 REPEATED_ENGINE_COST: Final = 1.0  # for an engine where an attempt of the query may already have run
 TIE_BREAKER_COST: Final = 0.01  # upper bound; keeps gateways with the same view from choosing the same engine
 
@@ -39,7 +40,9 @@
 
 
 def candidates(state: SchedulerState, query: QueryState) -> list[EngineState]:
-    """A random sample of the usable engines, so that many gateways do not all choose the same one.
+    """The usable engines in a random sample of those up, or all usable ones if the sample has none.
+
+    Each gateway draws its own sample, so that they do not all choose the same engine.
 
     Engines in slow start with a credit for the query are always included: a credit lasts only for a short
     time, and an engine outside the sample would stay idle during it.
--- a/query_gateway/policy/scheduler.py
+++ b/query_gateway/policy/scheduler.py
@@ -38,7 +38,8 @@
 TIMER_PERIOD_NS: Final = 100 * MS  # how often attempts in flight are reviewed
 STALL_NS: Final = 500 * MS  # gap between two batches, with a timer set, above which this process was stalled
 WATCH_BACKOFF_NS: Final = 1 * SEC  # from a failed watch of the endpoint list to the next
-PRIOR_WORK: Final = 1 / 12  # work per thread of a class before any sample, as a share of the client timeout
+# Work per thread assumed for a query of a class without samples, as a share of the client timeout
+PRIOR_WORK: Final = 1 / 12
 
 
 @dataclass(slots=True, frozen=True)
@@ -98,7 +99,8 @@
         state.actions = []
         state.started_at = state.started_at or now
         # During a stall of this process, answers and endpoint updates accumulate unread. A review before they
-        # are handled, or one that counts the stall as idle time, would eject healthy engines as unresponsive.
+        # are handled, or one that counts the stall as idle time, would eject healthy engines as unresponsive,
+        # so the timer's review is skipped in this batch.
         state.timer.stalled, state.now = state.timer.armed and now - state.now > STALL_NS, now
         refresh_fleet_snapshot(state)
         for event in sorted(events, key=lambda event: _handler_for(event).stage):
--- a/query_gateway/policy/slow_start.py
+++ b/query_gateway/policy/slow_start.py
@@ -7,8 +7,8 @@
 their shares of the work. The gateways take turns: each has a position in a round, derived from its number and
 the engine's name, and earns a credit for one query whenever the engine has had the capacity for one more
 query from every gateway. A credit lasts for one overload window, or several of them for long classes. No
-credits are given for ages before this gateway knew of the start, nor for ages at which the engine has too
-little capacity for a few queries of the class.
+credits are earned while this gateway does not know of the start yet, nor while the overload budget does not
+cover a few queries of the class.
 
 Input: the start of the engine (nanoseconds), its cores, the mean work of the class (nanoseconds over all
 threads), the recent sends to the engine. The forwarder's slow-start budgets bound what is actually sent, as
@@ -25,7 +25,7 @@
 from query_gateway.policy.recovery_ramp import RecoveryRamp, is_in_slow_start, recovery_ramp
 
 BUDGET_SHARE: Final = 0.4  # share of the overload budget for credits; the rest is left for delayed sends
-QUERIES_IN_BUDGET: Final = 5  # queries of a class that the budget must cover before one is sent
+QUERIES_IN_BUDGET: Final = 5  # queries of a class that the overload budget must cover before one is sent
 # Overload windows that a credit of a long class lasts, as each of many gateways earns such a credit rarely
 LONG_CREDIT_WINDOWS: Final = 3
 RATED_BUSY_SHARE: Final = 0.85  # busy share of the cores of an engine at its rated capacity
@@ -63,7 +63,7 @@
     ramp: RecoveryRamp,
     expired_age: int,
 ) -> float:
-    """Age of an engine from which credits of a class count; those up to `expired_age` have expired.
+    """Age of an engine from which credits of a class count; those earned up to `expired_age` have expired.
 
     Credits from before a gateway learned of the start, or for classes so heavy that the budget covers only a
     few queries, would be used by all gateways at once and overload the engine within one window.
@@ -71,7 +71,8 @@
     factor, window = state.settings.slow_start_overload_factor, state.settings.slow_start_overload_window
     rated_cores = engine.cores * RATED_BUSY_SHARE
     needed_capacity = request_class.mean_work() * QUERIES_IN_BUDGET / (rated_cores * factor * window)
-    # Sends of this process's predecessor may still count against the credits, but are not known here
+    # A predecessor's sends to an engine that started before this process may still count against the credits,
+    # but are not known here, so credits for such an engine count only after one window of this process
     sends_known_from = state.started_at + window if engine.started_at < state.started_at else 0
     known_age = max(engine.start_known_at, sends_known_from) - engine.started_at
     return max(known_age, ramp.age_at_capacity(needed_capacity), expired_age)
--- a/query_gateway/policy/start_times.py
+++ b/query_gateway/policy/start_times.py
@@ -1,7 +1,7 @@
 """Start times: how long a query would wait for its start at an engine, and over the fleet.
 
     engine in slow start without a credit         half an overload window
-    engine with capacity, none queued before      no wait
+    engine with capacity, no query queued before  no wait
     otherwise                                     until enough attempts of this gateway should have ended
 
 Input: the attempts in flight with their expected ends, the queue before the query, the concurrency limits.
--- a/query_gateway/policy/statistical_allowance.py
+++ b/query_gateway/policy/statistical_allowance.py
@@ -11,7 +11,7 @@
 import math
 from typing import Final
 
-ALLOWANCE_DEVIATIONS: Final = 0.5  # standard deviations of this gateway's threads in use
+ALLOWANCE_DEVIATIONS: Final = 0.5  # in standard deviations of this gateway's threads in use
 
 
 def allowance(variance: float) -> float:
--- a/query_gateway/policy/unresponsive.py
+++ b/query_gateway/policy/unresponsive.py
@@ -13,16 +13,16 @@
 from query_gateway.model.records import EngineState
 from query_gateway.model.units import MS
 
-MAX_IDLE_RUNS: Final = 6.0  # mean runs, summed over the attempts in flight; e^-6 is about 1 in 400
+MAX_IDLE_RUNS: Final = 6.0  # an engine with more `IdleHazard.runs` is unresponsive; e^-6 is about 1 in 400
 MIN_IDLE_NS: Final = 700 * MS  # shorter idle times are no fault, as engines pause briefly
 
 
 @dataclass(slots=True)
 class IdleHazard:
-    """Idle time of an engine with attempts in flight."""
+    """How long an engine with attempts in flight has sent nothing."""
 
-    runs: float  # mean runs, summed over the attempts
-    longest_ns: int
+    runs: float  # idle time in expected run times, summed over the attempts
+    longest_ns: int  # longest idle time of an attempt
 
 
 def idle_hazard(engine: EngineState, now: int) -> IdleHazard:
