--- a/query_gateway/forwarder/arrival_order.py
+++ b/query_gateway/forwarder/arrival_order.py
@@ -43,7 +43,7 @@
 
     @property
     def waiting_count(self) -> int:
-        """The number of waiting requests."""
+        """The number of waiting requests, and of waiting callbacks of `Forwarder.call_in_order`."""
         return len(self._entries)
 
     def must_wait(self, arrived_at: int) -> bool:
--- a/query_gateway/forwarder/attempt.py
+++ b/query_gateway/forwarder/attempt.py
@@ -72,16 +72,17 @@
         """Send a result page of the attempt to the client."""
 
     def on_send_refused(self, attempt: "Attempt", refusal: SendRefusal) -> None:
-        """Handle the send guard's refusal to let the attempt be written."""
+        """The send guard has refused to write the attempt; `refusal` is the reason."""
 
     def on_attempt_ended(self, attempt: "Attempt", code: OutcomeCode) -> None:
-        """Handle the end of the attempt; called exactly once per attempt."""
+        """The attempt has ended with `code`; called exactly once per attempt."""
 
 
 def outcome_of_unknown_request(request_id: int, endpoint: str) -> AttemptOutcome:
     """The outcome of an attempt that was not sent because its exchange has ended.
 
-    Its attempt number is `LAST_ATTEMPT`: the exchange, which numbered the attempts, no longer exists.
+    The number of the attempt is unknown, as the exchange that numbered it no longer exists. The outcome has
+    `LAST_ATTEMPT` instead, which a planner process replaces by the number (`PlannerSession`).
     """
     return AttemptOutcome(
         request_id=request_id,
@@ -135,13 +136,13 @@
 
     @property
     def request(self) -> ClientRequest:
-        """The client request of the exchange."""
+        """The client request that the attempt sends to its engine."""
         return self.exchange.request
 
     # ---- events from the engine client
 
     def may_be_written(self) -> bool:
-        """Whether the request may be written now; includes the last check whether its client is connected."""
+        """Whether the send guard lets the request be written now; a refusal is reported to the exchange."""
         refusal = self.exchange.context.send_guard.refusal_to_write(self)
         if refusal is None:
             return True
@@ -156,7 +157,7 @@
         self.exchange.trace(TraceStep.ATTEMPT_WRITTEN, self.endpoint)
 
     def on_progress(self, kind: ProgressKind, level: float) -> None:
-        """Forward a progress note of the engine to the planner, and report a spill to the observer."""
+        """Pass a progress note of the engine to the planner, and a spill to disk to the `QueryObserver`."""
         if not self.in_flight:
             return
         exchange = self.exchange
@@ -205,10 +206,10 @@
             self.on_ended(code)
 
     def on_send_deadline(self) -> None:
-        """Withdraw the attempt if no byte of it has been sent by its send deadline.
+        """Withdraw the attempt if no byte of it has been sent by the send deadline of `EngineSide.start`.
 
         A slow dial, or an engine that stops reading, may delay the attempt beyond the deduplication window of
-        the engines, and the request could then run twice. A withdrawn attempt is never sent.
+        the engines. If it were still sent, the request could run twice; a withdrawn attempt is never sent.
         """
         if self.in_flight:
             self.withdraw()
@@ -230,7 +231,7 @@
         )
 
     def notify_observer(self, code: OutcomeCode, duration: int) -> None:
-        """Report the end of the attempt to the observer if the statement has a fingerprint."""
+        """Report the end of the attempt to the `QueryObserver` if the statement has a fingerprint."""
         exchange = self.exchange
         observer = exchange.context.observer
         if not self.request.fingerprint or not observer:
--- a/query_gateway/forwarder/class_numbers.py
+++ b/query_gateway/forwarder/class_numbers.py
@@ -8,7 +8,7 @@
 def assign_class_numbers(
     names: Iterable[str], current: Mapping[str, int], in_use: Collection[int]
 ) -> dict[str, int]:
-    """Map each class name to a number; `in_use` are the numbers that open requests still refer to.
+    """Map each class name to a number; `in_use` are the numbers of open requests and accepted classes.
 
     A name that is in `current` keeps its number. Every other name gets the lowest number that is neither
     assigned to a class nor in use.
@@ -32,7 +32,7 @@
 ) -> tuple[ClassSettings, ...]:
     """The class settings indexed by class number.
 
-    The number of a retired class keeps its previous settings, which still apply to its open requests.
+    A number that is not in `current` keeps its previous settings: requests of a retired class use them.
     """
     size = max(len(previous), *(number + 1 for number in current))
     return tuple(current[number] if number in current else previous[number] for number in range(size))
--- a/query_gateway/forwarder/early_rejections.py
+++ b/query_gateway/forwarder/early_rejections.py
@@ -11,7 +11,7 @@
 
 
 class EarlyRejections:
-    """Records early rejections; the callers decide on them."""
+    """Records early rejections; the caller of `record` decides whether to reject a request."""
 
     def __init__(
         self, counters: Counters, clock: Callable[[], int], trace: Callable[[], RequestTrace | None]
--- a/query_gateway/forwarder/engine_side.py
+++ b/query_gateway/forwarder/engine_side.py
@@ -33,15 +33,16 @@
     )  # fmt: skip
 
     def __init__(self, context: ExchangeContext, wire: str, class_settings: ClassSettings) -> None:
-        """Start without attempts; `wire` selects the engine client that sends them."""
+        """Start without attempts; `wire`, the name of an engine protocol, selects the engine client."""
         self.context = context
         self.engine_client: ForwardingEngineClient = context.engine_clients[wire]
         self.wire = wire
         self.class_settings = class_settings
         self.attempts: list[Attempt] = []
-        self.next_number = 0  # as in the planner, attempts refused by the send guard are numbered too
+        self.next_number = 0  # an attempt that the send guard refuses has a number too, as in the planner
         self.terms = AttemptTerms()
-        self.first_executed_at: int | None = None  # clock time of sending the first attempt that may have run
+        # Clock time at which the first attempt that may have run was sent; None: none may have run
+        self.first_executed_at: int | None = None
 
     @property
     def current_attempt(self) -> Attempt | None:
--- a/query_gateway/forwarder/exchange.py
+++ b/query_gateway/forwarder/exchange.py
@@ -54,7 +54,7 @@
     ) -> None:
         """Create an open exchange and choose its planner, which is not notified yet.
 
-        `wire` selects the engine client that sends the attempts.
+        `wire`, the name of an engine protocol, selects the engine client that sends the attempts.
         """
         self.context = context
         self.request_id = request_id
@@ -114,8 +114,8 @@
     def cancel(self, attempt_number: int) -> None:
         """Cancel an attempt in flight, unless it is streaming.
 
-        Once the client has pages of an attempt, no other attempt can complete the result. A stream is
-        therefore ended only by the client, the engine or the deadline.
+        Once the client has pages of an attempt, no other attempt can complete the result. The planner can
+        therefore neither cancel nor answer a request that is streaming.
         """
         attempt = self.engine_side.current_attempt
         if self.is_streaming or attempt is None or attempt.number != attempt_number:
@@ -136,7 +136,10 @@
             self.client.send_page(data, on_sent)
 
     def on_send_refused(self, attempt: Attempt, refusal: SendRefusal) -> None:
-        """Trace the send guard's refusal to write an attempt; the engine client then ends it as not sent."""
+        """Trace a refusal to write an attempt, and abandon the exchange if its client has disconnected.
+
+        The attempt is ended as not sent by the engine client (`AttemptHandle.may_be_written`).
+        """
         self.trace(TraceStep.SEND_REFUSED, attempt.endpoint, refusal.value)
         if refusal is SendRefusal.CLIENT_LEFT:
             self.abandon()
@@ -144,8 +147,8 @@
     def on_attempt_ended(self, attempt: Attempt, code: OutcomeCode) -> None:
         """Answer the client if the outcome decides the request, then report the outcome.
 
-        The client is answered before the planner is notified, because the outcome states whether the request
-        has ended, after which the planner may send the next request of the same key.
+        The client is answered before the planner is notified, because the outcome states whether the client
+        has been answered (`final`). If so, the planner may send the next request of the same key.
         """
         self.engine_side.note_ended(attempt, code)
         duration = self.context.clock() - attempt.sent_at
@@ -221,8 +224,8 @@
     def on_overdue(self) -> None:
         """Answer for a planner that has not ended the exchange within the grace period.
 
-        The request is failed, or rejected if no planner was notified of it. The latter has been waiting for
-        the end of a key quarantine, or for an earlier request that may still be unread.
+        The request is failed, or rejected if no planner was notified of it. In that case it has been waiting
+        for the end of a key quarantine, or for an earlier request that may still be unread.
         """
         if not self.answered:
             self.answer(Answer(Verdict.FAILED if self.planner_notified else Verdict.REJECTED))
@@ -239,7 +242,8 @@
         self.trace(TraceStep.PLANNER_LOST)
         # Withdrawn first, because an attempt that was never sent does not rule out a rejection
         self.engine_side.withdraw()
-        may_be_rejected = self.engine_side.may_be_rejected  # read before abort: an attempt in flight may run
+        # Read before the abort: an attempt in flight counts as one that may have run
+        may_be_rejected = self.engine_side.may_be_rejected
         self.engine_side.abort(OutcomeCode.CANCELLED)
         self.answer(Answer(Verdict.REJECTED if may_be_rejected else Verdict.FAILED))
         self.settle()
--- a/query_gateway/forwarder/forwarder.py
+++ b/query_gateway/forwarder/forwarder.py
@@ -47,8 +47,8 @@
     """Accepts requests, carries out the planners' decisions, and gives each request one final answer.
 
     The forwarder owns the exchanges and the endpoint list; its caller owns servers, engine clients and
-    planners. Planners are added at start, engine clients before the first request on their wire. The trace
-    sink and the observer are optional and are set in `context`.
+    planners. Planners are added at start, engine clients before the first request on their wire (engine
+    protocol). The trace sink and the `QueryObserver` are optional and are set in `context`.
     """
 
     def __init__(
@@ -74,7 +74,8 @@
         self.engine_clients: dict[str, ForwardingEngineClient] = {}  # by wire
         self.router = PlannerRouter()
         self.key_quarantine = KeyQuarantine(clock, call_at, self._pass_to_planner)
-        self.arrival_order: ArrivalOrder | None = None  # None: requests are read in order
+        # Set by `keep_arrival_order`; None: requests are passed on in the order of `accept`
+        self.arrival_order: ArrivalOrder | None = None
         self.counters = Counters()
         self.predecessor_fence = PredecessorFence(
             self.router, self.key_quarantine, lambda: self.state.settings
@@ -150,20 +151,23 @@
             self._pass_to_planner(exchange)
 
     def call_in_order(self, arrived_at: int, callback: Callable[[], None]) -> None:
-        """Call `callback` once all requests with a key that arrived before `arrived_at` were passed on."""
+        """Call `callback` once all requests with a key that arrived before `arrived_at` were passed on.
+
+        A request is passed on to its planner or to the queue of a key quarantine.
+        """
         if self.arrival_order:
             self.arrival_order.queue(object(), arrived_at, callback)
         else:
             callback()
 
     def keep_arrival_order(self, watermark: Watermark) -> ArrivalOrder:
-        """Order requests with a key by arrival from now on; the caller calls `ArrivalOrder.release`."""
+        """Order requests with a key by arrival; the caller calls `ArrivalOrder.release` in each loop turn."""
         self.arrival_order = ArrivalOrder(watermark)
         return self.arrival_order
 
     @property
     def held_for_order_count(self) -> int:
-        """The number of requests with a key that wait until all earlier ones have been read."""
+        """The number of keyed requests and `call_in_order` callbacks that wait for earlier requests."""
         return self.arrival_order.waiting_count if self.arrival_order else 0
 
     def _immediate_answer(self, exchange: Exchange) -> Answer | None:
@@ -263,7 +267,10 @@
     def update_settings(
         self, settings: Settings, planner_settings: list[Settings], new_classes: tuple[int, ...]
     ) -> None:
-        """Apply new settings to requests accepted from now on; `planner_settings` is ordered by planner."""
+        """Apply new settings to requests accepted from now on.
+
+        `planner_settings` is ordered by planner; `new_classes` are the numbers that now denote another class.
+        """
         self.state.settings = settings
         for planner, own_settings in zip(self.planners, planner_settings, strict=True):
             planner.update_settings(own_settings, new_classes)
--- a/query_gateway/forwarder/invariants.py
+++ b/query_gateway/forwarder/invariants.py
@@ -20,7 +20,7 @@
         "repeated-safely"  # after an attempt that may have run, the class must allow another one
     )
     REJECTED_SAFELY = "rejected-truly"  # a request is rejected only if a retry has no second effect
-    ANSWERED_IN_TIME = "answered-in-time"  # the answer is sent no later than shortly after the deadline
+    ANSWERED_IN_TIME = "answered-in-time"  # the answer is sent at most `ANSWER_SLACK_NS` late
     ANSWERED_BEFORE_CLOSE = "answered-before-close"  # a connection closes only when its requests are answered
 
 
--- a/query_gateway/forwarder/messages.py
+++ b/query_gateway/forwarder/messages.py
@@ -3,7 +3,7 @@
 Times are clock times in nanoseconds, and durations are in nanoseconds unless the name has another unit.
 
 An engine client reports events through `AttemptHandle` and receives commands through `EngineClient`. Result
-pages and the answer are sent to the `Client`.
+pages and the answer are sent to the `Client`. A wire is an engine protocol, denoted by its name.
 """
 
 from collections.abc import Callable
@@ -37,10 +37,13 @@
 
 
 class EarlyRejection(Enum):
-    """Why a request was rejected without asking a planner; the values appear in the trace and the figures."""
+    """Why a request was rejected without asking a planner.
+
+    The values appear in the request trace and in the figures of the admin server.
+    """
 
     LOOP_LAG = "loop-lag"  # the event loop is running late
-    DRAINING = "draining"
+    DRAINING = "draining"  # the process has been draining for `DRAIN_REJECT_AFTER_S`
     STOPPING = "stopping"  # the process is about to exit
     CONNECTION_LIMIT = "connection-limit"  # its connection exceeds the connection limit
     NO_PARSER = "no-parser"  # its statement could not be parsed in time
@@ -78,7 +81,7 @@
     estimated_memory_mb: float
     table_group: float | None
     received_at: int = 0  # clock time of arrival, as exactly as is known; orders the requests of a key
-    is_update: bool = False  # a statement without a result, on wires that distinguish these
+    is_update: bool = False  # a statement without a result; always False on wires without this distinction
     fingerprint: bytes = b""  # of the parsed statement; empty: not parsed, and not used for learned state
 
 
@@ -127,7 +130,7 @@
 
     @property
     def request(self) -> ClientRequest:
-        """The client request of the exchange."""
+        """The client request that the attempt sends to its engine."""
 
     @property
     def in_flight(self) -> bool:
@@ -173,7 +176,11 @@
     def on_attempt_ended(  # noqa: PLR0913, PLR0917 - six plain values, passed by a single caller
         self, request: ClientRequest, endpoint: str, code: OutcomeCode, work_ns: int, used_mb: float, now: int
     ) -> None:
-        """An attempt has ended; `work_ns` is over all threads, `used_mb` is 0 if the engine reports none."""
+        """An attempt has ended.
+
+        `work_ns`: processor time over all threads as reported by the engine, else run time times threads.
+        `used_mb`: memory use that the engine reported; 0: not reported.
+        """
 
 
 class EngineClient(Protocol):
--- a/query_gateway/forwarder/planner_routing.py
+++ b/query_gateway/forwarder/planner_routing.py
@@ -22,7 +22,8 @@
     index: int
     notify: Notify
     connected: bool  # whether events reach the planner
-    settings: Settings | None  # sent when it connects; None until a reload: it keeps those of its start
+    # Sent whenever the planner connects; None: nothing is sent, and it uses those that it read at its start
+    settings: Settings | None
 
     def connect(self, endpoints: tuple[EndpointInfo, ...]) -> None:
         """Send a planner that has started the state it needs to decide: its settings, then all endpoints."""
--- a/query_gateway/forwarder/postponed_attempts.py
+++ b/query_gateway/forwarder/postponed_attempts.py
@@ -41,7 +41,10 @@
         return len(self._give_up_at)
 
     def postpone(self, attempt: AttemptHandle, give_up_after_s: float) -> None:
-        """Start an attempt again soon; `give_up_after_s` after its first postponement it ends as not sent."""
+        """Start an attempt again after `RETRY_INTERVAL_S`, or end it as not sent.
+
+        The attempt ends once `give_up_after_s` has passed since its first postponement.
+        """
         now = self._timers.now()
         give_up_at = self._give_up_at.setdefault(attempt.request.client_request_id, now + give_up_after_s)
         if now >= give_up_at:
--- a/query_gateway/forwarder/predecessor_fence.py
+++ b/query_gateway/forwarder/predecessor_fence.py
@@ -1,12 +1,12 @@
 """The predecessor fence: in a hot upgrade only one process at a time runs requests with a key.
 
-    NONE --this process starts as a successor--> SERVING --it drains--> DRAINING --it has ended--> NONE
-                                                    `-------- it has ended ----------------------^
+    NONE --this process starts as a successor--> SERVING --predecessor drains--> DRAINING
+    SERVING, DRAINING --predecessor has ended--> NONE
 
 Each process orders only the requests that it has received itself; the order is not transferred to the
 successor. While the predecessor serves, it may accept requests of any key, so this process rejects all
-requests with a key. While the predecessor drains, it accepts none but may still run some, so new ones
-wait here. After it has ended, they wait for one more key quarantine.
+requests with a key. While the predecessor drains, it accepts no requests but may still run some with a key,
+so this process queues its own. After the predecessor has ended, these wait for one more key quarantine.
 """
 
 from collections.abc import Callable
@@ -41,17 +41,20 @@
         return bool(key) and self.state is PredecessorState.SERVING
 
     def on_serving(self) -> None:
-        """Handle a predecessor that accepts requests alongside this process."""
+        """Reject requests with a key from now on, as a predecessor accepts them."""
         self.state = PredecessorState.SERVING
 
     def on_draining(self) -> None:
-        """Handle the start of draining at the predecessor, which accepts no further requests."""
+        """Queue requests with a key from now on: the predecessor drains, and accepts none any more."""
         self.state = PredecessorState.DRAINING
         for planner in self.router.planners:
             self.key_quarantine.start_unbounded(planner.index)
 
     def on_ended(self) -> None:
-        """Handle the end of the predecessor; no effect if there was none."""
+        """Release the queued requests one key quarantine from now, as the predecessor has ended.
+
+        Has no effect without a predecessor.
+        """
         if self.state is PredecessorState.NONE:
             return
         self.state = PredecessorState.NONE
--- a/query_gateway/forwarder/readiness.py
+++ b/query_gateway/forwarder/readiness.py
@@ -1,9 +1,9 @@
 """Readiness: whether clients should send requests to this process.
 
 The liveness path, the admin server and the BGP announcement publish it, so that clients and routers choose
-another gateway while it is not READY. Requests that arrive nevertheless are not rejected because of the
+another gateway while this one is not READY. Requests that arrive nevertheless are not rejected because of the
 phase, not even in STARTING and STOPPING. The only exception is a long DRAINING: `DRAIN_REJECT_AFTER_S` after
-its start the HTTP server rejects requests. The Flight server only sends its clients a GOAWAY,
+the start of draining the HTTP server rejects requests. The Flight server only sends its clients a GOAWAY,
 `DRAIN_CLOSE_IDLE_AFTER_S` after the start of draining.
 
     STARTING --start, and a planner is available--> READY
--- a/query_gateway/forwarder/send_guard.py
+++ b/query_gateway/forwarder/send_guard.py
@@ -2,8 +2,8 @@
 
 Time passes between the decision of the scheduler and the first byte of an attempt. The attempt may wait for a
 connection that is slow to establish or for an engine that does not read, and a planner process may decide
-late or on an outdated endpoint list. The guard therefore applies the same rules again, to the state of this
-process, at the last moment when the attempt can still be withdrawn.
+late or on an outdated endpoint list. The guard therefore applies the scheduler's rules again, to the state of
+this process, at the last moment when the attempt can still be withdrawn.
 
 Input:      the request with its deadline and client, its earlier attempts, the endpoint list in force, the
             slow-start budgets, the clock (nanoseconds)
@@ -12,7 +12,7 @@
             much work an engine in slow start can take; nothing is sent to an engine that is not up, or for a
             client that has disconnected
 
-After the last byte, `check_written` checks the attempt against the same rules. It prevents nothing, but a
+After the last byte, `check_written` checks the attempt against these rules. It prevents nothing, but a
 violation reveals a code path that bypasses the guard.
 """
 
@@ -41,7 +41,7 @@
     NOT_REPEATABLE = "may-have-run"  # an attempt may have run, and the class does not allow another run
     ENDPOINT_NOT_UP = "endpoint-not-up"  # the engine is draining, removed, or has no address on this wire
     CLIENT_LEFT = "client-left"
-    SLOW_START = "cold-endpoint"  # the slow-start budget of the engine is used up in this window
+    SLOW_START = "cold-endpoint"  # the slow-start budget of the engine is used up (`SlowStartBudgets`)
 
 
 class GuardedAttempts(Protocol):
@@ -69,11 +69,11 @@
 
     @property
     def request(self) -> ClientRequest:
-        """The client request."""
+        """The client request, of which the guard reads the deadline, the estimated work and the id."""
 
     @property
     def client(self) -> Client:
-        """The client of the request."""
+        """The client, which must still be connected when the attempt is written."""
 
     @property
     def engine_side(self) -> GuardedAttempts:
@@ -97,7 +97,7 @@
 
     @property
     def exchange(self) -> GuardedExchange:
-        """The exchange of the attempt."""
+        """The exchange whose request the attempt sends."""
 
     @property
     def endpoint(self) -> str:
@@ -140,8 +140,9 @@
         now = self.clock()
         if refusal := self._refusal_at(exchange, attempt.endpoint, now):
             return refusal
-        # A client may disconnect between two polls of the event loop, and the engine would run an abandoned
-        # request. This check reads the client's socket; it follows those above because it costs a system call
+        # A client may disconnect between two polls of the event loop. Without this check, the engine would
+        # run a request without a client. The check reads the client's socket; it follows those above because
+        # it costs a system call
         if exchange.client.has_left():
             return SendRefusal.CLIENT_LEFT
         engine = self.state.endpoints[attempt.endpoint].info
@@ -150,7 +151,7 @@
         return None
 
     def _refusal_at(self, exchange: GuardedExchange, endpoint_name: str, now: int) -> SendRefusal | None:
-        """The checks common to the start of an attempt and its first byte."""
+        """The reason to refuse an attempt at an endpoint, or None; the checks common to start and writing."""
         attempts = exchange.engine_side
         repeat_deadline = attempts.repeat_deadline
         if repeat_deadline == NEVER:
--- a/query_gateway/forwarder/slow_start_budgets.py
+++ b/query_gateway/forwarder/slow_start_budgets.py
@@ -41,7 +41,7 @@
         return self.standard_deviations * math.sqrt(expected_requests) + self.extra_requests
 
 
-SMALL_BUDGET_REQUESTS: Final = 30.0  # a budget of fewer requests than this is small
+SMALL_BUDGET_REQUESTS: Final = 30.0  # budgets for fewer requests than this have `SMALL_BUDGET_ALLOWANCE`
 SMALL_BUDGET_ALLOWANCE: Final = StatisticalAllowance(standard_deviations=3.0, extra_requests=3.0)
 LARGE_BUDGET_ALLOWANCE: Final = StatisticalAllowance(standard_deviations=2.0, extra_requests=2.0)
 # The least allowance of each process: if many processes divide a budget, the share of each may be below one
--- a/query_gateway/forwarder/trace.py
+++ b/query_gateway/forwarder/trace.py
@@ -18,7 +18,7 @@
     DECIDED = "decided"  # a planner has rejected or failed the request
     ANSWERED = "answered"
     ABANDONED = "abandoned"  # the client has disconnected
-    PLANNER_LOST = "planner-lost"
+    PLANNER_LOST = "planner-lost"  # ended without a planner: it is lost, or the process is about to exit
 
 
 class RequestTrace(Protocol):
--- a/query_gateway/lifecycle/__init__.py
+++ b/query_gateway/lifecycle/__init__.py
@@ -17,10 +17,13 @@
 State that is lost when a process dies, and the result for its open requests:
 
     process          state lost                                     open requests
-    gateway in one   all of its state; a successor keeps what it    not answered: the clients' connections
-    process          was offered                                    are reset
-    forwarder        client connections, open requests, its         the same; its planners end them
-                     position in the endpoint list
+    gateway in one   all of its state, except what a successor      not answered: the clients' connections
+    process          has received: the listening sockets, the       are reset
+                     learned state and idle client connections
+                     (`hot_upgrade`)
+    forwarder        client connections, open requests, its         not answered: the clients' connections
+                     position in the events of the discovery        are reset; its planners treat the requests
+                     service                                        as abandoned, their attempts as cancelled
     planner          queues, its view of the engines, its learned   answered at once by its forwarders, see
                      state                                          `planner_links`
     supervisor       no request state; its worker processes stop    answered by the forwarders, as at SIGTERM
--- a/query_gateway/lifecycle/active_configuration.py
+++ b/query_gateway/lifecycle/active_configuration.py
@@ -1,6 +1,6 @@
 """The active configuration, and the limits that are derived from it.
 
-It is not passed on to another process: every process, including a successor, reads the files itself.
+The configuration is not passed to other processes: each, including a successor, reads the files itself.
 """
 
 from dataclasses import dataclass
--- a/query_gateway/lifecycle/hot_upgrade.py
+++ b/query_gateway/lifecycle/hot_upgrade.py
@@ -9,7 +9,7 @@
     3  the successor sends ready              both, from one queue   the process that accepted the client
     4  SIGTERM to the predecessor, which      successor              successor; the predecessor answers its
        sends draining                                                open requests
-    5  the predecessor transfers its idle     successor              the same
+    5  the predecessor transfers its idle     successor              as in step 4
        connections, and exits when all its
        requests are answered
 
@@ -38,9 +38,9 @@
        ^                     |                               |                  |
        +---------------------+-------- connection ends ------+------------------+
 
-A successor has no such states for its predecessor, only the connection (`predecessor`), or None. All of this
-is lost with the process. A process that is killed leaves its socket file behind, and the next one replaces
-it.
+A successor has no such states for its predecessor, only the connection (`predecessor`), or None. The states
+and connections are lost with the process. A process that is killed leaves its socket file behind, and the
+next process of this gateway replaces the file.
 """
 
 import socket
@@ -74,9 +74,9 @@
     """The startup progress of the successor; see the state diagram in the module docstring."""
 
     ABSENT = "absent"  # no process is connected
-    CONNECTED = "connected"  # it has not requested the offer yet
-    STARTING = "starting"  # it has been sent the offer, and does not accept clients yet
-    READY = "ready"  # it accepts clients
+    CONNECTED = "connected"  # the successor has not requested the offer yet
+    STARTING = "starting"  # the successor has been sent the offer, and does not accept clients yet
+    READY = "ready"  # the successor accepts clients
 
 
 @dataclass(slots=True, frozen=True)
@@ -100,7 +100,7 @@
         """Handle the end of the other process."""
 
     def receive_connection(self, sock: socket.socket, peer: str, has_sent_request: bool) -> None:
-        """Take ownership of a transferred client connection."""
+        """Take ownership of a transferred client connection; see `ClientTransfer` for the arguments."""
 
     def on_successor_ready(self) -> None:
         """Handle the ready message: the successor accepts clients."""
@@ -112,7 +112,8 @@
 class HotUpgrade:
     """This process's side of the protocol: first as a successor, later possibly as a predecessor.
 
-    Owns the connections to both, and the listening socket at which a successor finds this process.
+    Owns the connections to its predecessor and its successor, and the listening socket at which a successor
+    finds this process.
     """
 
     host: UpgradeHost
--- a/query_gateway/lifecycle/overlap.py
+++ b/query_gateway/lifecycle/overlap.py
@@ -9,9 +9,12 @@
     predecessor draining       half                 0.1           0.9, after the overload window
     one of the two has ended   all for the other    1.0 for the other, after the overload window
 
+The overload window is the setting `slow_start_overload_window`; `SlowStartShare.change_after_window` explains
+the wait.
+
 Until the predecessor drains, it alone serves requests with a key, and the successor rejects them. After that
-the successor queues them until one key quarantine after the end of the predecessor, when the attempts that
-the predecessor left behind can no longer be running.
+the successor queues them until the setting `key_quarantine` has passed since the end of the predecessor. By
+then the attempts that the predecessor left behind can no longer be running.
 
 The successor also inherits the learned state of the predecessor's scheduler and statement classifier, as of
 the time of the offer. State that the predecessor learns later is lost with it.
@@ -42,7 +45,7 @@
 from query_gateway.planner.learned_state import export_state, restore_state
 
 OVERLAP_CONNECTION_SHARE = 0.5  # of the maximum client connections, for each process during the overlap
-MAX_OFFERED_SHAPES = 256  # normalized statements whose costs a successor inherits
+MAX_OFFERED_SHAPES = 256  # maximum number of normalized statements whose costs a successor inherits
 
 
 @dataclass(slots=True, frozen=True)
@@ -133,7 +136,7 @@
             self.parts.shutdown.transfer_to_successor()
 
     def on_predecessor_draining(self) -> None:
-        """Use the slow-start budget except for the share of the draining predecessor."""
+        """Use all of the slow-start budget but the predecessor's share, and queue requests with a key."""
         self.parts.slow_start_share.change_after_window(FULL_SHARE - DRAINING_SHARE)
         self.parts.forwarder.predecessor_fence.on_draining()
 
--- a/query_gateway/lifecycle/planner_links.py
+++ b/query_gateway/lifecycle/planner_links.py
@@ -36,7 +36,8 @@
         """Start without planners; `add_local` and `add_remote` add them."""
         self.loop, self.forwarder, self.readiness = loop, forwarder, readiness
         self.clients: list[PlannerClient] = []
-        self._ejected_by_planner: dict[int, tuple[str, ...]] = {}  # for planner processes, by planner index
+        # Names of the engines that each planner in a separate process has ejected, by planner index
+        self._ejected_by_planner: dict[int, tuple[str, ...]] = {}
 
     # ---- a planner in this process
 
@@ -83,7 +84,7 @@
 
     def _action_handler(self, planner_index: int) -> Callable[[Any], None]:
         def on_action(action: Any) -> None:
-            """Apply an action of this planner."""
+            """Store the ejected endpoints, answer an arrival query, or apply any other action."""
             if isinstance(action, EjectedEndpoints):
                 self._ejected_by_planner[planner_index] = action.names
             elif isinstance(action, ArrivalQuery):
--- a/query_gateway/lifecycle/planner_settings.py
+++ b/query_gateway/lifecycle/planner_settings.py
@@ -8,7 +8,7 @@
 from query_gateway.lifecycle.active_configuration import ActiveConfiguration
 from query_gateway.model.settings import Settings
 
-FLIGHT_EXTRA_RUN_TIME_NS = 500_000_000  # added to the run time after which a Flight attempt is overdue
+FLIGHT_EXTRA_RUN_TIME_NS = 500_000_000  # with Flight, added to the run time after which an attempt is overdue
 DESCRIPTORS_PER_CLIENT = 3  # planners assume that clients use at most a third of the descriptors
 
 
--- a/query_gateway/lifecycle/process.py
+++ b/query_gateway/lifecycle/process.py
@@ -1,7 +1,7 @@
 """The process entry point: reads the configuration, and builds and runs this process's part.
 
     process                                           part
-    not a worker, no [processes] in operator's file   the whole gateway, possibly the successor of another
+    not a worker, no [processes] in operator's file   the whole gateway, possibly as a successor
     not a worker, [processes]                         the supervisor of worker processes
     a worker process started by the supervisor        one planner or one forwarder
 
@@ -84,7 +84,7 @@
 
 
 def _reserve_path(path: str) -> socket.socket | None:
-    """Reserve the hot upgrade socket path; if that fails, the gateway starts without it."""
+    """Reserve the hot upgrade socket path; if that fails, the gateway starts without the reservation."""
     try:
         return reserve_path(path)
     except OSError as error:
--- a/query_gateway/lifecycle/reload.py
+++ b/query_gateway/lifecycle/reload.py
@@ -4,10 +4,10 @@
                  |         |
                  +---------+--> rejected: one log line, and the old configuration stays active
 
-No change is made before both files have been read and validated as a whole. Open requests keep the settings
-under which they were accepted. Settings that need a restart keep their old value, and the log line
-states that they need one. `max_descriptors` is an exception: the connection limit that planners receive with
-their next settings is derived from the new value.
+No change is made before both files, the configuration and the operator's file, have been read and validated
+as a whole. Open requests keep the settings under which they were accepted. Settings that need a restart keep
+their old value, and the log line states that they need one. `max_descriptors` is an exception: the connection
+limit that planners receive with their next settings is derived from the new value.
 """
 
 import os
@@ -39,7 +39,9 @@
     from query_gateway.flight.engines import FlightConnectionPool
     from query_gateway.statements.messages import Rules
 
-MAX_REPORTED_CLASSES = 256  # all classes configured since the process started; each adds lines to the figures
+# Limit of the classes configured since the process started; each adds lines to the figures of the admin
+# server
+MAX_REPORTED_CLASSES = 256
 
 
 RESTART_NOTICE = "; changes of name, addresses, sockets, zones and kinds need a restart"
@@ -143,7 +145,7 @@
             self.parts.request_classes.update(rules)
         elif statements and rules:
             statements.update_rules(rules, idempotent_classes(config))
-        # The address is set last, so that answers from a new address are decoded under the new settings
+        # The discovery address is set last, so that answers from a new one are decoded under the new settings
         self.parts.watch_client.set_address(config.discovery_address)
 
     def _update_limits(self) -> None:
--- a/query_gateway/lifecycle/request_classes.py
+++ b/query_gateway/lifecycle/request_classes.py
@@ -4,7 +4,7 @@
        ^                               |
        +-- added again by a reload ----+
 
-A class is identified by its name. Forwarder and scheduler identify it by its number, which does not change
+A reload identifies a class by its name, forwarder and scheduler by its number. The number does not change
 while the class is active or retired or has an open request; after that it may be assigned to another class.
 Requests of a retired class are accepted under the last settings of the class. Retired classes are lost with
 the process: a successor accepts only the classes of its own configuration.
@@ -99,7 +99,10 @@
         self.loop.call_at(expires_at, self._drop_expired)
 
     def _drop_expired(self) -> None:
-        """Drop expired classes; a further reload neither ends nor extends the grace period of a class."""
+        """Drop the retired classes that have expired or are active again.
+
+        A further reload does not extend the grace period of a class that stays retired.
+        """
         now = self.loop.now()
         self._retired = {
             name: retired
--- a/query_gateway/lifecycle/route_announcer.py
+++ b/query_gateway/lifecycle/route_announcer.py
@@ -64,5 +64,5 @@
 
     @property
     def is_finished(self) -> bool:
-        """Whether everything has been sent to the router."""
+        """Whether there is no session, or it was stopped and its connection to the router is closed."""
         return self.session is None or self.session.is_finished
--- a/query_gateway/lifecycle/shutdown.py
+++ b/query_gateway/lifecycle/shutdown.py
@@ -43,9 +43,12 @@
 from query_gateway.net.log import log
 from query_gateway.net.loop import Loop
 
-ACCEPT_GRACE_SECONDS = 0.8  # after SIGTERM; the platform's clients and routers may take 0.6 s to notice it
-ANSWER_SECONDS = 3.0  # after SIGTERM for open requests; the platform sends SIGKILL 0.7 s after that
-ABORT_MARGIN_SECONDS = 0.4  # added to ANSWER_SECONDS, or to the longest timeout if that is shorter
+# How long clients are accepted after SIGTERM; the platform's clients and routers may take 0.6 s to notice it
+ACCEPT_GRACE_SECONDS = 0.8
+# Time for open requests after SIGTERM; the platform sends SIGKILL 0.7 s after the end of this time
+ANSWER_SECONDS = 3.0
+# Added to ANSWER_SECONDS, or to the longest timeout if that is shorter; then open requests are aborted
+ABORT_MARGIN_SECONDS = 0.4
 
 
 class ShutdownState(Enum):
@@ -115,8 +118,8 @@
     def transfer_to_successor(self) -> None:
         """Stop accepting clients, answer the open requests, and transfer idle connections to the successor.
 
-        A successor that is not ready accepts no clients, so until then this has no effect and this process
-        continues to accept; it is called again when the successor is ready.
+        A successor that is not ready accepts no clients. Until it is, this method has no effect and this
+        process continues to accept; the method is called again when the successor is ready.
         """
         if self._successor_ready:
             self._release_to_successor()
@@ -172,7 +175,10 @@
             self.loop.turn_hooks.append(self._exit_if_done)
 
     def _exit_if_done(self) -> bool:
-        """Stop the loop once all requests are answered, no client is connected and the router is notified."""
+        """Withdraw the service addresses once all requests are answered and no client is connected.
+
+        Stops the loop once the BGP session, which sends the withdrawal to the router, has ended.
+        """
         if not self.parts.forwarder.exchanges and self.parts.fronts.is_idle:
             self.parts.announcer.stop()
             if self.parts.announcer.is_finished:
--- a/query_gateway/lifecycle/slow_start_share.py
+++ b/query_gateway/lifecycle/slow_start_share.py
@@ -22,16 +22,16 @@
         self._last_change_number = 0  # counts the requested changes
 
     def change(self, share: float) -> None:
-        """Use a new share from the next loop turn on."""
+        """Use a new share from the next time on that the loop runs its timers."""
         self._change_after(0.0, share)
 
     def change_after_window(self, share: float) -> None:
-        """Use a new share after the overload window, when the other process's requests no longer count.
+        """Use a new share after the setting `slow_start_overload_window`.
 
-        The other process has forwarded requests under its previous, larger share. If this process used its
-        new share at once, the requests of both could overload an engine in slow start. The budget applies to
-        the work sent within one overload window, so after that time the two shares add up to one budget at
-        most.
+        Until now the other process may have forwarded requests under a larger share. If this process used its
+        new share at once, the requests of both could overload an engine in slow start. A budget limits the
+        work sent within one overload window, so after that time the earlier requests no longer count, and the
+        two shares add up to one budget at most.
         """
         self._change_after(self.publisher.forwarder.settings.slow_start_overload_window / 1e9, share)
 
--- a/query_gateway/lifecycle/startup.py
+++ b/query_gateway/lifecycle/startup.py
@@ -15,7 +15,7 @@
 from query_gateway.net.listener import Listener
 from query_gateway.net.loop import Loop
 
-DISCOVERY_TIMEOUT_SECONDS = 2.5  # for the first answer, in a successor
+DISCOVERY_TIMEOUT_SECONDS = 2.5  # how long a successor waits for the first answer of the discovery service
 
 
 class Startup:
--- a/query_gateway/lifecycle/upgrade_connection.py
+++ b/query_gateway/lifecycle/upgrade_connection.py
@@ -39,7 +39,7 @@
         loop.watch(sock, IN, self._on_readable)
 
     def send(self, message: UpgradeMessage, descriptors: Sequence[int] = ()) -> bool:
-        """Send a message; returns False if its socket buffer is full or the connection is closed."""
+        """Send a message; returns False if the socket's buffer is full or the connection is closed."""
         if self.closed:
             return False
         try:
--- a/query_gateway/lifecycle/upgrade_messages.py
+++ b/query_gateway/lifecycle/upgrade_messages.py
@@ -30,7 +30,7 @@
 CLIENT_KEY = "client"
 HAS_SENT_REQUEST_KEY = "asked"
 
-HTTP_FRONT, FLIGHT_FRONT = "web", "flight"  # the front names in `fronts`
+HTTP_FRONT, FLIGHT_FRONT = "web", "flight"  # names of the client-facing servers in `Offer.fronts`
 
 Packet = dict[str, Any]  # the JSON object of a packet
 
@@ -53,7 +53,8 @@
 class Offer:
     """The state for a successor; the listening sockets are sent as descriptors, in the order of `fronts`.
 
-    The states are plain JSON values, or None if there is no state or it does not fit into a packet.
+    `scheduler_state` and `statement_costs` are JSON values; None if there is no such state or it does not fit
+    into a packet.
     """
 
     fronts: tuple[str, ...]
@@ -76,7 +77,7 @@
 
 @dataclass(slots=True, frozen=True)
 class UnknownMessage:
-    """An object without any expected key, possibly from a later version."""
+    """A JSON object without any expected key, possibly from a later version of the program."""
 
 
 FromSuccessor = Hello | Ready | UnknownMessage
--- a/query_gateway/lifecycle/upgrade_socket.py
+++ b/query_gateway/lifecycle/upgrade_socket.py
@@ -84,7 +84,7 @@
 
 
 def _identity_of(path: str) -> FileIdentity:
-    """Return the identity of a file. Raises OSError if there is none."""
+    """Return the identity of the file at `path`. Raises OSError if there is no such file."""
     status = os.stat(path)
     return FileIdentity(status.st_dev, status.st_ino)
 
--- a/query_gateway/net/arrival_watermark.py
+++ b/query_gateway/net/arrival_watermark.py
@@ -17,7 +17,9 @@
 
     def __init__(self, now: float) -> None:
         """Start the watermark at `now`."""
-        self.is_awaited = False  # while set, every readable connection is read until nothing is left
+        # Whether a request waits for the watermark; while set, every readable connection is read until
+        # nothing is left
+        self.is_awaited = False
         self.backlogged: set[object] = set()  # listeners with connections that could not be accepted
         self._read_through = self._accepted_through = now
         self._undecoded: dict[object, float] = {}  # arrival times of requests that are read but not decoded
@@ -49,7 +51,7 @@
         self._complete_turn_polled_at = polled_at if self.is_awaited else None
 
     def mark_turn_incomplete(self) -> None:
-        """Record that something pending in this turn was not read, so that the turn does not count."""
+        """Record that something pending was not read, so that this turn does not advance the watermark."""
         self._complete_turn_polled_at = None
 
     def end_turn(self) -> None:
--- a/query_gateway/net/arrivals.py
+++ b/query_gateway/net/arrivals.py
@@ -5,19 +5,21 @@
 
 from typing import NamedTuple
 
-MAX_ENTRIES = 64  # per connection; beyond it the newest two are merged, at the earlier time
+MAX_ENTRIES = 64  # per connection; a further arrival is merged with the newest entry, spanning both times
 
 
 class _Arrival(NamedTuple):
-    end_position: int  # bytes received on the connection, up to and including these
+    end_position: int  # position of the last of the bytes, counted from 1 over the whole connection
     time: "ArrivalTime"
 
 
 class ArrivalTime(NamedTuple):
     """The range of loop times in which bytes arrived."""
 
-    earliest: float
-    latest: float  # the same as `earliest` where the kernel does not report it
+    earliest: float  # the bytes may have arrived, and waited unread, since then
+    # When the newest of the bytes arrived, if the kernel reports it; otherwise the start of the loop's lag
+    # (`Loop.lag`), at which they may have arrived
+    latest: float
 
 
 class ArrivalLog:
@@ -31,7 +33,7 @@
         self._arrivals: list[_Arrival] = []  # few; an empty list is smaller than a deque
 
     def record_read(self, size: int, time: ArrivalTime, more_waits: bool) -> None:
-        """Record a read of `size` bytes that arrived at `time`, or earlier if they were left unread.
+        """Record a read of `size` bytes that arrived at `time`, or since `unread_since` if that is earlier.
 
         `more_waits`: bytes that arrived together with these may still be unread.
         """
@@ -49,7 +51,10 @@
         self._arrivals.append(_Arrival(self.received, time))
 
     def time_of(self, position: int, default: float) -> ArrivalTime:
-        """The arrival time of the byte at `position`, counted from 1; drops the entries before it."""
+        """The arrival time of the byte at `position`, counted from 1, or `default` if none is recorded.
+
+        Drops the entries before this byte.
+        """
         while self._arrivals and self._arrivals[0].end_position < position:
             del self._arrivals[0]
         return self._arrivals[0].time if self._arrivals else ArrivalTime(default, default)
--- a/query_gateway/net/buffered_socket.py
+++ b/query_gateway/net/buffered_socket.py
@@ -38,7 +38,8 @@
         self.loop, self.sock, self.on_activity = loop, sock, on_activity
         self.inbox, self.outbox = bytearray(), Outbox()
         self.arrivals = ArrivalLog(waiting_since)
-        # Accepted, not dialled. Only then are arrival times recorded, from which a client's deadlines count
+        # Whether the connection was accepted, not dialled. Only of accepted ones are arrival times recorded,
+        # from which the deadlines of clients count
         self._is_accepted = True
         self.bytes_consumed = 0  # bytes taken out of the inbox so far
         self._awaits_writable = False  # `try_write` wrote nothing, so `on_activity` is due once writable
@@ -47,7 +48,8 @@
         self.is_local_failure = False  # the dial failed for lack of a resource of this host
         self.read_paused = False  # the inbox is full
         sock.setblocking(False)
-        # May fail while the host is short of buffers; the connection still works, but writes may be delayed
+        # Setting the option may fail while the host is short of buffers. The connection works without it, but
+        # writes may be delayed
         with contextlib.suppress(OSError):
             sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         self.mask = IN
@@ -97,7 +99,7 @@
     # ---- reading
 
     def _read_event(self) -> None:
-        """Handle a read event: read once, or until nothing is left if the arrival watermark is awaited."""
+        """Handle a read event: read once, or until nothing is left if a request waits for the watermark."""
         if not self._is_accepted or not self.loop.watermark.is_awaited:
             self._read()
             return
@@ -106,7 +108,8 @@
 
     def _read(self) -> bool:
         """Read once; return whether there were bytes to read or the connection ended."""
-        # Asked before the read, so that data arriving after it does not count as the newest data read
+        # The kernel is asked before the read, so that data arriving after the read does not count as the
+        # newest of the bytes read
         waited = seconds_since_last_data(self.sock) if self._is_accepted else None
         try:
             data = self.sock.recv(READ_SIZE_BYTES)
--- a/query_gateway/net/descriptors.py
+++ b/query_gateway/net/descriptors.py
@@ -7,7 +7,10 @@
 
 
 def describe_descriptors() -> str:
-    """`N of LIMIT descriptors open`, or `none of LIMIT descriptors free` if the count cannot be read."""
+    """Return `N of LIMIT descriptors open`, or `none of LIMIT descriptors free` if they cannot be counted.
+
+    Counting needs one free descriptor, to read the directory that lists the open ones.
+    """
     limit, _ = resource.getrlimit(resource.RLIMIT_NOFILE)
     try:
         open_count = len(os.listdir(DESCRIPTOR_DIRECTORY)) - 1  # without the one that reads the directory
--- a/query_gateway/net/listener.py
+++ b/query_gateway/net/listener.py
@@ -100,7 +100,7 @@
 
     @property
     def waiting_since(self) -> float | None:
-        """Loop time since which a connection accepted now may have waited; None: only since this turn."""
+        """Loop time since which a connection accepted now may have waited; None: at most the loop's lag."""
         return self._waiting_since
 
     def _record_waiting(self) -> None:
--- a/query_gateway/net/log.py
+++ b/query_gateway/net/log.py
@@ -14,7 +14,7 @@
 BURST_LINES = 20  # lines per subject that may be printed in a burst
 LINES_PER_SECOND = 5.0  # sustained rate per subject
 MAX_SUBJECTS = 256  # subjects limited separately; bounds the memory, as subjects are never removed
-OTHER_SUBJECT = "other"
+OTHER_SUBJECT = "other"  # replaces any further subject
 MAX_LINE_BYTES = select.PIPE_BUF  # a pipe that polls as writable accepts this many without blocking
 
 
@@ -65,7 +65,10 @@
         self._buckets: dict[str, _TokenBucket] = {}
 
     def __call__(self, subject: str, text: str) -> None:
-        """Print a line, or drop it if above the rate; the subject's next line tells how many were dropped."""
+        """Print a line, or drop it if it exceeds the rate or standard error would block.
+
+        The next line of the subject tells how many were dropped.
+        """
         now = time.monotonic()
         if subject not in self._buckets and len(self._buckets) >= MAX_SUBJECTS:
             subject = OTHER_SUBJECT
--- a/query_gateway/net/loop.py
+++ b/query_gateway/net/loop.py
@@ -23,7 +23,9 @@
 MAX_EVENTS_PER_POLL = 512
 TASK_ROUNDS = 3  # rounds of ready tasks per turn: the tasks woken, the tasks that these wake, and once more
 MAX_POLL_SECONDS = 5.0  # limit of a sleep, so that a callback whose wake-up failed runs eventually
-MAX_OVERSLEEP_SECONDS = 0.05  # a sleep may exceed its timeout by this much on a busy host
+# A busy host may prolong a sleep by this much beyond its timeout; after a longer delay the process counts as
+# having been stopped
+MAX_OVERSLEEP_SECONDS = 0.05
 MAX_HOOK_ROUNDS = 16  # rounds of turn hooks per turn; bounded so that hooks cannot starve sockets
 # Cancelled timers are removed once the heap exceeds twice its size after the last sweep, plus this many
 TIMER_SWEEP_SLACK = 256
@@ -105,7 +107,9 @@
         self.faults = 0  # unhandled exceptions of coroutines and callbacks, and failed polls
         self.turn_started_at = self.now()
         self.watermark = ArrivalWatermark(self.turn_started_at)
-        self.last_turn_time = 0.0  # duration of the last turn in seconds; 0 if the loop slept since
+        # Duration of the last turn in seconds. If the loop slept since: 0, or the time by which it overslept
+        # because the process was stopped
+        self.last_turn_time = 0.0
         self.soon_callbacks: deque[Callable[[], object]] = deque()
         self.wake_reader, self.wake_writer = retry_at_start(socket.socketpair)
         self.wake_reader.setblocking(False)
@@ -146,7 +150,7 @@
         return task
 
     def watch(self, sock: socket.socket, mask: int, handler: Callable[[], None]) -> None:
-        """Call `handler` whenever the socket is ready for an event in `mask`; it is not told for which.
+        """Call `handler`, without arguments, whenever the socket is ready for an event in `mask`.
 
         A further call for the same socket replaces its mask and handler.
         """
--- a/query_gateway/net/retry.py
+++ b/query_gateway/net/retry.py
@@ -1,6 +1,6 @@
 """Retries system calls while a process starts.
 
-It blocks between attempts, which is harmless only because nothing else runs in the process yet.
+The process blocks between two calls, which is harmless only because nothing else runs in it yet.
 """
 
 import errno
@@ -19,7 +19,10 @@
 
 
 def retry_at_start(call: Callable[[], Result]) -> Result:
-    """Return the result of `call`, retried for up to `START_TIMEOUT_SECONDS`; raises its last OSError."""
+    """Return the result of `call`, retried after `RETRIED_START_ERRORS` for up to `START_TIMEOUT_SECONDS`.
+
+    Raises any other OSError at once, and the last one after that time.
+    """
     deadline = time.monotonic() + START_TIMEOUT_SECONDS
     while True:
         try:
--- a/query_gateway/net/stream.py
+++ b/query_gateway/net/stream.py
@@ -20,7 +20,8 @@
     DONE = "done"  # closed here after the last answer, as the protocol requires
     BAD_REQUEST = "bad-request"  # a client sent invalid input, or too much input ahead of its answer
     SLOW_REQUEST = "slow-request"  # a request was not complete within its timeout
-    SLOW_READER = "slow-reader"  # a client did not read its answer within the timeout
+    # A client did not read its answer within the timeout, or a forwarder or planner process its IPC messages
+    SLOW_READER = "slow-reader"
     ABANDONED = "abandoned"  # the client left before its answer, or a dial was no longer needed
     TOO_MANY = "too-many"  # evicted or not accepted at the connection limit
     STOPPING = "stopping"  # graceful end by one side with no request open: a shutdown, or a GOAWAY
--- a/query_gateway/planner/__init__.py
+++ b/query_gateway/planner/__init__.py
@@ -7,7 +7,7 @@
 `lifecycle/planner_links.py` handles the open requests of a planner that dies, and
 `PlannerProcess.on_session_ended` in `process.py` those of a forwarder that dies.
 
-`planner`, `learned_state`, `ipc_codec` and `process_part` use no sockets or clocks; `ipc`, `process` and
-`supervisor` use `query_gateway.net`. The package is imported by the composition root and by `lifecycle`, and
-imports no forwarder modules.
+`planner`, `learned_state`, `ipc_codec` and `process_part` use no sockets, and no clock but one passed in;
+`ipc`, `process` and `supervisor` use `query_gateway.net`. The package is imported by the composition root
+and by `lifecycle`, and imports no forwarder modules.
 """
--- a/query_gateway/planner/ipc.py
+++ b/query_gateway/planner/ipc.py
@@ -29,7 +29,7 @@
 
 RECONNECT_DELAY_S = 0.1
 DIAL_TIMEOUT_S = 1.0
-MAX_UNREAD_BYTES = 16_777_216  # unread by the other end; beyond this the connection is closed
+MAX_UNREAD_BYTES = 16_777_216  # in the outbox, as the other end does not read; beyond it the connection ends
 
 Steps = Generator[float | None, None, None]  # a coroutine on the loop
 ReasonSteps = Generator[float | None, None, Reason]  # a coroutine that returns why the connection ended
@@ -48,7 +48,7 @@
         self.stream = stream
         self.on_message = on_message
         self.decoder = Decoder(message_types)
-        self.closing = False  # set by the owner, which then wakes the coroutine
+        self.closing = False  # the owner sets it and wakes the coroutine, for `receive` to end
 
     def send(self, message: IpcMessage) -> None:
         """Queue a message; `receive` ends the connection if the other end leaves too many bytes unread."""
--- a/query_gateway/planner/ipc_codec.py
+++ b/query_gateway/planner/ipc_codec.py
@@ -35,7 +35,7 @@
     """Asks a forwarder to reply once it has passed on all keyed requests that arrived before a time."""
 
     request_id: int  # the request of another forwarder that waits for the reply
-    received_at: int  # clock time
+    received_at: int  # clock time of the arrival of that request
 
 
 @dataclass(slots=True, frozen=True)
@@ -47,7 +47,8 @@
 
 IpcMessage = Event | Action | EjectedEndpoints | ArrivalQuery | ArrivalReply
 
-# By the type name at the start of a line: the types that a planner accepts, then those of a forwarder
+# The types of messages that a planner accepts, then those that a forwarder accepts, by the name at the start
+# of a line
 EVENT_TYPES: dict[str, type[Event | ArrivalReply]] = {
     message_type.__name__: message_type
     for message_type in (
--- a/query_gateway/planner/learned_state.py
+++ b/query_gateway/planner/learned_state.py
@@ -3,12 +3,14 @@
 Earlier and later versions of the program read this format, so its keys and the order of its values must not
 change. The keys are used in this module only:
 
-    version, lag, usual   format version; lag ratio; mean threads in use
+    version               format version
+    lag                   lag ratio, with which admission scales delays (`policy.controller`)
+    usual                 mean number of threads in use by this gateway
     paces                 slowdown of the fleet, a decayed average
     costs                 priority weight of all, of rejected and of late requests, each a decayed average
     classes               by class name: the means of `MEANS`; rate (slowdown); first_span (longest timeout)
-    engines               by engine name, a list: listed start, observed start, slowdown, fault rate, last
-                          received at, ejected until, ejection time, warm table groups
+    engines               by engine name, a list: start in the endpoint list, start as observed, slowdown,
+                          fault rate, last received at, ejected until, ejection time, warm table groups
 
 Times are wall-clock times in nanoseconds, which each process converts to its steady clock; 0 means never.
 Durations are in nanoseconds.
@@ -55,7 +57,7 @@
     longest_timeout: int  # nanoseconds
 
     def restore(self) -> None:
-        """Apply it to the `ClassState`."""
+        """Copy this learned state into `state`."""
         for attribute, mean in self.means.items():
             setattr(self.state, attribute, mean)
         self.state.slowdown = self.slowdown
@@ -76,13 +78,13 @@
     warm_table_groups: list[float]
 
     def restore(self) -> None:
-        """Apply it to the `EngineState`."""
+        """Copy this learned state into `state`."""
         engine = self.state
         engine.started_at, engine.log_slowdown = self.started_at, self.log_slowdown
         engine.fault_rate, engine.last_received_at = self.fault_rate, self.last_received_at
         engine.ejected_until, engine.ejection_time = self.ejected_until, self.ejection_time
         engine.warm_table_groups = self.warm_table_groups
-        # An engine that has sent nothing since its ejection continues on probation: one query at a time
+        # An engine that has sent nothing since the end of its ejection is on probation: one query at a time
         engine.on_probation = self.ejected_until > self.last_received_at
 
 
@@ -98,7 +100,7 @@
     engines: list[LearnedEngine]
 
     def restore(self, state: SchedulerState) -> None:
-        """Apply it to the state of a scheduler."""
+        """Copy this learned state into that of a scheduler, including its classes and engines."""
         state.controller.lag_ratio, state.controller.costs = self.lag_ratio, self.costs
         state.fleet.mean_threads_in_use = self.mean_threads_in_use
         state.fleet.slowdown_samples = self.slowdown_samples
@@ -183,8 +185,8 @@
     def decode(self, state: SchedulerState, class_indexes: Mapping[str, int], raw: Any) -> LearnedState:
         """Decode the learned state.
 
-        Raises LearnedStateError, or KeyError, TypeError, ValueError or AttributeError for values of a wrong
-        type.
+        Raises LearnedStateError, KeyError, TypeError, ValueError or AttributeError for a value that is
+        missing or invalid.
         """
         if raw["version"] != VERSION:
             raise LearnedStateError(f"unsupported version {raw['version']!r:.40}, expected {VERSION}")
--- a/query_gateway/planner/planner.py
+++ b/query_gateway/planner/planner.py
@@ -1,4 +1,4 @@
-"""Drives one instance of the decision module: events in, actions out. Independent of any network protocol.
+"""Drives an instance of the decision module, a `Scheduler`. Independent of any network protocol.
 
 When the instance raises an error, its state (queues, view of the engines, learned state) is discarded, as it
 may be inconsistent. In a gateway's own process `restart` replaces the instance; a planner process exits and
@@ -19,7 +19,7 @@
     """Queues events for the decision module, returns its actions, and owns its timers."""
 
     def __init__(self, settings: Settings, seed: int, clock: Callable[[], int], call_at: CallAt) -> None:
-        """Create the first instance of the module. `clock` returns the time on the clock of `call_at`."""
+        """Create the first instance of the module. `clock` returns nanoseconds; `call_at` uses its times."""
         self.settings = settings
         self.seed = seed
         self.clock = clock
--- a/query_gateway/planner/process.py
+++ b/query_gateway/planner/process.py
@@ -39,7 +39,7 @@
 from query_gateway.planner.ipc_codec import EVENT_TYPES, ArrivalQuery, ArrivalReply, EjectedEndpoints
 from query_gateway.planner.planner import Planner
 
-MAX_FORWARDERS = 64  # connections
+MAX_FORWARDERS = 64  # limit of connections
 EJECTION_POLL_INTERVAL_S = 0.2  # interval of checks for changes of the ejected endpoints
 RequestAction = Forward | Reject | Fail | Cancel | SetTerms  # actions on one request, sent to its forwarder
 
@@ -79,7 +79,10 @@
             self.process.on_session_ended(self)
 
     def on_event(self, event: Event | ArrivalReply) -> None:
-        """Update the list of open requests and pass the event to the planner."""
+        """Update the list of open requests and pass the event to the planner.
+
+        A request with a key is passed on by `ArrivalMerge`, in arrival order.
+        """
         if isinstance(event, ArrivalReply):
             self.process.arrival_merge.on_reply(self, event.request_id)
             return
--- a/query_gateway/planner/supervisor.py
+++ b/query_gateway/planner/supervisor.py
@@ -45,7 +45,7 @@
     supervisor_pid = int(os.environ.get(SUPERVISOR_PID_VARIABLE) or os.getppid())
 
     def poll() -> None:
-        """Compare the parent process id with that of the supervisor."""
+        """Call `stop` if the parent is no longer the supervisor, else check again after the poll interval."""
         if os.getppid() != supervisor_pid:
             stop()
         else:
@@ -64,7 +64,7 @@
         self.process: subprocess.Popen[bytes] | None = None
 
     def start(self) -> None:
-        """Start the process with the same configuration as this one."""
+        """Start the process, with the environment of the supervisor and thus the same configuration."""
         self.started_at = time.monotonic()
         environ = os.environ | {
             PROCESS_PART_VARIABLE: str(self.part),
@@ -128,7 +128,10 @@
             worker.send_signal(signal.SIGHUP)
 
     def run(self) -> int:
-        """Run until SIGTERM or SIGINT; return the highest exit code. Forwards SIGHUP to the forwarders."""
+        """Run until SIGTERM or SIGINT, and forward SIGHUP to the forwarders.
+
+        Returns the highest exit code of a worker; a worker killed by a signal counts with the signal number.
+        """
         self._on_signal(signal.SIGTERM, self._stop)
         self._on_signal(signal.SIGINT, self._stop)
         self._on_signal(signal.SIGHUP, self._reload)
@@ -138,7 +141,7 @@
             worker.send_signal(signal.SIGTERM)
         workers = (*self.planners, *self.forwarders)
         exit_codes = [worker.process.wait() for worker in workers if worker.process]
-        # A worker without signal handlers yet is killed by the SIGTERM sent here, which is not a failure
+        # A worker that has not installed its signal handlers yet is killed by SIGTERM; that is not a failure
         failures = [abs(code) for code in exit_codes if code != -signal.SIGTERM]
         return max(failures, default=0)
 
