--- a/query_gateway/cli.py
+++ b/query_gateway/cli.py
@@ -84,7 +84,8 @@
     """Start a gateway."""
     from query_gateway.lifecycle.process import serve
 
-    # Set in the environment rather than passed on: a reload reads it again, and worker processes inherit it
+    # Set in the environment rather than passed as arguments: a reload reads the environment again, and worker
+    # processes inherit it
     if config:
         os.environ[CONFIGURATION_VARIABLE] = config
     if operator:
--- a/query_gateway/composition.py
+++ b/query_gateway/composition.py
@@ -96,7 +96,7 @@
 
 
 class ClockWatermark:
-    """The loop's watermark, converted to the forwarder's clock."""
+    """The loop's arrival watermark (`net.arrival_watermark`), converted to the forwarder's clock."""
 
     def __init__(self, loop: Loop) -> None:
         """Use the watermark of `loop`."""
@@ -130,8 +130,8 @@
     """Build the forwarder, with counters for every class."""
     config = active.config
     # A planner process outlives its forwarders. If the request ids of each forwarder started at the same
-    # value, the planner would confuse a new request with an old one of the same id; the steady clock never
-    # goes back.
+    # value, the planner would confuse a new request with an old one of the same id. They start at the time of
+    # the steady clock, which never goes back.
     first_request_id = steady_now_ns()
     forwarder = Forwarder(
         config.settings, steady_now_ns, steady_clock_scheduler(loop), max_exchanges(config), first_request_id
@@ -148,7 +148,7 @@
 
 
 def build_engine_pool(parts: SharedParts) -> ConnectionPool:
-    """Build the connection pool for engines over HTTP."""
+    """Build the connection pool for engines over the line protocol, which the HTTP front uses."""
     config = parts.active.config
     pool = ConnectionPool(parts.loop, steady_now_ns, connection_limits(config))
     parts.forwarder.engine_clients[HTTP_WIRE] = pool
--- a/query_gateway/configuration/platform.py
+++ b/query_gateway/configuration/platform.py
@@ -1,6 +1,7 @@
 """The platform's configuration: its JSON file, validated and decoded into an immutable `Configuration`.
 
-Defines the keys of that file; those of its settings are defined in `settings_parser`. An invalid file is
+Defines the keys of that file, and in its settings those of the names of zones and kinds and of the limits on
+connections and open requests; `settings_parser` defines the other keys of the settings. An invalid file is
 rejected as a whole, with a one-line message that names the value.
 """
 
@@ -44,7 +45,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Configuration:
-    """The decoded configuration file of the platform. Timeouts are in seconds."""
+    """The decoded configuration file of the platform. Timeouts are in seconds, except in `settings`."""
 
     name: str
     listen_address: tuple[str, int]
@@ -60,7 +61,7 @@
     dial_timeout: float
     connection_idle_timeout: float
     max_open_requests: int
-    setting_paths: frozenset[str]  # from `collect_key_paths`; see `check_no_key_dropped`
+    setting_paths: frozenset[str]  # of the keys in the whole file; see `check_no_key_dropped`
 
 
 def check_no_key_dropped(current: Configuration, new: Configuration) -> None:
@@ -86,7 +87,11 @@
 
 
 def _check_settings(settings: Any) -> None:
-    """Reject values that the parser accepts: true, 0 or a string where a positive number is required."""
+    """Reject values that `parse_settings` would accept.
+
+    These are true, 0 or a string where a positive number is required; class names that are repeated or not
+    strings; too many classes; and lists in `PER_CLASS_LISTS` without exactly one value per class.
+    """
     services = settings["services"]
     names = [service["name"] for service in services]
     are_strings = all(type(name) is str for name in names)
--- a/query_gateway/configuration/schema.py
+++ b/query_gateway/configuration/schema.py
@@ -1,4 +1,4 @@
-"""The structure of both files as pydantic models, which report every error with its location.
+"""The structure of the operator's and the platform's file as pydantic models, which locate every error.
 
 Imported only if an operator's file is used or a file is checked, as it imports pydantic. `platform` and
 `operator_file` decode the files; `operator_file` only after this validation. Keys that differ from the field
@@ -139,7 +139,7 @@
 
 
 def find_operator_file_errors(raw: Any) -> list[str]:
-    """All errors of an operator's file by itself, formatted as `location: message`."""
+    """All errors of an operator's file that show without the configuration, as `location: message`."""
     try:
         file = OperatorFile.model_validate(raw)
     except ValidationError as error:
@@ -181,7 +181,7 @@
 
 
 class SettingsLimits(PlatformTable):
-    """The site's limits, which are part of the settings."""
+    """The site's limits on attempts, streams per connection, dial time and open requests."""
 
     max_attempts: Annotated[int, Field(alias="max-attempts", gt=0)]
     streams_per_connection: Annotated[int, Field(alias="streams-per-conn", gt=0)] = 32
@@ -190,7 +190,7 @@
 
 
 class SettingsTable(PlatformTable):
-    """The settings of the site."""
+    """The classes and limits in the settings of the site; `parse_settings` checks the other settings."""
 
     classes: Annotated[list[RequestClass], Field(alias="services", min_length=1, max_length=64)]
     limits: SettingsLimits
@@ -203,7 +203,7 @@
 
 
 class PlatformFile(PlatformTable):
-    """The configuration file of the platform."""
+    """The configuration file of the platform; `parse_configuration` checks what is not declared here."""
 
     listen_address: Annotated[Address, Field(alias="listen")]
     admin_address: Annotated[Address | None, Field(alias="ops")] = None
--- a/query_gateway/configuration/settings_flattening.py
+++ b/query_gateway/configuration/settings_flattening.py
@@ -2,8 +2,8 @@
 
 from typing import Any
 
-# The endpoint list in the configuration. Its keys vary with each event, so `collect_key_paths` omits them,
-# and a reload may drop them (see `platform.check_no_key_dropped`)
+# The endpoint list in the configuration. Its events differ in their keys, so `collect_key_paths` omits the
+# keys of events, and a reloaded file may lack them (see `platform.check_no_key_dropped`)
 ENDPOINT_LIST_KEY = "known"
 
 
@@ -34,7 +34,7 @@
 
 
 def collect_key_paths(value: Any, path: str = "") -> frozenset[str]:
-    """The paths of all keys, except those within the endpoint list.
+    """The paths of all keys, except those of the events in the endpoint list.
 
     Of a list of objects, the keys that all of its objects have in common are included.
     """
--- a/query_gateway/discovery/endpoint_feed.py
+++ b/query_gateway/discovery/endpoint_feed.py
@@ -56,10 +56,11 @@
         self.tombstones = EndpointTombstones()
 
     def apply_initial_list(self, answer: EndpointListAnswer) -> None:
-        """Apply the list in the configuration.
+        """Apply the endpoint list in the configuration, and take over the position that the list states.
 
-        The position is that of the configuration even if events are missing, so that the first poll asks for
-        the events after it.
+        The first poll asks for the events after that position, even if the list lacks events before it. (An
+        answer of the service that lacks events sets the position to 0, so that the next poll is for a
+        snapshot.)
         """
         change = reconcile(0, answer)
         self._publish(self._with_steady_start_times(change), change.is_snapshot)
@@ -68,8 +69,8 @@
     def apply_answer(self, raw: Any, repeats_newest: bool = False) -> int:
         """Apply an answer of the discovery service and return the new position.
 
-        `repeats_newest`: the poll asked for the newest event again, and for those after it. Raises ValueError
-        without any change if the answer cannot be decoded.
+        `repeats_newest`: the poll asked for the event at the current position again, and for those after it.
+        Raises ValueError without any change if the answer cannot be decoded.
         """
         answer = self._decode(raw)
         change = reconcile(self.position, answer, self.newest_event if repeats_newest else None)
@@ -99,7 +100,7 @@
         log("discovery", f"{anomaly.value}: {positions}")
 
     def _with_steady_start_times(self, change: EndpointListChange) -> list[Endpoint]:
-        """The endpoints of a change, with their start times converted to the steady clock."""
+        """Return the endpoints of a change with start times on the steady clock, and update `complete_at`."""
         endpoints = self.start_times.translate(
             change.endpoints, None if change.is_snapshot else self.complete_at
         )
--- a/query_gateway/discovery/reconciliation.py
+++ b/query_gateway/discovery/reconciliation.py
@@ -2,7 +2,8 @@
 
     the answer                                              anomaly    next position
     continues after the current position                    none       of its last event
-    has only events up to the current position              DUPLICATE  unchanged
+    has only events up to the current position, which the   DUPLICATE  unchanged
+    poll did not ask for again
     omits an event, or ends before the position that it     GAP        0: poll for a snapshot
     states
     states a position below the current one, or has a       RESET      of its last event, or 0 if events
--- a/query_gateway/discovery/start_times.py
+++ b/query_gateway/discovery/start_times.py
@@ -31,7 +31,7 @@
 class StartTimes:
     """Converts the start times of one endpoint list; converts each start once and stores the result.
 
-    Another conversion after a step of the wall clock would move the start time, and with it the slow start.
+    A second conversion after a step of the wall clock would move the start time, and with it the slow start.
     """
 
     def __init__(self, clock: Callable[[], int], wall_clock_offset: Callable[[], int]) -> None:
@@ -77,10 +77,10 @@
         plausible = [start for start in (by_current_offset, by_first_offset) if start <= now + CLOCK_SKEW_NS]
         started_at = min(now, max(plausible, default=now))
         if complete_at is not None:
-            # The engine was not in the list at `complete_at`, so it cannot have started long before
+            # This start was not in the list at `complete_at`, so it cannot have been long before that time
             return max(started_at, complete_at - MAX_LISTING_DELAY_NS)
         if now - started_at > MAX_CLOCK_STEP_NS:
             return started_at
-        # It is only certain how much earlier the engine started than the newest one, which may have started
-        # just now
+        # The wall clock may be wrong, but differences between listed start times hold: the newest engine may
+        # have started just now, and this one started `latest_start - listed_start` earlier
         return max(started_at, now - (latest_start - listed_start))
--- a/query_gateway/discovery/tombstones.py
+++ b/query_gateway/discovery/tombstones.py
@@ -1,7 +1,7 @@
 """Tombstones of draining and removed endpoints, kept after the endpoint list has dropped them.
 
     none --reported as draining or removed, or left out by a snapshot--> tombstone
-    tombstone --reported as up--> none
+    tombstone --reported as up, unless `apply` corrects the report--> none
 
 Tombstones are not persistent: a new process starts with none.
 """
@@ -27,8 +27,9 @@
     """Endpoints that were reported as draining or removed and have not been reported as up since.
 
     A restarted discovery service may have an older list than this process, and report a draining or removed
-    engine as up. Requests would be sent to that engine again and be lost when it exits. The tombstone keeps
-    the engine out of use until it is reported with another start time, that is, after a restart.
+    engine as up. Requests would be sent to that engine again and be lost when it exits. From a restart of the
+    service to its next snapshot, `EndpointFeed` therefore passes each report through `apply`, which keeps the
+    engine out of use unless it is reported with another start time, that is, after it has restarted.
     """
 
     def __init__(self) -> None:
@@ -36,7 +37,10 @@
         self._tombstones: dict[str, Tombstone] = {}  # by endpoint name, oldest first
 
     def record(self, endpoints: list[Endpoint], is_snapshot: bool, listed: dict[str, Endpoint]) -> None:
-        """Record a change of the list `listed`; endpoints that a snapshot omits are treated as removed."""
+        """Record a change of the endpoint list; endpoints that a snapshot omits are treated as removed.
+
+        `listed` is the list before the change.
+        """
         reported = {endpoint.info.name for endpoint in endpoints}
         removed = [
             replace(endpoint.info, state=EndpointState.REMOVED)
--- a/query_gateway/discovery/watch_client.py
+++ b/query_gateway/discovery/watch_client.py
@@ -21,9 +21,10 @@
 from query_gateway.net.stream import Reason, Stream, address_of
 
 POLL_HOLD_MS = 2_000  # how long the service may hold a poll; also limits how late its failure is detected
-SHORT_POLL_HOLD_MS = 1  # until the first answer, before which the successor in a hot upgrade does not start
+# Replaces `POLL_HOLD_MS` until the first answer in a successor (hot upgrade), which accepts clients after it
+SHORT_POLL_HOLD_MS = 1
 ANSWER_GRACE_SECONDS = 0.8  # after the hold, before the service counts as unresponsive
-SHORT_POLL_TIMEOUT_SECONDS = 0.8
+SHORT_POLL_TIMEOUT_SECONDS = 0.8  # for a poll with `SHORT_POLL_HOLD_MS`, including the hold
 CONNECT_TIMEOUT_SECONDS = 0.5
 # The backoff is randomized by +-50 %; otherwise, gateways whose watches end at the same time would reconnect
 # at the same time
--- a/query_gateway/engine_protocol/attempt_table.py
+++ b/query_gateway/engine_protocol/attempt_table.py
@@ -2,6 +2,7 @@
 
     unwritten --take_unwritten, and the request is written--> written
     unwritten --withdraw or cancel: the attempt has not run-> removed
+    unwritten --remove: it may no longer be written---------> removed
     written --remove: the result is complete----------------> removed
     written --cancel, or remove with `may_respond`----------> removed, but its id is kept
 
--- a/query_gateway/engine_protocol/connection.py
+++ b/query_gateway/engine_protocol/connection.py
@@ -43,9 +43,9 @@
     """The state of a connection. The module's docstring lists the transitions; no state is entered again."""
 
     DIALLING = "dialling"  # attempts wait for the dial
-    # Requests are written when they are assigned. The coroutine enters this state up to a loop turn after the
-    # stream is `connected`. Requests assigned in between still wait for the coroutine, so that each is
-    # written only once
+    # In this state a request is written as soon as its attempt is assigned. The coroutine enters the state up
+    # to a loop turn after the stream is `connected`. Requests of attempts that are assigned in between are
+    # left to the coroutine, which writes each of them once
     ESTABLISHED = "established"
     RETIRED = "retired"  # gets no more attempts and closes after the last one
     CLOSED = "closed"
@@ -62,10 +62,10 @@
     progress_interval: float  # between progress notes of an engine; 0: engines send none
 
     def on_attempt_ended(self, client_request_id: str) -> None:
-        """An attempt is no longer in flight on its connection."""
+        """Called when an attempt ends and its connection stays open; its id may then be sent again."""
 
     def on_connection_closed(self, connection: "EngineConnection") -> None:
-        """The connection has ended; its attempts end right after this call."""
+        """Called when the connection has ended; its attempts end right after this call."""
 
 
 class EngineConnection:
--- a/query_gateway/engine_protocol/liveness.py
+++ b/query_gateway/engine_protocol/liveness.py
@@ -28,13 +28,13 @@
         self.last_frame_end_at = now
 
     def on_bytes(self, now: float, within_frame: bool) -> None:
-        """Bytes have arrived; `within_frame`: they continue a frame that earlier bytes began."""
+        """Record that bytes have arrived; `within_frame`: they continue a frame that earlier bytes began."""
         self.last_received_at = now
         if not within_frame:
             self.last_frame_end_at = now
 
     def on_frame(self) -> None:
-        """The bytes that arrived last have completed a frame."""
+        """Record that the bytes that arrived last have completed a frame."""
         self.last_frame_end_at = self.last_received_at
 
     def deadline(self, attempts: AttemptTable, within_frame: bool, progress_wait: float) -> float | None:
--- a/query_gateway/engine_protocol/open_attempt.py
+++ b/query_gateway/engine_protocol/open_attempt.py
@@ -26,12 +26,12 @@
         self.response_started_at = self.last_page_at = 0.0
 
     def on_request_sent(self) -> None:
-        """The kernel has accepted the last byte of the request."""
+        """Record that the kernel has accepted the last byte of the request, and report it to the attempt."""
         self.request_sent = True
         self.attempt.on_written()
 
     def on_response_started(self, now: float) -> None:
-        """The first response line has arrived at loop time `now`."""
+        """Record that the first response line has arrived at loop time `now`."""
         self.has_response = True
         self.response_started_at = self.last_page_at = now
 
@@ -52,7 +52,7 @@
 
 
 def encode_attempt(attempt: AttemptHandle, now: int) -> bytes:
-    """Encode the request of an attempt as sent at clock time `now` (nanoseconds)."""
+    """Encode the request of an attempt; its time budget counts from the clock time `now` (nanoseconds)."""
     request = attempt.request
     budget_ms = max(1, (request.deadline - now) // MS)
     fields = {frames.CLASS_FIELD: request.class_name, frames.BUDGET_MS_FIELD: str(budget_ms)}
--- a/query_gateway/engine_protocol/pool.py
+++ b/query_gateway/engine_protocol/pool.py
@@ -57,9 +57,10 @@
     def start(self, attempt: AttemptHandle) -> None:
         """Send an attempt, on a new connection if necessary.
 
-        It ends as not sent if the engine is unknown, if an attempt with the same client request id is in
-        flight, or if no socket can be created for the duration of the dial timeout. It ends as a failed
-        connect if the dial fails.
+        The attempt ends as not sent if the engine is unknown or has no `web` address, if an attempt with the
+        same client request id is in flight, or if this host lacks a resource for the connection (such as a
+        descriptor, port or buffer) until the dial timeout. If the dial fails for another reason, the attempt
+        ends as a failed connect.
         """
         engine, client_request_id = attempt.endpoint, attempt.request.client_request_id
         endpoint = self.endpoints.get(engine)
@@ -125,11 +126,11 @@
     # ---- events of the connections (`ConnectionOwner`)
 
     def on_attempt_ended(self, client_request_id: str) -> None:
-        """An attempt is no longer in flight on its connection."""
+        """Forget the connection of an attempt that has ended; its client request id may now be sent again."""
         self.by_client_request_id.pop(client_request_id, None)
 
     def on_connection_closed(self, connection: EngineConnection) -> None:
-        """Remove a connection that has ended, and its engine's entry if it was the last one."""
+        """Forget a connection that has ended, and the connection of each attempt on it."""
         connections = self.connections.get(connection.engine, [])
         if connection in connections:
             connections.remove(connection)
@@ -146,7 +147,7 @@
     # ---- the endpoint list
 
     def update_endpoints(self, endpoints: list[Endpoint], is_snapshot: bool) -> None:
-        """Apply a change of the endpoint list; retires engines that are absent from a snapshot."""
+        """Apply a change of the endpoint list; retires connections to engines that a snapshot omits."""
         if is_snapshot:
             listed = {endpoint.info.name for endpoint in endpoints}
             for engine in [engine for engine in self.endpoints if engine not in listed]:
--- a/query_gateway/engine_protocol/response_handler.py
+++ b/query_gateway/engine_protocol/response_handler.py
@@ -3,8 +3,8 @@
 awaiting the response --OK--> awaiting pages --the last page--> finished, served
 awaiting the response --REFUSED, ERROR, STALE--> finished, with the outcome in `OUTCOMES`
 awaiting pages --REFUSED, ERROR, STALE--> finished, as an error
-either --an invalid or overdue result--> finished, as an error
-either --bytes that are not valid frames, or an overdue frame--> the connection ends, with all its attempts
+either state --an invalid or overdue result--> finished, as an error
+either state --bytes that are not valid frames, or an overdue frame--> the connection and all its attempts end
 """
 
 from typing import Final, Protocol
@@ -43,7 +43,7 @@
         """End an attempt with this outcome."""
 
     def fail_malformed(self, client_request_id: str) -> None:
-        """End an attempt whose result is invalid or overdue."""
+        """End an attempt whose result is invalid or overdue, and retire the connection."""
 
 
 class ResponseHandler:
--- a/query_gateway/gateway.py
+++ b/query_gateway/gateway.py
@@ -44,7 +44,7 @@
 if TYPE_CHECKING:
     from query_gateway.flight.server import FlightServer
 
-ANNOUNCING_FORWARDER_INDEX = 0  # of several forwarders, the one that announces the addresses
+ANNOUNCING_FORWARDER_INDEX = 0  # of several forwarders, the one that runs the BGP session
 
 
 class Gateway:
--- a/query_gateway/http/connection.py
+++ b/query_gateway/http/connection.py
@@ -7,7 +7,8 @@
     AWAITING A REQUEST --transferred to the successor, or the client disconnected--> CLOSED
     READING [_serve_plain_request, _serve_h11_request] --the request is complete--> HANDLING
     READING, HANDLING --the request is invalid or incomplete at its deadline: [_reject]--> CLOSING
-    READING, HANDLING --an unexpected exception: [_fail_for_fault]--> CLOSING
+    READING --an unexpected exception: [_fail_for_fault]--> CLOSED
+    HANDLING --an unexpected exception: [_fail_for_fault], which responds with 500--> CLOSING
     READING, HANDLING --the client disconnected--> CLOSED
     HANDLING --the answer is known--> RESPONDING [_send_response]
     RESPONDING --the response is sent, the connection is kept--> AWAITING A REQUEST
@@ -50,7 +51,8 @@
 
 FIRST_REQUEST_TIMEOUT_SECONDS = 2.0  # from the start of the connection to the end of its first request
 REQUEST_TIMEOUT_SECONDS = 5.0  # from the first to the last byte of a later request
-IDLE_TIMEOUT_SECONDS = 6.0  # for clients other than the platform's, which close idle connections after 4 s
+# Between two requests. The platform's clients close idle connections after 4 s, so only others reach it
+IDLE_TIMEOUT_SECONDS = 6.0
 LINGER_SECONDS = 1.0  # how long input is still read after the half-close
 TRANSFER_RETRY_SECONDS = 0.02  # interval between attempts to transfer a connection
 DRAIN_FIRST_REQUEST_SECONDS = 0.5  # from the start of a connection to its first byte, while draining
@@ -63,7 +65,7 @@
     """Transfers an idle connection to the successor in a hot upgrade."""
 
     def __call__(self, sock: socket.socket, peer: str, has_sent_request: bool, /) -> bool:
-        """Return whether the successor has accepted it.
+        """Send the connection to the successor; return False if the successor cannot receive it now.
 
         `has_sent_request`: a complete request has been read from the connection.
         """
@@ -233,7 +235,10 @@
     # ---- responses and the end of the connection
 
     def _send_response(self, response: Response, closing: bool = False) -> OptionalReasonCoroutine:
-        """Send the response and wait until all of it is passed to the kernel; return a reason on failure."""
+        """Send the response until the kernel has all of it; return the reason if the connection must end.
+
+        `closing`: the connection closes after this response in any case.
+        """
         self.sender.write(response, closing or self._is_last_response())
         self.handler.has_open_request = False
         return self.sender.wait_until_sent()
@@ -255,7 +260,7 @@
         return not self.stream.inbox and not self.http.trailing_data[0]
 
     def _fail_for_fault(self, error: Exception) -> ReasonCoroutine:
-        """Respond to a request whose handling raised an unexpected exception."""
+        """Log an unexpected exception, and respond with 500 if a request is open; return the reason."""
         log("fault", f"unexpected exception while handling a request: {error!r}")
         self.loop.faults += 1
         self.handler.abandon()
@@ -279,8 +284,8 @@
         """Close as RFC 9112 section 9.6 recommends: half-close, then read for up to `LINGER_SECONDS`.
 
         A request that arrives after the half-close is not served, as its response could not be sent; the
-        client retries it on another connection. If the client has exceeded `MAX_DISCARDED_BYTES`, the
-        connection is closed without the half-close and the wait.
+        client retries it on another connection. If more than `MAX_DISCARDED_BYTES` of the client's input have
+        been discarded, the connection is closed without the half-close and the wait.
         """
         if self.handler.has_sent_too_much:
             return reason
--- a/query_gateway/http/h11_request.py
+++ b/query_gateway/http/h11_request.py
@@ -53,7 +53,10 @@
 def _receive_data(
     connection: h11.Connection, stream: Stream, deadline: float
 ) -> Generator[float | None, None, Reason | None]:
-    """Pass the bytes read so far to h11, or wait for more; raises RequestError after the deadline."""
+    """Pass the bytes read so far to h11, or wait for more; return the reason if the connection has ended.
+
+    Raises RequestError after the deadline.
+    """
     if stream.inbox:
         connection.receive_data(stream.take_inbox())
     elif stream.is_over:
--- a/query_gateway/http/request_decoding.py
+++ b/query_gateway/http/request_decoding.py
@@ -7,7 +7,7 @@
 from query_gateway.model.units import MS
 
 # The part of the client's timeout that is reserved for the transfer of the request and the response on the
-# client's connection
+# client's connection; at most half of the timeout is reserved
 RETURN_TRIP_RESERVE_NS = 15 * MS
 MAX_TTL_MS = 3_600_000
 MAX_TTL_DIGITS = 9
--- a/query_gateway/http/request_handler.py
+++ b/query_gateway/http/request_handler.py
@@ -17,8 +17,11 @@
 if TYPE_CHECKING:
     from query_gateway.parsing.service import Classification, ClassificationRequest, StatementService
 
-MAX_LOOP_LAG_SECONDS = 0.25  # above it new requests are rejected before they cost the forwarder any time
-MAX_DISCARDED_BYTES = 1_048_576  # limit per connection of input discarded from full inboxes
+# `Loop.lag` above which new requests are rejected before they cost the forwarder any time
+MAX_LOOP_LAG_SECONDS = 0.25
+# Input discarded from full inboxes on one connection, above which its open request is answered with 413 and
+# the connection closed
+MAX_DISCARDED_BYTES = 1_048_576
 
 
 class RequestContext(Protocol):
@@ -29,11 +32,11 @@
     statements: "StatementService | None"  # None if the parsing of statements is off
 
     def draining_for(self, seconds: float = 0.0) -> bool:
-        """Whether the server has been draining for at least this time."""
+        """Whether the server has been draining for at least `seconds`."""
 
 
 def _has_left_after_answer() -> bool:
-    """Replaces the check of the client connection once the answer has been given."""
+    """Replaces the connection's check in a `PendingAnswer` that has its answer; see `send_answer`."""
     return True
 
 
@@ -50,7 +53,7 @@
         return self._has_left()
 
     def send_page(self, page: bytes, on_sent: Callable[[], None]) -> None:
-        """Never called: the line protocol, by which this front's requests run, does not stream results."""
+        """Never called: this front's engines use the line protocol, which does not stream results."""
         raise NotImplementedError("the HTTP front does not support streamed results")
 
     def send_answer(self, answer: Answer) -> None:
@@ -95,7 +98,7 @@
         return (yield from self._await_answer(pending))
 
     def abandon(self) -> None:
-        """Abandon the exchange, as the client no longer waits for its answer."""
+        """Abandon the exchange of the open request, if there is one; its answer is no longer needed."""
         exchange, self._exchange = self._exchange, None
         if exchange:
             exchange.abandon()
@@ -138,10 +141,11 @@
     def _classify(
         self, request: ClientRequest, pending: PendingAnswer, statements: "StatementService"
     ) -> Generator[float | None, None, ClientRequest]:
-        """Return the request with the fingerprint of its statement; its class and key do not change.
+        """Return the request, with the fingerprint of its statement if the class is idempotent.
 
-        Raises RequestError for a write under a class whose requests may run twice. If the statement cannot
-        be classified, or its shape is at its limit, the request is rejected through `pending`.
+        The class and the key do not change. Raises RequestError for a write under an idempotent class, as
+        requests of such a class may run twice. If the statement cannot be classified now, or too many
+        statements of its shape are running, the request is rejected through `pending`.
         """
         if request.class_name not in statements.classifier.idempotent_classes:
             return request
@@ -187,7 +191,7 @@
         """Discard a full inbox: reading pauses while it is full, which would hide a client's disconnect.
 
         The connection then closes after its answer. Returns True if the client has exceeded
-        `MAX_DISCARDED_BYTES`, so that the connection is to be closed at once.
+        `MAX_DISCARDED_BYTES`, so that the connection must close without waiting for the answer.
         """
         if self.stream.read_paused:
             self.discarded_bytes += len(self.stream.take_inbox())
--- a/query_gateway/http/response_sender.py
+++ b/query_gateway/http/response_sender.py
@@ -35,7 +35,10 @@
             self.stream.write(encode_h11_response(self.http, response, is_last, self.wants_body))
 
     def wait_until_sent(self) -> Generator[float | None, None, Reason | None]:
-        """Wait until the kernel has accepted all bytes; return the reason if the connection ends first."""
+        """Wait until the kernel has accepted all bytes; return the reason if the connection must end first.
+
+        This is the case if the client resets it, or does not read for `RESPONSE_TIMEOUT_SECONDS`.
+        """
         stream = self.stream
         deadline = stream.loop.now() + RESPONSE_TIMEOUT_SECONDS
         while stream.outbox:
--- a/query_gateway/http/server.py
+++ b/query_gateway/http/server.py
@@ -54,7 +54,7 @@
         )
 
     def draining_for(self, seconds: float = 0.0) -> bool:
-        """Whether the server has been draining for at least this time."""
+        """Whether the server has been draining for at least `seconds`."""
         return self.draining_since is not None and self.loop.now() >= self.draining_since + seconds
 
     def _on_readiness_changed(self) -> None:
@@ -74,7 +74,7 @@
         `has_sent_request` is set for a transferred connection that has had a complete request. The limit
         reserves descriptors for connections to engines. At the limit the connection that has waited longest
         for its first or next request is evicted, so that clients that send nothing cannot lock out others. If
-        every connection has an open request, `MAX_OVERFLOW_CONNECTIONS` more are accepted, whose requests are
+        no connection can be evicted, `MAX_OVERFLOW_CONNECTIONS` more are accepted, whose requests are
         rejected; any further ones are closed unread.
         """
         if len(self.connections) >= self.max_connections:
@@ -98,11 +98,10 @@
     def _eviction_candidate(self) -> HttpConnection | None:
         """The connection to evict, or None.
 
-        It is the oldest from which no byte has arrived, else the one that has been idle longest, else the
-        oldest with an incomplete first request.
-
-        The first two cases read what has arrived before they judge a connection, so that one whose request
-        has arrived but has not been read is not evicted as inactive.
+        Chosen is the oldest connection from which no byte has arrived, else the one that has been idle
+        longest, else the oldest with an incomplete first request. A connection with bytes in its inbox is not
+        evicted, as they may complete a request. The first two cases therefore read what has arrived before
+        they judge a connection.
         """
         for connection in islice(self.awaiting_first_request, MAX_EVICTION_CANDIDATES):
             connection.stream.read_available()
@@ -116,7 +115,7 @@
         return next(incomplete, None)
 
     def start_transfer(self, transfer: IdleTransfer | None) -> None:
-        """Transfer connections once they are idle; with None close them, as without a successor."""
+        """Transfer connections to the successor once they are idle; None: close them instead."""
         self.transfer = transfer
         if transfer is None:
             self.closing = True
--- a/query_gateway/simulator_adapter.py
+++ b/query_gateway/simulator_adapter.py
@@ -166,7 +166,8 @@
     return GossipMessage(int(fields[1]), data.decode("latin-1"))
 
 
-# By the keyword that starts a line. The arguments are the other fields and whether the site reports costs.
+# The decoder of an event line, by the keyword that starts the line. Its arguments are the fields after the
+# keyword, and whether the site reports costs.
 EVENT_DECODERS: dict[str, Callable[[list[str], bool], Event]] = {
     "arrival": _decode_arrival,
     "completed": _decode_completion,
@@ -196,7 +197,7 @@
     return f"assign_terms {instance_number} {action.request_id} {action.memory_mb:g} {action.priority}"
 
 
-# By the type of the action. The arguments are the instance number and the action.
+# The encoder of an action, by the type of the action. Its arguments are the instance number and the action.
 ACTION_ENCODERS: dict[type[Action], Callable[[int, Any], str]] = {
     Forward: lambda instance_number, action: (
         f"place {instance_number} {action.request_id} {action.timeout} {action.endpoint}"
