--- a/query_gateway/bgp/messages.py
+++ b/query_gateway/bgp/messages.py
@@ -157,7 +157,7 @@
 
 
 def encode_keepalive() -> bytes:
-    """Encode a KEEPALIVE."""
+    """Encode a KEEPALIVE, which consists of the header only."""
     return _encode(MessageType.KEEPALIVE)
 
 
@@ -285,7 +285,7 @@
 
 
 def _decode_parameters(parameters: bytes) -> int | None:
-    """Return the four-octet AS number in the optional parameters of an OPEN, or None."""
+    """Return the four-octet AS number in the optional parameters of an OPEN; None if there is none."""
     asn = None
     while parameters:
         if len(parameters) < 2 or len(parameters) < 2 + parameters[1]:
@@ -299,7 +299,7 @@
 
 
 def _decode_capabilities(capabilities: bytes) -> int | None:
-    """Return the AS number in the four-octet AS number capability, or None; others are skipped."""
+    """Return the AS number in the four-octet AS number capability, if any; other capabilities are skipped."""
     asn = None
     while capabilities:
         if len(capabilities) < 2 or len(capabilities) < 2 + capabilities[1]:
--- a/query_gateway/bgp/session.py
+++ b/query_gateway/bgp/session.py
@@ -216,7 +216,8 @@
         """Close the connection gracefully, so that the peer can read our last message; return `reason`.
 
         Closing a socket with unread input causes a TCP reset, which discards data that the peer has not read
-        yet, including the NOTIFICATION with the cause. So input is read until the peer closes.
+        yet, including the NOTIFICATION with the cause. So input is discarded until the peer closes, for at
+        most LINGER_TIME_S.
         """
         yield from stream.close_gracefully(LINGER_TIME_S)
         return reason
--- a/query_gateway/bgp/settings.py
+++ b/query_gateway/bgp/settings.py
@@ -14,5 +14,5 @@
     identifier: IPv4Address
     next_hop: IPv4Address
     networks: tuple[IPv4Network, ...]
-    hold_time: int = 90  # seconds, as proposed in our OPEN; 0: no keepalives
+    hold_time: int = 90  # seconds, as proposed in our OPEN; 0: neither a hold timer nor keepalives
     reconnect_delay: float = 5.0  # seconds from the end of a connection to the next attempt to connect
--- a/query_gateway/flight/client_call.py
+++ b/query_gateway/flight/client_call.py
@@ -126,7 +126,7 @@
     # ---- from the message to the forwarder
 
     def _classify(self, text: str, is_update: bool) -> None:
-        """Forward a statement: after it was parsed if statement parsing is enabled, otherwise at once."""
+        """Forward a statement: after classification if statement parsing is enabled, otherwise at once."""
         server = self.server
         stream = self.call.connection.stream
         arrival = stream.arrivals.time_of(stream.arrivals.received, server.loop.now())
@@ -146,7 +146,7 @@
         watermark = server.loop.watermark
 
         def on_classified(classification: "Classification") -> None:
-            """Let the watermark advance past the statement and handle its classification."""
+            """Let the loop's arrival watermark advance past the statement, and handle the classification."""
             watermark.release(self)
             self._on_classified(statement, classification)
 
@@ -161,7 +161,7 @@
     def _classification_request(
         self, statement: FlightStatement, class_name: str | None
     ) -> "ClassificationRequest":
-        """Build the request to the parser; without grpc-timeout it has no deadline.
+        """Build the request to the statement service, without a deadline if there is no grpc-timeout.
 
         The default timeout depends on the class, which is only known after the parse.
         """
@@ -210,7 +210,7 @@
     # ---- the answer
 
     def _reject_unforwarded(self, class_name: str, reason: EarlyRejection, message: str) -> None:
-        """Reject a request that was not passed to the forwarder, with the configured Retry-After time."""
+        """Reject a request that was not passed to the forwarder, with the maximum Retry-After time."""
         rejection = self.server.forwarder.reject_unaccepted(self.client_request_id, class_name, reason)
         self._reject(message, rejection)
 
--- a/query_gateway/flight/engines.py
+++ b/query_gateway/flight/engines.py
@@ -54,8 +54,8 @@
         self.opened_at = 0  # clock time when the call's headers were encoded
         self.method = FlightMethod.DO_PUT if attempt.request.is_update else FlightMethod.GET_FLIGHT_INFO
         self.tickets: list[bytes] = []
-        # Held until more follows, as it has no rows: once any message of a result has been forwarded, no
-        # other attempt can serve the request
+        # The first message of a result, which has no rows. It is held back until more follows: once any
+        # message of a result has been forwarded, no other attempt can serve the request
         self.schema: ResultMessage | None = None
         self.status: str | None = None  # grpc-status of the current call
         self.is_ended = False
@@ -72,7 +72,7 @@
         return self.call is None or bool(self.call.queue)
 
     def begin(self) -> None:
-        """Open the first call, unless the attempt must no longer be written."""
+        """Open the first call; if the attempt must no longer be written, end it as not sent."""
         self.pool.postponed.remove(self.attempt)
         if not self.attempt.may_be_written():
             self.end(OutcomeCode.NOT_SENT)
@@ -124,7 +124,7 @@
         )
 
     def _may_send_message(self, message: bytes) -> bool:
-        """Whether the message may follow the call's headers; if their deadline is too old, reopen the call.
+        """Whether the message may be sent; if the deadline in the call's headers is too old, reopen the call.
 
         Reopening is safe, as the engine executes nothing of a call whose message it has not received.
         """
@@ -351,7 +351,10 @@
         return connection
 
     def withdraw(self, attempt: AttemptHandle) -> bool:
-        """Cancel the attempt if the engine cannot have started to execute it; return whether it did so."""
+        """Cancel the attempt if the engine cannot have started to execute it.
+
+        Returns whether the attempt was cancelled.
+        """
         flight_attempt = self.attempts.get(id(attempt))
         if flight_attempt is None:
             return self.postponed.remove(attempt)
@@ -387,7 +390,7 @@
             self._drain_connection(self.connections.pop(engine))
 
     def _drain_connection(self, connection: FlightConnection) -> None:
-        """Open no more calls; end the attempts that the engine has not started, so that others run them."""
+        """Open no more calls; end the attempts not started by the engine, so that other engines run them."""
         connection.grpc.drain()
         for flight_attempt in list(self.attempts.values()):
             if flight_attempt.connection is connection and self.withdraw(flight_attempt.attempt):
--- a/query_gateway/flight/messages.py
+++ b/query_gateway/flight/messages.py
@@ -35,7 +35,7 @@
 
 
 class FlightMessageError(Exception):
-    """The bytes are not the expected message; the text is sent to the client."""
+    """The bytes are not the expected message; if a client sent them, the text is sent to this client."""
 
 
 @dataclass(slots=True, frozen=True)
@@ -109,7 +109,7 @@
 
 
 def _unpack(data: bytes, name: str) -> Any:
-    """Return the message `name` that is wrapped in an encoded Any; raises FlightMessageError for others."""
+    """Return the message `name` in an encoded protobuf Any; raises FlightMessageError for other content."""
     try:
         outer = any_pb2.Any.FromString(data)
     except DecodeError:
--- a/query_gateway/flight/requests.py
+++ b/query_gateway/flight/requests.py
@@ -20,7 +20,8 @@
 GRPC_TIMEOUT = re.compile(r"(\d{1,8})([HMSmun])")
 GRPC_TIMEOUT_UNITS_NS = {"H": 3600 * 10**9, "M": 60 * 10**9, "S": 10**9, "m": 10**6, "u": 10**3, "n": 1}
 MAX_TIMEOUT_NS = 3600 * 10**9
-REQUEST_ID_DIGITS, KEY_DIGITS, IDEMPOTENCY_KEY_DIGITS = 16, 16, 32  # hexadecimal digits in these headers
+# Hexadecimal digits in the headers x-txn, x-row and x-txn-key
+REQUEST_ID_DIGITS, KEY_DIGITS, IDEMPOTENCY_KEY_DIGITS = 16, 16, 32
 MAX_WORK_HINT_MS = 1e8
 MAX_MEMORY_HINT_MB = 1e7
 MAX_NAME_IN_ERROR = 80  # characters of a client-supplied name that an error message repeats
@@ -123,7 +124,7 @@
 def _ordering_key(
     flight_class: FlightClass, headers: dict[str, str], classification: "Classification | None"
 ) -> str | None:
-    """Return the key from the statement, or else from the header."""
+    """Return the key that classification found in the statement, else the one in the header x-row."""
     decision = classification.decision if classification else None
     if decision and decision.key:
         return decision.key
@@ -133,7 +134,11 @@
 def _idempotency_key(
     flight_class: FlightClass, headers: dict[str, str], classification: "Classification | None"
 ) -> str | None:
-    """Return the header's key; if it is missing and the statement was parsed, generate one."""
+    """Return the key in the header x-txn-key; None if the header is missing and the class needs no key.
+
+    If it is missing although the class needs a key, one is generated for a classified statement; otherwise
+    RequestError is raised.
+    """
     is_parsed = bool(classification and classification.decision)
     is_required = flight_class.needs_idempotency_key and not is_parsed
     idempotency_key = hex_header(headers, "x-txn-key", IDEMPOTENCY_KEY_DIGITS, is_required)
--- a/query_gateway/parsing/frames.py
+++ b/query_gateway/parsing/frames.py
@@ -12,7 +12,7 @@
 from query_gateway.statements.messages import ParseResult, Rules
 from query_gateway.statements.normalizer import NormalizedStatement
 
-LENGTH = struct.Struct("!I")  # bytes of the value that follows
+LENGTH = struct.Struct("!I")  # the length prefix: size in bytes of the value that follows
 MAX_FRAME_BYTES = 1 << 20
 READY = 0  # request number of the response that reports a process as ready
 
@@ -22,7 +22,7 @@
 
 
 class ParseRequest(msgspec.Struct, frozen=True, array_like=True):
-    """A request to parse a statement. Its literals are omitted, as no parse result depends on them."""
+    """A request to parse a statement; omits the statement's literals, as no parse result depends on them."""
 
     request_number: int
     tokens: list[str]
@@ -53,9 +53,9 @@
 
 
 def take_frame(buffer: bytearray) -> bytes | None:
-    """Remove the first complete frame from the buffer and return its value; None if it is incomplete.
+    """Remove the first frame from the buffer and return its encoded value; None if no frame is complete.
 
-    Raises FrameTooLongError.
+    Raises FrameTooLongError if the length prefix exceeds MAX_FRAME_BYTES.
     """
     if len(buffer) < LENGTH.size:
         return None
--- a/query_gateway/parsing/parsers.py
+++ b/query_gateway/parsing/parsers.py
@@ -18,12 +18,14 @@
 PARSE_TIMEOUT_S = 0.25
 START_TIMEOUT_S = 10.0  # for a new parser process to become ready
 MAX_WAITING = 256  # limit both of the statements queued for a parser and of the callbacks of one statement
-MAX_WAIT_S = 1.0  # in the queue for a parser
-MAX_FAILED_STARTS = 5  # consecutive, after which starts are delayed
-RESTART_BACKOFF_S = 5.0  # delay of each further start
+MAX_WAIT_S = 1.0  # of a statement in the queue for a parser
+MAX_FAILED_STARTS = 5  # consecutive failed starts, from which on each start is delayed
+RESTART_BACKOFF_S = 5.0  # delay of each start after MAX_FAILED_STARTS failed ones
 QUARANTINE_S = 30.0  # of a statement whose parser was lost; doubled at each further loss
 MAX_QUARANTINE_S = 3_600.0
-MAX_QUARANTINED = 1_024  # statements in quarantine
+# Statements whose quarantine is recorded, even if it has expired, as the next one lasts twice as long. The
+# oldest record is removed first.
+MAX_QUARANTINED = 1_024
 
 ParseCallback = Callable[[ParseResult | None], None]  # None: not parsed, the client has to retry
 
@@ -91,7 +93,7 @@
 
 
 class ParserPool:
-    """Assigns statements to parser processes; the caller starts and kills these and exchanges the frames."""
+    """Assigns statements to parser processes; ParserSupervisor runs them and exchanges the frames."""
 
     def __init__(self, slot_count: int) -> None:
         """Create the slots, all in the state STARTING."""
@@ -103,7 +105,7 @@
         self.timed_out_count = self.lost_count = 0
 
     def quarantined(self, statement: NormalizedStatement, now: float) -> ParseResult | None:
-        """Return the result of a statement in quarantine; None if it may be parsed.
+        """Return a result that rejects the statement while it is in quarantine; None if it may be parsed.
 
         A quarantine expires, as a parser may also be lost for a reason other than its statement.
         """
@@ -113,9 +115,9 @@
         return ParseResult(True, reason=quarantine.reason, is_parsed=False)
 
     def add(self, statement: NormalizedStatement, now: float, callback: ParseCallback) -> bool:
-        """Queue a statement; equal fingerprints are parsed once. `callback` is called once, later.
+        """Queue a statement with the callback for its result; equal fingerprints share one parse.
 
-        Returns False, and never calls `callback`, if MAX_WAITING is reached.
+        Returns False, without storing `callback`, if MAX_WAITING is reached.
         """
         if pending := self.pending.get(statement.fingerprint):
             if len(pending.callbacks) >= MAX_WAITING:
@@ -158,7 +160,7 @@
         return pending
 
     def lost(self, slot: ParserSlot, reason: str, now: float) -> PendingParse | None:
-        """Record that a process was killed or died; quarantines and returns its statement, to be rejected."""
+        """Record that a process was killed or died; returns its statement, quarantined and to be rejected."""
         if slot.state is SlotState.STARTING:
             self.failed_starts += 1
         else:
--- a/query_gateway/parsing/service.py
+++ b/query_gateway/parsing/service.py
@@ -58,7 +58,8 @@
 class StatementService:
     """Classifies statements for the fronts, and learns costs and limits from the outcomes of their attempts.
 
-    Owns the classifier, the parser processes and the snapshot file. `stop` shuts them down.
+    Owns the classifier, the parser processes and the snapshot file. `stop` saves the cost estimates and ends
+    the processes.
     """
 
     def __init__(
@@ -69,7 +70,7 @@
         parsers: int = 2,
         capacity: int = MAX_SHAPES,
     ) -> None:
-        """`parsers`: number of parser processes, started here; `capacity`: number of cached shapes."""
+        """`parsers`: number of parser processes, started here; `capacity`: limit of the cached shapes."""
         self.loop = loop
         self.classifier = Classifier(rules, idempotent_classes, capacity)
         self.stopped = False
@@ -83,7 +84,7 @@
     def classify(self, request: ClassificationRequest, callback: ClassificationCallback) -> None:
         """Call `callback` once: immediately if no parse is needed or possible, else after the parse.
 
-        The wait for the parse ends at the request's deadline at the latest.
+        If the request's deadline passes before the end of the parse, `decision` is None.
         """
         try:
             statement = self.classifier.normalize(request.text)
@@ -191,9 +192,9 @@
     # ---- cost estimates across restarts and upgrades
 
     def restore(self, path: str, inherited: object = None) -> None:
-        """Restore the estimates that a predecessor transferred, else those of the file at `path`.
+        """Restore the estimates in `inherited`, from a predecessor, else those in the file at `path`.
 
-        From now on the file is saved every SAVE_INTERVAL_S; an empty path means no file.
+        From now on the estimates are saved to the file every SAVE_INTERVAL_S; an empty path means no file.
         """
         costs = self.classifier.costs
         is_inherited = inherited is not None and costs.restore(inherited)
--- a/query_gateway/parsing/snapshot_store.py
+++ b/query_gateway/parsing/snapshot_store.py
@@ -15,7 +15,7 @@
 
 from query_gateway.net.log import log
 
-HEADER = "mothknot-costs 1"  # format name and version; other versions of the gateway read and write the same
+HEADER = "mothknot-costs 1"  # format name and version; other versions of the gateway use the same file
 DIGEST_BYTES = 16
 MAX_FILE_BYTES = 16 << 20  # a longer file is not loaded
 
--- a/query_gateway/parsing/supervisor.py
+++ b/query_gateway/parsing/supervisor.py
@@ -14,17 +14,17 @@
 
 RECEIVE_BYTES = 65_536
 REQUEST_NUMBER = 1  # constant, as a process has one request at a time
-START_RETRY_S = 1.0  # after a failed start of a process
-TIMER_SLACK_S = 0.001  # added to a deadline, which has then passed when the timer fires
-# The reasons for restarting a parser process, which are logged; the first two are also sent to the clients of
-# its statement
+START_RETRY_S = 1.0  # minimum delay of the next try after a process could not be started
+TIMER_SLACK_S = 0.001  # added to the time of a timer, so that its deadline has passed when it fires
+# The reasons for restarting a parser process, which are logged. The first two are also sent to the clients
+# whose statement the process was parsing ("it" is the statement).
 PROCESS_LOST = "the parser died on it"
 TIMED_OUT = "it takes too long to parse"
 RULES_CHANGED = "the rules have changed"
 
 
 class ParserProcess:
-    """A parser process and the gateway's end of the socket pair, which the loop closes."""
+    """A parser process, and the gateway's end of the socket pair, which `Loop.dispose` closes."""
 
     def __init__(self, rules: Rules) -> None:
         """Start the process and send it the rules. Raises OSError."""
@@ -61,7 +61,7 @@
             self._start(slot)
 
     def submit(self, statement: NormalizedStatement, now: float, callback: ParseCallback) -> bool:
-        """Queue a statement for a parse; `callback` is called once, later.
+        """Queue a statement for a parse; `callback` is called once, later, unless `close` is called before.
 
         Returns False, and never calls `callback`, if too many are waiting or the supervisor is closed.
         """
@@ -71,7 +71,7 @@
         return True
 
     def quarantined(self, statement: NormalizedStatement) -> ParseResult | None:
-        """Return the result of a statement in quarantine; None if it may be parsed."""
+        """Return a result that rejects the statement while it is in quarantine; None if it may be parsed."""
         return self.pool.quarantined(statement, self.loop.now())
 
     def update_rules(self, rules: Rules) -> None:
--- a/query_gateway/parsing/worker.py
+++ b/query_gateway/parsing/worker.py
@@ -1,4 +1,4 @@
-"""A parser process. Its standard input is a socket: it receives the rules, then answers parse requests."""
+"""A parser process: receives the rules on its standard input, a socket, then answers parse requests."""
 
 import contextlib
 import resource
@@ -54,7 +54,8 @@
 
 def main() -> None:
     """Serve parse requests until the gateway closes its end of the socket."""
-    signal.signal(signal.SIGINT, signal.SIG_IGN)  # the process exits when the gateway closes its socket
+    # Ctrl-C in a terminal also signals this process, which is to exit when the gateway closes its socket
+    signal.signal(signal.SIGINT, signal.SIG_IGN)
     resource.setrlimit(resource.RLIMIT_AS, (MAX_MEMORY_BYTES, MAX_MEMORY_BYTES))
     # A gateway that exits may leave responses unread, which makes the next send or receive fail
     with socket.socket(fileno=STDIN) as sock, contextlib.suppress(BrokenPipeError, ConnectionResetError):
--- a/query_gateway/rpc/__init__.py
+++ b/query_gateway/rpc/__init__.py
@@ -4,6 +4,6 @@
 state of each connection and the queued messages of each call; the socket buffers belong to `net`. Imported
 only by the Flight SQL server and engine client, and independent of their message types.
 
-Modules import in one direction: `connection`, `peer_events`, `call`, `framing`. The Protocols `CallOwner` and
-`CallConnection` are the interfaces of the connection to the modules that it imports.
+Modules import in one direction: `connection`, `peer_events`, `call`, `framing`. `peer_events` and `call`
+access the connection through the Protocols `CallOwner` and `CallConnection`.
 """
--- a/query_gateway/rpc/call.py
+++ b/query_gateway/rpc/call.py
@@ -6,8 +6,8 @@
       |                                     |                                                 |
       `---- trailers sent, reset by either side, refused by a GOAWAY, connection ended -------+--> CLOSED
 
-From HALF_CLOSING on nothing more is queued, and in CLOSED nothing is sent. Only the connection closes a call
-(`mark_closed`), as it owns the table of open calls.
+From HALF_CLOSING on the owner must queue nothing more, and in CLOSED nothing is sent. Only the connection
+closes a call (`mark_closed`), as it owns the table of open calls.
 """
 
 from collections import deque
@@ -41,7 +41,10 @@
         """The peer has half-closed the call and sends nothing more on it."""
 
     def on_aborted(self, never_ran: bool) -> None:
-        """The call was reset or its connection ended; `never_ran`: the peer cannot have processed it."""
+        """The call was reset or refused, or its connection ended.
+
+        `never_ran`: the peer cannot have processed the call.
+        """
 
 
 class CallState(Enum):
@@ -55,11 +58,11 @@
 
 @dataclass(slots=True)
 class QueuedMessage:
-    """The unsent rest of one message, which includes its prefix."""
+    """One message with its prefix; the part that has been sent is removed from `data`."""
 
     data: bytes
     on_sent: Callable[[], None] | None  # called once flow control has released the last byte
-    may_send: Callable[[], bool] | None  # called right before the first byte is sent
+    may_send: Callable[[], bool] | None  # asked right before the first byte is sent; see `Call.send`
 
 
 class CallConnection(Protocol):
@@ -76,7 +79,7 @@
         """Schedule the connection's task."""
 
     def flush(self) -> None:
-        """Move the data that h2 has encoded to the stream."""
+        """Write the frames that h2 has encoded to the stream."""
 
     def remove_call(self, call: "Call") -> None:
         """Mark a call as closed, discard its queue and remove it from the open calls."""
@@ -104,7 +107,7 @@
 
     @property
     def is_closed(self) -> bool:
-        """Whether the call has ended: nothing more is sent, and only an abort is still reported."""
+        """Whether the call has ended: nothing more is sent; the handler may still get `on_aborted`."""
         return self.state is CallState.CLOSED
 
     def send_headers(self, headers: Headers, end_stream: bool = False) -> None:
@@ -126,8 +129,8 @@
         """Queue a message, given without its prefix, and send as much as the windows admit.
 
         `on_sent` is called once flow control has released the complete message, possibly at once. With
-        `half_close` it is the last message of the call. `may_send` is called once the windows and the socket
-        have accepted everything before the message; it must close the call if it returns False.
+        `half_close` it is the last message of the call. `may_send` is asked once the windows and the socket
+        have accepted everything before the message; before it returns False, it must close the call.
         """
         if self.is_closed:
             return
@@ -191,7 +194,7 @@
         return True
 
     def _may_send_first_byte(self, message: QueuedMessage) -> bool:
-        """Whether the first byte of the message may be sent now, or has been sent already."""
+        """Whether the message may be sent now; `may_send`, if any, is asked only before the first byte."""
         if message.may_send is None:
             return True
         self.connection.flush()  # may fill the outbox if the socket does not accept the call's headers
--- a/query_gateway/rpc/connection.py
+++ b/query_gateway/rpc/connection.py
@@ -4,8 +4,8 @@
                       |                                          |
                       `------- connection lost, protocol error, close() -------------------> ended
 
-Client connections are also drained after `IDLE_TIMEOUT_S` without a call. The end of a connection aborts its
-open calls.
+A server-side connection, which is one from a client, is also drained if it has no open calls and has received
+nothing for `IDLE_TIMEOUT_S`. The end of a connection aborts its open calls.
 """
 
 import contextlib
@@ -28,10 +28,10 @@
 MAX_CONCURRENT_CALLS = 1_000  # per connection
 MAX_HEADER_LIST_BYTES = 65_536
 FIRST_BYTES_TIMEOUT_S = 2.0  # until a client must have sent its first bytes
-IDLE_TIMEOUT_S = 300.0  # after which a client connection without calls is closed
+IDLE_TIMEOUT_S = 300.0  # without data, after which a client's connection without calls is closed
 SLOW_READER_TIMEOUT_S = 30.0  # for a client to read the rest of its last response
 HALF_CLOSE_TIMEOUT_S = 1.0  # for a client to close its side after the gateway has closed its own
-MAX_OUTBOX_BYTES = 1_048_576  # per client that does not read; further data stays queued in its calls
+MAX_OUTBOX_BYTES = 1_048_576  # unsent, per connection of a client; further data stays queued in its calls
 
 TaskGenerator = Generator[float | None, None, None]
 
@@ -44,7 +44,7 @@
     """
 
     def __init__(self, loop: Loop, stream: Stream, is_client: bool) -> None:
-        """Send the preface and start the connection's task; a client's stream may still be dialling."""
+        """Send the preface and start the connection's task; with `is_client`, `stream` may be dialling."""
         self.loop, self.stream, self.is_client = loop, stream, is_client
         self.h2 = _new_h2_connection(is_client)
         self.calls: dict[int, Call] = {}  # the open calls, by stream id
@@ -59,7 +59,8 @@
         self.h2.initiate_connection()  # now, as calls may be opened before the task runs
         self.h2.increment_flow_control_window(CONNECTION_WINDOW_INCREMENT_BYTES)
         self.flush()
-        # Urgent for clients: a frame that cancels a call must be read before an attempt for the call is sent
+        # Urgent on the server side: if a client cancels a call, its frame must be handled before an attempt
+        # for the call is sent to an engine
         self.task: Task = loop.spawn(self._run(), is_urgent=not is_client)
         stream.on_activity = self.task.wake
 
@@ -117,7 +118,7 @@
         self.task.wake()
 
     def flush(self) -> None:
-        """Move the data that h2 has encoded to the stream."""
+        """Write the frames that h2 has encoded to the stream."""
         if data := self.h2.data_to_send():
             self.stream.write(data)
 
@@ -176,7 +177,7 @@
                 self._end_idle_connection()
 
     def _idle_deadline(self) -> float | None:
-        """Return the loop time at which a client connection without calls is closed; None: no limit.
+        """Return the loop time at which a client's connection without calls is closed; None: no limit.
 
         Without this limit, clients that send nothing or never close would exhaust the file descriptors, and
         other clients could no longer connect.
@@ -188,7 +189,8 @@
     def _end_idle_connection(self) -> None:
         """Drain, unless data has just arrived.
 
-        A call that the client sends before it receives the GOAWAY is refused, and so known not to have run.
+        A call that the client sends before it receives the GOAWAY is refused, so the client knows that the
+        call has not run.
         """
         self.stream.read_available()
         if not self.stream.inbox:
@@ -199,7 +201,8 @@
         """Send the rest of the outbox, then half-close and wait for the client to close its side.
 
         Closing a socket with unsent or unread bytes causes a TCP reset, and the client loses the end of its
-        last response. So the close waits until the outbox is empty and the client has closed its side.
+        last response. So the close waits until the outbox is empty and the client has closed its side, for
+        at most SLOW_READER_TIMEOUT_S and HALF_CLOSE_TIMEOUT_S.
         """
         deadline = self.loop.now() + SLOW_READER_TIMEOUT_S
         while self.stream.outbox and not self.stream.reset and self.loop.now() < deadline:
--- a/query_gateway/rpc/peer_events.py
+++ b/query_gateway/rpc/peer_events.py
@@ -29,8 +29,8 @@
     def __init__(self, connection: CallOwner) -> None:
         """Start without any call or GOAWAY of the peer."""
         self.connection = connection
-        self.newest_stream_id = 0  # of the last call that the peer opened
-        self.goaway_stream_id = MAX_STREAM_ID  # the last stream that the peer's GOAWAY includes
+        self.newest_stream_id = 0  # of the peer's last call that was not refused
+        self.goaway_stream_id = MAX_STREAM_ID  # the last stream that the peer's GOAWAY does not refuse
 
     def is_refused(self, call: Call) -> bool:
         """Whether the peer's GOAWAY guarantees that it did not process this call (RFC 9113 section 6.8)."""
@@ -86,8 +86,8 @@
         call = self._find_call(event.stream_id)
         if call is None or call.is_closed:
             # Data for a closed call still counts towards the connection's flow-control window (RFC 9113
-            # section 5.1) and is acknowledged nowhere else. Without this, the window would shrink until the
-            # peer could not send on any call
+            # section 5.1) and is acknowledged nowhere else. Without the acknowledgement, the window would
+            # shrink until the peer could not send on any call
             self.connection.h2.acknowledge_received_data(flow_controlled_bytes, event.stream_id)
         else:
             self._decode_messages(call, event.data or b"", flow_controlled_bytes)
--- a/query_gateway/statements/cache.py
+++ b/query_gateway/statements/cache.py
@@ -1,7 +1,8 @@
 """W-TinyLFU: a bounded cache that resists pollution by entries that are used only once.
 
-New entries enter a small window in least-recently-used order. An entry that leaves the window is admitted to
-the main part only if a count-min sketch has seen it more often than the entry that would be evicted for it.
+New entries enter a small window in least-recently-used order. When the main part is full, an entry that
+leaves the window is admitted to it only if a count-min sketch has seen the entry more often than the one that
+would be evicted.
 The main part has two segments in least-recently-used order: an entry on probation that is used again moves
 to the protected segment.
 """
--- a/query_gateway/statements/classifier.py
+++ b/query_gateway/statements/classifier.py
@@ -16,15 +16,15 @@
 from query_gateway.statements.normalizer import NormalizedStatement, normalize
 
 MAX_SHAPES = 10_000  # in the cache
-MAX_DISTINCT_RESULTS = 1_024  # parse results shared by shapes, held separately from the cache
+MAX_DISTINCT_RESULTS = 1_024  # parse results that shapes share; above this, the table of them is cleared
 
 
 @dataclass(slots=True, frozen=True)
 class CachedStatement:
-    """The cache entry of a normalized statement."""
+    """The cache entry of a shape."""
 
     parse_result: ParseResult
-    table_group: int | None
+    table_group: int | None  # numeric suffix of the schema name, see `forwarder.table_group`
 
 
 class Classifier:
@@ -33,9 +33,10 @@
     def __init__(
         self, rules: Rules, idempotent_classes: Collection[str] | None = None, capacity: int = MAX_SHAPES
     ) -> None:
-        """`idempotent_classes`: names of classes whose requests may run twice; None: the classes of reads.
+        """`idempotent_classes`: names of classes whose requests may run twice.
 
-        `capacity`: maximum number of cached shapes.
+        If it is None, these are `rules.lookup` and `rules.report`, the default classes of reads. `capacity`:
+        maximum number of cached shapes.
         """
         self.rules = rules
         if idempotent_classes is None:
@@ -48,7 +49,10 @@
         self._distinct_results: dict[ParseResult, ParseResult] = {}
 
     def normalize(self, text: str) -> NormalizedStatement:
-        """Normalize a statement within the bounds of the rules. Raises UnsupportedStatementError."""
+        """Normalize a statement with `sort_rows` and the length limit of the rules.
+
+        Raises UnsupportedStatementError.
+        """
         return normalize(text, self.rules.sort_rows, self.rules.most_length)
 
     def cached(self, statement: NormalizedStatement) -> CachedStatement | None:
@@ -150,7 +154,7 @@
 
 
 def rejected_decision(error: UnsupportedStatementError) -> Decision:
-    """Return the decision about an unsupported statement."""
+    """Return the decision that rejects an unsupported statement."""
     return _rejected(str(error))
 
 
@@ -161,7 +165,7 @@
     costs: CostEstimates,
     was_cached: bool,
 ) -> dict[str, Any]:
-    """Return the output of `query-gateway statements classify` for one statement."""
+    """Return the output of `query-gateway statements classify` for one statement, as a JSON object."""
     cost_ns = None
     if cached and statement and decision.class_name:
         cost_ns = costs.cost_ns(statement.fingerprint, decision.class_name, cached.table_group)
--- a/query_gateway/statements/costs.py
+++ b/query_gateway/statements/costs.py
@@ -1,8 +1,9 @@
 """Cost estimates learned from outcomes, with fallback from shape to table group and class, then to class.
 
 Each estimate is a small histogram with buckets of equal width on a logarithmic scale. Its counts are halved
-when their sum reaches MAX_TOTAL, so old outcomes lose weight, and the estimate follows a shape that becomes
-slow within that number of outcomes. A cost is the work of an attempt: processor time over all threads.
+when their sum reaches MAX_TOTAL, so old outcomes lose weight: if a shape becomes slow, its estimate follows
+within MAX_TOTAL outcomes. A cost is the work of an attempt: processor time over all threads. A table group is
+the numeric suffix of a schema name, see `forwarder.table_group`.
 """
 
 import math
@@ -15,11 +16,11 @@
 FIRST_BOUND_NS = 1e5  # lower bound of the first bucket
 BUCKETS = 64  # the last one ends at 6 hours
 MAX_TOTAL = 48  # sum of the counts at which they are halved
-MIN_OUTCOMES = 5  # in a histogram before its estimate is used
+MIN_OUTCOMES = 5  # in a histogram; with fewer, its estimate is not used
 SHIFT_OUTCOMES = 6  # consecutive outliers on one side of the estimate before the counts are reduced
 OUTLIER_FACTOR = 2.0  # an outlier is above the estimate times this, or below the estimate divided by it
 SHIFT_DIVISOR = 8  # by which the counts are divided after a level shift
-MEMORY_QUANTILE = 0.8  # above the median, as a query with too little memory spills
+MEMORY_QUANTILE = 0.8  # above the median, as a query with too little memory spills to disk
 FINGERPRINT_BYTES = 16
 MAX_SNAPSHOT_ENTRIES = 2_048  # of each table
 MAX_CLASS_NAME_LENGTH = 200  # characters of a name in a snapshot; longer ones are truncated
@@ -68,7 +69,7 @@
             self.streak = 0
 
     def quantile(self, share: float) -> float:
-        """Return the quantile, interpolated within its bucket; 0.0 if there are no outcomes."""
+        """Return the value below which `share` of the values lie, by interpolation; 0.0 if there are none."""
         if not self.total:
             return 0.0
         remaining = share * self.total
@@ -104,7 +105,7 @@
         work_ns: int,
         memory_mb: float = 0.0,
     ) -> None:
-        """Record a successful attempt that took `work_ns` of work."""
+        """Record a successful attempt that took `work_ns` of work; `memory_mb` is 0 if it is unknown."""
         self.seen.add(fingerprint)
         if histogram := self._histogram_of(self.shapes, fingerprint):
             histogram.add(work_ns)
@@ -125,7 +126,7 @@
         if len(table) >= self.capacity:
             oldest = next(iter(table))
             if self.seen.count(oldest) > self.seen.count(fingerprint):
-                # Moved to the end, so that the next new shape is compared with another one
+                # Moved to the end, so that the next new shape is compared with another shape
                 table[oldest] = table.pop(oldest)
                 return None
             del table[oldest]
@@ -133,7 +134,10 @@
         return table[fingerprint]
 
     def cost_ns(self, fingerprint: bytes, class_name: str, table_group: int | None) -> int | None:
-        """Return the median work; None if shape, group and class all have too few outcomes."""
+        """Return the median work of the shape, else of its group in the class, else of the class.
+
+        The first of the three that has MIN_OUTCOMES is used; None if none has.
+        """
         candidates = (
             self.shapes.get(fingerprint),
             self.fallbacks.get((class_name, table_group)),
@@ -145,7 +149,7 @@
         return None
 
     def memory_mb(self, fingerprint: bytes) -> float:
-        """Return the MEMORY_QUANTILE of the shape's memory in MB; 0.0 if there are too few outcomes."""
+        """Return the MEMORY_QUANTILE of the shape's memory use in MB; 0.0 if it has too few outcomes."""
         histogram = self.memory.get(fingerprint)
         if histogram is None or histogram.total < MIN_OUTCOMES:
             return 0.0
--- a/query_gateway/statements/keys.py
+++ b/query_gateway/statements/keys.py
@@ -1,8 +1,9 @@
-"""Determines the key of a load from its tree: which literals give the key column's value.
+"""Determines the key of a load from its syntax tree: which literals give the key column's value.
 
-A load gets a key only if every row that it may insert, change or remove is certain to have one value in the
-rule's column. Otherwise UndeterminedKeyError is raised; its message is sent to the client as the reason.
-Trees are those of sqlglot.
+A load is a statement that writes. It gets a key only if every row that it may insert, change or remove is
+certain to have the value of one of these literals in the column of the table's KeyRule; `values.compute_key`
+checks that they all have the same value. Otherwise UndeterminedKeyError is raised; its message is sent to the
+client as the reason. Trees are those of sqlglot.
 """
 
 import re
@@ -19,7 +20,7 @@
 INTEGER_TYPES, TEXT_TYPES = ("INT", "BIGINT"), ("TEXT", "VARCHAR")
 MAX_SHOWN_NAME = 80  # characters of a table's name in a reason
 STRING_SLOT, PARAMETER_SLOT = re.compile(r"s(\d+)"), re.compile(r"p(\d+)")
-# The columns of a MERGE source that hold only literals, by qualified name
+# The columns of a MERGE source that hold only literals, by ALIAS.COLUMN, case-folded
 SourceColumns = dict[str, list[LiteralReference]]
 
 
@@ -33,7 +34,7 @@
 
 
 def key_rule_index(table: Any, rules: Sequence[KeyRule]) -> int:
-    """Return the index of a table's rule.
+    """Return the index of the rule that covers a table.
 
     A table name without a schema matches rules for any schema; a rule without a schema matches tables of any
     schema. A rule with a single key for the table takes precedence over rules by column. Raises
@@ -106,14 +107,14 @@
 
 
 def may_be_column(node: Any, column: str) -> bool:
-    """Whether a node may be the column, in any spelling; for checks that the column is not changed."""
+    """Whether a node may be the column: its name, without qualifiers, is equal except for case."""
     return isinstance(node, (exp.Column, exp.Identifier)) and node.name.casefold() == column.casefold()
 
 
 class TargetScope(NamedTuple):
-    """The qualifiers of the target's columns in the predicates of a load: its alias, else its name."""
+    """How the predicates of a load may qualify the columns of the target, the table that it writes."""
 
-    name: str
+    name: str  # the target's alias, else its name
     schema: str  # empty if the target has an alias
     other_sources: frozenset[str]  # names of other tables that the predicates may refer to
 
@@ -126,14 +127,15 @@
             if isinstance(source, exp.Expression):
                 tables = source.find_all(exp.Table, exp.Subquery)
                 other_sources |= {table.alias_or_name.casefold() for table in tables}
-                # VALUES and similar sources are not tables and may be unnamed
+                # VALUES and similar sources are not tables. An unnamed one adds an empty name, so that an
+                # unqualified column is not taken for one of the target
                 other_sources.add(source.alias_or_name.casefold())
     schema = "" if target.alias else target.db.casefold()
     return TargetScope((target.alias or target.name).casefold(), schema, frozenset(other_sources))
 
 
 def _is_target_column(node: Any, column: str, scope: TargetScope) -> bool:
-    """Whether a node is certain to be that column of the target."""
+    """Whether a node is certain to be the target's column `column`."""
     if not isinstance(node, exp.Column):
         return False
     name = node.this
@@ -164,9 +166,9 @@
 def _predicate_references(
     predicate: Any, column: str, scope: TargetScope, source: SourceColumns
 ) -> list[LiteralReference]:
-    """Return the references of the first conjunct that restricts the column to literals.
+    """Return the references to the literals to which one of the conjuncts restricts the column.
 
-    The other conjuncts only narrow down the rows. Raises UndeterminedKeyError if no conjunct does so.
+    The other conjuncts only narrow down the rows. Raises UndeterminedKeyError if there is no such conjunct.
     """
     for part in conjuncts(predicate):
         references: list[LiteralReference] = []
@@ -190,14 +192,14 @@
 
 
 def _in_list_references(membership: Any) -> list[LiteralReference]:
-    """Return the literals of an IN list; empty if it has any other member."""
+    """Return the references to the literals of an IN list; empty if it contains anything else."""
     if membership.args.get("query") or membership.args.get("unnest"):
         return []
     return _literal_references(membership.expressions)
 
 
 def _literal_references(nodes: Iterable[Any]) -> list[LiteralReference]:
-    """Return the references of all nodes; empty if any node is not a literal."""
+    """Return one reference for each node; empty if any node is not a literal."""
     references = []
     for node in nodes:
         reference = literal_reference(node)
@@ -208,7 +210,7 @@
 
 
 def _value_references(node: Any, source: SourceColumns) -> list[LiteralReference]:
-    """Return the references of an expression: a literal, or a source column that holds only literals."""
+    """Return the references of a literal or of a source column with only literals; empty for other nodes."""
     if reference := literal_reference(node):
         return [reference]
     if isinstance(node, exp.Column) and node.table:
@@ -232,14 +234,17 @@
 
 
 class SourceRows(NamedTuple):
-    """The column names and the rows of a source; the rows as nodes of the tree."""
+    """The column names and the rows of a MERGE source; the rows are lists of nodes of the tree."""
 
     names: list[str]
     rows: list[list[Any]]
 
 
 def _source_rows(source: Any, names: list[str]) -> SourceRows:
-    """Return the rows of VALUES or of a simple SELECT; no rows for any other source."""
+    """Return the rows of VALUES, or one row with the expressions of a SELECT without WITH, else no rows.
+
+    `names`: the column names in the alias of the source; if empty, those of the SELECT are used.
+    """
     if isinstance(source, exp.Subquery):
         source = source.this
     if isinstance(source, exp.Values):
@@ -384,7 +389,7 @@
 
 
 def target_of(tree: Any) -> Any:
-    """Return the only table that a load writes. Raises UndeterminedKeyError."""
+    """Return the table that a load writes; raises UndeterminedKeyError if it is not one plain table."""
     target = tree.this
     if isinstance(target, exp.Schema):
         target = target.this
@@ -396,7 +401,10 @@
 
 
 def key_references(tree: Any, rule: KeyRule) -> tuple[LiteralReference, ...]:
-    """Return the references to the key's values in a load. Raises UndeterminedKeyError."""
+    """Return the references to the literals that determine a load's key; none if the rule has a single key.
+
+    Raises UndeterminedKeyError.
+    """
     if rule.has_single_key:
         return ()
     target, column = target_of(tree), rule.column
--- a/query_gateway/statements/lexer.py
+++ b/query_gateway/statements/lexer.py
@@ -41,7 +41,7 @@
 )
 
 # Runs of operator characters that mean the same in every dialect. Any other run may be a user-defined
-# operator, or another lexer may split it differently.
+# operator, or another lexer may split it differently. `OPERATORS` maps each run to the tokens it consists of.
 _COMMON_OPERATORS = "= < > <= >= <> != || :: -> ->> + - * / % ^ & | ~ << >> => :"
 _OPERATORS_BEFORE_PARAMETER = "= < > <= >= <> != + - * / || =>"
 OPERATORS: dict[str, tuple[str, ...]] = {op: (op,) for op in _COMMON_OPERATORS.split()}
@@ -57,7 +57,7 @@
 def tokenize(text: str, max_length: int = MAX_LENGTH) -> list[str]:
     """Return the tokens as written, without comments and white space; `max_length` in characters.
 
-    Raises UnsupportedStatementError.
+    Raises UnsupportedStatementError if the text is empty, too long or not supported.
     """
     if len(text) > max_length:
         raise UnsupportedStatementError(f"longer than {max_length} characters")
@@ -84,7 +84,9 @@
     if len(tokens) <= MAX_DEPTH:
         return
     if text.count("(") + text.count("[") + text.count("case") + text.count("CASE") <= MAX_DEPTH // 2:
-        return  # nearly all statements; brackets within quotes count too, which only costs the full check
+        # Nearly all statements return here. Brackets within quotes count too, which at worst costs the full
+        # check; CASE in mixed case does not count.
+        return
     depth = 0
     for token in tokens:
         keyword = token.lower() if len(token) < 5 else ""
@@ -96,7 +98,7 @@
             depth -= 1
 
 
-# By the prefix of the first unsupported token; the first matching entry applies
+# Reasons for a rejection, by the prefix of the first unsupported token; the first matching entry applies
 _REASONS_BY_PREFIX = (
     (("--",), "a -- without a space after it: a comment to some, an operator to others"),
     (("/*",), "a comment that nests, is never closed or may be executed"),
--- a/query_gateway/statements/limits.py
+++ b/query_gateway/statements/limits.py
@@ -4,9 +4,10 @@
     limited --SUCCESSES_PER_STEP consecutive successes--> limit + 1 --UNLIMITED_FROM reached--> unlimited
     limited --LIMIT_EXPIRY_NS without an incident--> unlimited
 
-An incident is an attempt that spilled, needed many times the usual work of its shape (a runaway), or was the
-last of consecutive failures on several engines. An engine may fail for reasons of its own, so repeated
-failures on one engine count once. A limit does not affect the choice of engines, which is the scheduler's.
+An incident is an attempt that spilled to disk, one that needed many times the usual work of its shape (a
+runaway), or the failure after which FAILED_ENGINES_TO_LIMIT engines have failed since the shape's last
+success. An engine may fail for reasons of its own, so repeated failures on one engine count once. A limit
+does not affect the choice of engines, which the scheduler makes.
 """
 
 from dataclasses import dataclass, field
@@ -15,11 +16,11 @@
 SECOND_NS = 1_000_000_000
 FAILED_ENGINES_TO_LIMIT = 3  # distinct engines with a failure since the shape's last success
 RUNAWAY_FACTOR = 8.0  # a runaway needs more than this multiple of its shape's usual work
-MIN_RUNAWAY_RUN_TIME_NS = SECOND_NS  # of work; attempts with less are never runaways
+MIN_RUNAWAY_RUN_TIME_NS = SECOND_NS  # work, not run time; an attempt with less is never a runaway
 INITIAL_LIMIT = 4  # concurrent queries
 SUCCESSES_PER_STEP = 5  # consecutive successes that raise the limit by one
 UNLIMITED_FROM = 16  # concurrent queries: the limit is removed when it reaches this
-LIMIT_EXPIRY_NS = 300 * SECOND_NS  # without an incident until the limit is removed
+LIMIT_EXPIRY_NS = 300 * SECOND_NS  # time without an incident after which a limit is removed
 MAX_RECORDS = 512  # shapes with a limit or with recent failures
 
 
@@ -27,9 +28,9 @@
 class ShapeRecord:
     """State of a shape that had a failure or an incident."""
 
-    failed_engines: set[str] = field(default_factory=set)  # since the last success
+    failed_engines: set[str] = field(default_factory=set)  # since the last success or incident by failures
     max_concurrent: int = 0  # 0: unlimited
-    successes: int = 0  # consecutive
+    successes: int = 0  # consecutive, since the last change of the limit
     last_incident_at: int = 0  # clock time in nanoseconds
     reason: str = ""
 
@@ -133,5 +134,5 @@
 
     @property
     def limited_count(self) -> int:
-        """Number of shapes that are currently limited."""
+        """Number of shapes with a limit, which counts until a query of the shape finds it expired."""
         return sum(1 for record in self.records.values() if record.max_concurrent)
--- a/query_gateway/statements/messages.py
+++ b/query_gateway/statements/messages.py
@@ -6,7 +6,11 @@
 
 
 class KeyRule(msgspec.Struct, frozen=True):
-    """How loads of some tables are keyed. `table` is a glob over schema and name, matched from the right."""
+    """How the loads of some tables are keyed.
+
+    `table` is a glob such as `sales.order_*`; its dotted parts are matched from the right, the table's name
+    first.
+    """
 
     table: str
     column: str = ""  # empty: all loads of these tables share one key
@@ -27,9 +31,9 @@
     """How statements are classified. The class names are those of the platform's configuration."""
 
     dialect: str = "postgres"
-    lookup: str = "lookup"  # the class of reads that are not reports
-    report: str = "report"  # the class of reads that meet a criterion below
-    load: str | None = "load"  # the class of writes; None: they are rejected
+    lookup: str = "lookup"  # the default class of reads that are not reports
+    report: str = "report"  # the default class of reads that meet a criterion below
+    load: str | None = "load"  # the default class of writes; None: writes that need it are rejected
     aggregates: bool = True  # a read with an aggregate is a report
     windows: bool = True  # a read with a window function is a report
     # A read of tables without a selective predicate (equality or IN) is a report if it sorts and has no LIMIT
@@ -39,7 +43,9 @@
     joins: int = 3  # a read with more joins is a report
     pure: tuple[str, ...] = ()  # additional functions without side effects
     keys: tuple[KeyRule, ...] = ()
-    mismatch: Literal["refuse", "load"] = "refuse"  # for a write that the client labels as a read
+    # A write for which the client requests an idempotent class is rejected (`refuse`) or treated as a load
+    # (`load`)
+    mismatch: Literal["refuse", "load"] = "refuse"
     most_length: int = 16_384  # characters of a statement
 
 
@@ -56,7 +62,7 @@
 
     is_write: bool
     is_report: bool = False
-    reason: str = ""  # why it is treated as a write, or why it is rejected
+    reason: str = ""  # why the statement is treated as a write, or why it is rejected
     key_rule_index: int = -1  # of a load: index in `Rules.keys`; -1: no key can be determined
     key_references: tuple[LiteralReference, ...] = ()  # all must refer to the same value
     is_parsed: bool = True  # False: rejected in every class
@@ -69,7 +75,7 @@
 
     class_name: str | None  # None: rejected
     is_write: bool
-    is_idempotent: bool  # may be retried
+    is_idempotent: bool  # the statement may run twice
     key: str | None
     reason: str
     is_accepted: bool
--- a/query_gateway/statements/normalizer.py
+++ b/query_gateway/statements/normalizer.py
@@ -1,12 +1,12 @@
 """Normalizes statements: the tokens with literals replaced by placeholders, and the literals in order.
 
-Two texts normalize to one statement only if they differ in literals, the length of lists of literals, the
-number of VALUES rows of one pattern, white space, comments or the case of unquoted words. Two kinds of
-numbers stay, because they are not values: column ordinals after BY, and whether a number after LIMIT is above
-`sort_rows`, as this decides whether some reads are reports.
+Two texts normalize to the same tokens only if they differ in nothing but literals, parameters, the length of
+lists of literals, the number of VALUES rows of one pattern, white space, comments, trailing semicolons or the
+case of unquoted words. Column ordinals after BY are kept, because they are not values. A number of rows after
+LIMIT becomes 1, or `sort_rows` + 1 if it exceeds `sort_rows`, as this decides whether some reads are reports.
 
 The parser reads only the normalized statement (`NormalizedStatement.canonical`), never the original text, so
-a decision cannot depend on what was replaced. The code is optimized for speed: every statement passes it.
+a parse result cannot depend on what was replaced. The code is optimized for speed: every statement passes it.
 """
 
 from hashlib import blake2b
@@ -31,7 +31,7 @@
     "by", "having", "limit", "offset", "fetch", "order", "group", "window", "union", "except", "intersect",
     "select", "qualify", "rows", "range", "for", "from", "where",
 ))  # fmt: skip
-CONSTANT_WORDS = frozenset(("null", "true", "false", "default"))  # values of a row, but not literals
+CONSTANT_WORDS = frozenset(("null", "true", "false", "default"))  # kept in rows of VALUES
 FINGERPRINT_BYTES = 16
 # Bounds of the cache from tokens to their normalized form. Words are added on first use; when the cache is
 # full, all words are dropped.
@@ -98,7 +98,7 @@
 
 
 def _replace_literals(tokens: list[str], sort_rows: int, literals: list[Literal]) -> list[str]:
-    """Replace the literals among the tokens and append them to `literals`.
+    """Return the normalized tokens; append the literals that they replace to `literals`.
 
     `map` looks up all tokens at C speed, so only tokens that are not cached are visited one by one. An empty
     string in `out` stands for a removed token.
@@ -134,7 +134,10 @@
 def _normalize_word(
     tokens: list[str], position: int, out: list[str | None], literals: list[Literal], sort_rows: int
 ) -> bool:
-    """Normalize an unquoted word and the literals that depend on it; returns whether tokens are removed."""
+    """Normalize an unquoted word, and the literals after VALUES, IN, BY or a word of ROW_LIMIT_WORDS.
+
+    Returns whether tokens may have been removed.
+    """
     token = tokens[position]
     if token[-1] == "'":  # without backslashes, e'...' and n'...' are equal to '...'
         literals.append(token[1:])
@@ -155,7 +158,8 @@
 
 
 def _cache_token(token: str, normalized: str) -> None:
-    # Bounded, as clients that keep sending new names would exhaust memory; words in use are soon cached again
+    # Bounded, as clients that keep sending new names would otherwise exhaust memory. Words in use are soon
+    # cached again
     if len(_cached_tokens) >= MAX_CACHED_TOKENS:
         _cached_tokens.clear()
         _cached_tokens.update(_FIXED_TOKENS)
@@ -165,7 +169,7 @@
 def _normalize_symbol(
     tokens: list[str], position: int, out: list[str | None], literals: list[Literal]
 ) -> bool:
-    """Normalize a quoted name, parameter or operator run; returns whether it holds several pieces."""
+    """Normalize a quoted name, parameter or operator run; returns whether `out` may now need a split."""
     token = tokens[position]
     initial = token[0]
     if initial in '"`':
@@ -225,7 +229,7 @@
 
 
 def _classify_row_limits(tokens: list[str], position: int, out: list[str | None], sort_rows: int) -> None:
-    """Replace numbers after LIMIT and similar words: only whether they are within `sort_rows` matters."""
+    """Replace each number after a word of ROW_LIMIT_WORDS by 1, or by `sort_rows` + 1 if it is greater."""
     while position < len(tokens) and tokens[position][0].isdigit():
         out[position] = "1" if float(tokens[position]) <= sort_rows else str(sort_rows + 1)
         if position + 1 >= len(tokens) or tokens[position + 1] != ",":
@@ -234,7 +238,10 @@
 
 
 def _collapse_in_list(tokens: list[str], start: int, out: list[str | None], literals: list[Literal]) -> bool:
-    """Collapse an IN list of literals of one kind: IN (1, 2, 3) becomes IN (1)."""
+    """Collapse an IN list of literals of one kind to one slot for the list: IN (1, 2, 3) becomes IN (#).
+
+    Returns whether tokens are removed.
+    """
     if start >= len(tokens) or tokens[start] != "(":
         return False
     list_kind, values = "", []
@@ -261,7 +268,10 @@
 
 
 def _collapse_rows(tokens: list[str], start: int, out: list[str | None], literals: list[Literal]) -> bool:
-    """Collapse VALUES rows of one pattern: (1, 'a'), (2, 'b') becomes one row with two literals per slot."""
+    """Collapse VALUES rows of one pattern: (1, 'a'), (2, 'b') becomes one row with two literals per slot.
+
+    Returns False, without changes, if the first row contains more than plain literals and constants.
+    """
     first_row = _read_row(tokens, start)
     if first_row is None:
         return False
@@ -304,7 +314,7 @@
 def _literal_kind(token: str) -> str:
     """Return NUMBER or STRING; empty for other tokens, also for parameters.
 
-    Parameters depend on their position and are not collapsed.
+    Parameters are not collapsed, as the value bound to one depends on its position.
     """
     initial = token[0]
     if initial.isdigit():
--- a/query_gateway/statements/purity.py
+++ b/query_gateway/statements/purity.py
@@ -29,7 +29,8 @@
     Insert Update Delete Merge Whens When Schema OnConflict Returning
 """)
 
-# Function names, with the aliases of each database; the operator's file can add more
+# Function names, with the aliases of each database; the operator's file adds those of
+# `statements.pure_functions`
 PURE_FUNCTIONS = words("""
     abs acos acosd age any_value approx_count_distinct approx_distinct approx_percentile arg_max arg_min
     array array_agg array_append array_cat array_concat array_contains array_distinct array_join
@@ -93,8 +94,8 @@
     sql_calc_found_rows high_priority
 """)
 
-# First keywords of other statements. They are also valid names, so they are matched only where a query could
-# start and another word follows.
+# First keywords of statements other than queries and loads. They are also valid names, so they are matched
+# only after an opening parenthesis, where a query could start, and if another word follows.
 STATEMENT_KEYWORDS = words("""
     call execute exec do set reset use begin commit rollback savepoint start copy show describe desc handler
     import export load unload kill prepare deallocate listen notify unlisten vacuum reindex cluster refresh
--- a/query_gateway/statements/reader.py
+++ b/query_gateway/statements/reader.py
@@ -50,7 +50,7 @@
         self.qualified_pure_functions = {name for name in pure if "." in name}
 
     def read(self, statement: NormalizedStatement, text: str | None = None) -> ParseResult:
-        """Parse a statement. `text` is parsed in place of its canonical text, to compare both results."""
+        """Parse a statement, or `text` in place of its canonical text; tests compare the results of both."""
         tokens = statement.tokens
         try:
             if tokens[0] == "explain":
@@ -88,7 +88,7 @@
         return ParseResult(False, self._is_report(tree))
 
     def _parse_explain(self, statement: NormalizedStatement) -> ParseResult:
-        """Parse the explained statement; EXPLAIN of a write is rejected, because with ANALYZE it runs.
+        """Parse the explained statement; EXPLAIN of a write is rejected, because EXPLAIN ANALYZE runs it.
 
         sqlglot does not parse the statement within an EXPLAIN, so the options are skipped here. Raises
         UnparsedStatementError.
@@ -146,7 +146,7 @@
             raise NotReadOnlyError(f"function {name[:MAX_SHOWN_NAME]} is not known to write nothing")
 
     def _is_pure(self, name: str, is_load: bool) -> bool:
-        """Whether a function is pure. A qualified name needs its own entry, except in `pg_catalog`."""
+        """Whether a function is pure. Qualified names must be in `Rules.pure`, except in `pg_catalog`."""
         owner, _, plain = name.rpartition(".")
         if not owner or owner == "pg_catalog":
             return plain in self._allowed_functions(is_load) or name in self.qualified_pure_functions
@@ -156,7 +156,7 @@
         return self.pure_functions_in_loads if is_load else self.pure_functions
 
     def _check_tokens(self, tree: Any, tokens: list[str], is_load: bool) -> None:
-        """Check the tokens alone: keywords and names that write, and each name before a parenthesis."""
+        """Raise NotReadOnlyError at a keyword or name that writes, or a call of a function not known pure."""
         names_with_columns = _names_with_column_list(tree, is_load)
         for position, token in enumerate(tokens):
             initial = token[0]
@@ -271,7 +271,10 @@
 
 
 def _names_with_column_list(tree: Any, is_load: bool) -> set[str]:
-    """Return the names before lists of columns in parentheses, which are not function calls."""
+    """Return the names whose following parenthesis is not a function call.
+
+    These are the names before lists of columns and, in a load, keywords such as VALUES.
+    """
     names = set()
     for alias in tree.find_all(exp.TableAlias):
         if alias.args.get("columns") and alias.this:
@@ -283,7 +286,7 @@
 
 
 def _check_unquoted_keyword(tokens: list[str], position: int, is_load: bool) -> None:
-    """Raise NotReadOnlyError at a keyword that writes, or that starts another kind of statement."""
+    """Raise NotReadOnlyError at a write keyword in a read, or another kind of statement in parentheses."""
     token = tokens[position]
     previous_token = tokens[position - 1] if position else ""
     next_token = tokens[position + 1] if position + 1 < len(tokens) else ""
@@ -294,7 +297,7 @@
 
 
 def _check_single_write(tree: Any, verb: str) -> None:
-    """Raise UndeterminedKeyError at a load that changes other rows than those that it names."""
+    """Raise UndeterminedKeyError at a load that contains another write, or replaces rows it does not name."""
     nested = (node for node in tree.walk() if node is not tree and type(node).__name__ in DML_NODE_TYPES)
     if any(not isinstance(node.parent, exp.When) for node in nested):
         raise UndeterminedKeyError("it writes more than one table")
@@ -324,7 +327,11 @@
 
 
 def _is_bounded(tree: Any, max_rows: int) -> bool:
-    """Whether a LIMIT of at most `max_rows` bounds the result; such a limit is normalized to 1."""
+    """Whether the query has a LIMIT of at most `max_rows`.
+
+    The normalizer has already replaced the number: by 1 if it is at most `sort_rows`, which is passed here as
+    `max_rows`, otherwise by `sort_rows` + 1.
+    """
     limit = tree.args.get("limit")
     if limit is None:
         return False
--- a/query_gateway/statements/sketch.py
+++ b/query_gateway/statements/sketch.py
@@ -6,11 +6,12 @@
 
 
 class CountMin:
-    """Four rows of one-byte counters up to MAX_COUNT, halved after `halving_threshold` additions.
+    """Four rows of one-byte counters up to MAX_COUNT.
 
-    Uses 4 bytes per slot, whatever the number of keys. Apart from the effect of halving, an estimate is never
-    too low. Keys are 16-byte digests, which are uniformly distributed, so their parts serve as the hashes of
-    the rows.
+    All counters are halved when `additions`, which is halved with them, reaches `halving_threshold`. Uses 4
+    bytes per slot, whatever the number of keys. Up to MAX_COUNT and apart from the effect of halving, an
+    estimate is never too low. Keys are 16-byte digests, which are uniformly distributed, so their four 32-bit
+    parts serve as the hashes of the rows.
     """
 
     _halving_table = bytes(count >> 1 for count in range(256))
--- a/query_gateway/statements/values.py
+++ b/query_gateway/statements/values.py
@@ -1,8 +1,8 @@
 """Computes the key of a load from the literals that its parse result refers to.
 
 Two spellings of one value must give one key, so comparison is coarse: 42, '42', 042 and 42.0 are equal, and
-so are strings that any collation treats as equal. Where an engine might interpret a literal as another value,
-UndeterminedKeyError is raised.
+so are strings that at least one collation treats as equal. Where an engine might interpret a literal as
+another value, UndeterminedKeyError is raised.
 """
 
 import re
@@ -68,7 +68,7 @@
 
 
 def _fold_collation(text: str) -> str:
-    """Fold strings that any collation treats as equal: remove case, accents and outer white space."""
+    """Return one spelling for all strings that some collation equates: no case, accents or outer spaces."""
     decomposed = unicodedata.normalize("NFKD", text.casefold())
     folded = "".join(character for character in decomposed if _is_significant(character))
     return unicodedata.normalize("NFKC", folded).casefold().strip()
@@ -84,9 +84,10 @@
     literals: Sequence[Literal],
     parameters: Sequence[object] = (),
 ) -> str:
-    """Return the key of one statement as 16 hexadecimal digits. `parameters`: the bound values.
+    """Return the key of one statement as 16 hexadecimal digits.
 
-    Raises UndeterminedKeyError.
+    `parameters`: the values bound to the statement's parameters. Raises UndeterminedKeyError if a value
+    is unknown, if an engine might interpret it as another value, or if there are several values.
     """
     key_value = ""
     for reference in references:
