--- a/tests/test_hot_upgrade.py
+++ b/tests/test_hot_upgrade.py
@@ -213,12 +213,14 @@
     """A predecessor gets SIGTERM before its successor is ready, as the discovery service does not answer.
 
     With closed listeners, clients that connect meanwhile would be reset. The predecessor keeps its listeners
-    until the successor is ready, and then transfers its idle connections.
+    until the successor is ready, and then transfers its idle connections. Until it has read the ready message
+    it may still answer on them, so only a lookup after its exit shows that the successor has the connection.
     """
     with deployed_gateway(tmp_path) as deployment, ThreadPoolExecutor() as executor:
         predecessor = deployment.start()
         idle_client = http.client.HTTPConnection(*deployment.listen, timeout=10)
         assert send_lookup(idle_client, "1") == 200
+        idle_socket = idle_client.sock
         deployment.discovery.silent = True
         starting = executor.submit(deployment.start)
         until(lambda: b"a successor starts" in os.read(predecessor.process.stderr.fileno(), 4096))
@@ -226,11 +228,10 @@
         waiting_client = executor.submit(deployment.served)
         successor = starting.result()
         assert waiting_client.result() == 200
-        assert (
-            send_lookup(idle_client, "2") == 200
-            and predecessor.process.wait(10) == 0
-            and served_lookups(successor) >= 1
-        )
+        assert send_lookup(idle_client, "2") == 200 and predecessor.process.wait(10) == 0
+        before = served_lookups(successor)
+        assert send_lookup(idle_client, "3") == 200 and idle_client.sock is idle_socket
+        assert served_lookups(successor) == before + 1
         idle_client.close()
 
 
