--- a/tests/test_race_flight.py
+++ b/tests/test_race_flight.py
@@ -17,6 +17,7 @@
 from query_gateway.configuration.operator_file import parse_operator_settings
 from query_gateway.flight import messages
 from query_gateway.flight.engines import FlightConnection
+from query_gateway.flight.messages import FlightMethod
 from query_gateway.forwarder.exchange import Exchange
 from query_gateway.gateway import Gateway
 from query_gateway.http.request_decoding import decode_request
@@ -30,7 +31,7 @@
 from query_gateway.rpc.framing import encode_message
 from tests.flight_client import FlightTestClient, update_headers
 from tests.race_helpers import ABANDONED_SQL, CLOSE_WAIT, settings_without_timeouts, tcp_state
-from tests.stand_ins import config
+from tests.stand_ins import config, endpoint_list_answer
 from tests.test_local import until
 from tests.test_web import LOAD, SQL
 
@@ -243,6 +244,49 @@
         sock.close()
 
 
+def test_flight_query_planned_by_an_engine_that_starts_to_drain_is_fetched_from_it() -> None:
+    """An engine starts to drain between the GetFlightInfo call of a query and its answer.
+
+    If the drained connection refuses the DoGet of this attempt, the attempt ends as reset while the engine
+    may still run the query, and an idempotent query is sent to a second engine at the same time.
+    """
+    listener = socket.create_server(("127.0.0.1", 0))
+    gateway = flight_gateway(listener)
+    exchange = accept_flight_query(gateway, SQL)
+    engine = ReceivedCalls(listener.accept()[0])
+    grpc = gateway.forwarder.engine_clients["flight"].connections["e0"].grpc  # type: ignore[attr-defined]
+
+    def received_paths() -> list[str]:
+        engine.read()
+        return [engine.headers[stream_id][":path"] for stream_id in engine.completed_at]
+
+    plan_path, result_path = (
+        messages.SERVICE_PATH + method.value for method in (FlightMethod.GET_FLIGHT_INFO, FlightMethod.DO_GET)
+    )
+    until(lambda: turn_once(gateway.loop) and received_paths())
+    attempt = exchange.engine_side.current_attempt
+    assert attempt and received_paths() == [plan_path]
+    draining_host = flight_host(listener) | {"health": "draining"}
+    gateway.endpoint_feed.apply_answer(endpoint_list_answer(2, [draining_host]))
+    assert grpc.draining and exchange.engine_side.current_attempt is attempt
+    [stream_id] = engine.completed_at
+    plan = messages.encode_flight_info(messages.encode_query_descriptor(SQL), SQL)
+    engine.h2.send_headers(stream_id, [(":status", "200"), ("content-type", "application/grpc")])
+    engine.h2.send_data(stream_id, encode_message(plan))
+    engine.h2.send_headers(stream_id, [("grpc-status", "0")], end_stream=True)
+    engine.socket.sendall(engine.h2.data_to_send())
+
+    def is_decided() -> bool:
+        return exchange.engine_side.current_attempt is not attempt or received_paths() != [plan_path]
+
+    until(lambda: turn_once(gateway.loop) and is_decided())
+    assert exchange.engine_side.current_attempt is attempt
+    assert received_paths() == [plan_path, result_path]
+    gateway.loop.close()
+    for sock in (engine.socket, listener):
+        sock.close()
+
+
 class LargeAnswerHandler(CallHandler):
     """Answers its call at once with a large message."""
 
