--- a/tests/test_adapter.py
+++ b/tests/test_adapter.py
@@ -1,4 +1,4 @@
-"""The simulator adapter: a dialogue through the deploy file's command, malformed input, the module list."""
+"""The simulator adapter: the command of the deploy file, malformed input, and the listed policy modules."""
 
 import io
 import subprocess
--- a/tests/test_clock_steps.py
+++ b/tests/test_clock_steps.py
@@ -23,7 +23,7 @@
 
 
 class PausedEngine(Engine):
-    """Answers no request until `may_answer` is set."""
+    """An engine that answers no request until `may_answer` is set."""
 
     def __init__(self) -> None:
         self.may_answer = threading.Event()
@@ -41,8 +41,8 @@
 ) -> None:
     """Guards against clients left unanswered after the wall clock is stepped while a request is in flight.
 
-    With timers on the wall clock, a step back by an hour delayed every timer by an hour. Timers and deadlines
-    use the monotonic clock, so the request ends at its deadline and the next one is served.
+    With timers on the wall clock, a step back by an hour would delay every timer by an hour. Timers and
+    deadlines use the monotonic clock, so the request ends at its deadline and the next one is served.
     """
     clock, engine = SteppedClock(monkeypatch), PausedEngine()
     with running(engine) as gateway, ThreadPoolExecutor() as executor:
--- a/tests/test_decisions.py
+++ b/tests/test_decisions.py
@@ -85,7 +85,7 @@
     queued = harness.send_request()
     query = scheduler.state.queries[queued.request_id]
     assert query.queued_at is not None
-    # It would start 1 ns before it becomes late
+    # A slack of 1 ns and a weight of 50: the newcomer, ahead of it in the queue, would make it late
     query.priority_weight, query.start_at = 50.0, query.due_at - query.run_time - 1.0
     newcomer = harness.send_request(time_left=SEC)
     assert Reject in {
@@ -236,7 +236,7 @@
 def test_an_odd_connect_to_an_engine_just_heard_does_not_begin_slow_start() -> None:
     """A healthy engine that refuses one connection must not begin a slow start, which allows few requests.
 
-    It counts as unreachable only if nothing was received from it for some time before.
+    A slow start follows only if nothing was received from the engine for `unresponsive.MIN_IDLE_NS` before.
     """
     harness = SchedulerHarness(engines=TWO_ENGINES)
     request = harness.send_request()
@@ -256,10 +256,10 @@
 
 
 def test_a_reset_ejects_no_engine_but_begins_probation() -> None:
-    """A single connection reset must not eject a healthy engine, for half a second or more.
+    """A single connection reset must not eject an engine: a healthy one would be lost for half a second.
 
-    It begins probation: one request at a time until an answer comes, and ejection if that request's
-    connection is reset, too.
+    The reset begins probation: the engine gets one request at a time until it answers, and is ejected if the
+    connection of such a request is reset, too.
     """
     harness = SchedulerHarness(engines=TWO_ENGINES)
     request = harness.send_request()
@@ -271,10 +271,10 @@
         request = harness.send_request()
     assert not capacity.has_capacity(
         harness.scheduler.state, engine_state, harness.scheduler.state.queries[request.request_id]
-    )  # at most one in flight on probation
+    )  # an engine on probation gets one request at a time
     harness.end_attempt(request.request_id, OutcomeCode.OK)
     assert not engine_state.on_probation
-    for code in (OutcomeCode.RESET, OutcomeCode.RESET):  # the second one during probation
+    for code in (OutcomeCode.RESET, OutcomeCode.RESET):  # the second reset comes during probation
         request = harness.send_request()
         while harness.sent[-1].endpoint != engine_state.info.name:
             request = harness.send_request()
@@ -471,7 +471,11 @@
 
 
 def _with_blocked_key(late_weight: float = 0.5) -> SchedulerHarness:
-    """Three loads of a key: the first runs for 10 s, the second is late by then, the third came after 6 s."""
+    """The state after 10 s with three loads of one key: the first is still running, so the others wait.
+
+    The second can no longer be in time, and is already rejected if `late_weight` is 0. The third arrived
+    after 6 s and can still be in time.
+    """
     harness = SchedulerHarness(
         replace(SITE, classes=(QUICK, REPORT, replace(KEYED_LOAD, late_weight=late_weight))), TWO_ENGINES
     )
@@ -485,9 +489,10 @@
 
 
 def test_a_load_that_its_key_held_up_goes_late_where_nobody_behind_loses_by_it() -> None:
-    """Loads behind a long load of their key become late; all of them and their retries would be rejected.
+    """Loads behind a long load of their key become late, which must not get all of them rejected.
 
-    A late load runs if its late answer still has a value and no load behind it becomes late by that.
+    Their retries would be rejected as well. A late load therefore runs if its late answer is worth more than
+    what the loads behind it lose by the delay.
     """
     harness = _with_blocked_key()
     assert [forward.request_id for forward in harness.sent] == [
--- a/tests/test_decisions_page.py
+++ b/tests/test_decisions_page.py
@@ -1,4 +1,4 @@
-"""The decisions page lists every policy module, constant and end reason, and names none that is missing."""
+"""docs/decisions.md lists every policy module, constant and end reason, and names nothing that is missing."""
 
 import re
 import tomllib
@@ -17,7 +17,7 @@
 
 
 def module_path(name: str) -> Path:
-    """The path of a module as the page names it: in the policy package unless it has a folder."""
+    """The path of a module as the page names it: in the policy package unless the name has a folder."""
     folder = ROOT / "query_gateway"
     return folder / name if "/" in name else folder / "policy" / name
 
--- a/tests/test_engine_attempts.py
+++ b/tests/test_engine_attempts.py
@@ -58,7 +58,7 @@
     assert not attempts.is_unused(ATTEMPT_ID)
     assert attempts.withdraw(ATTEMPT_ID) and attempts.is_unused(ATTEMPT_ID)
     attempts.add(attempt_with_id(ATTEMPT_ID), now=2.0)
-    # An unwritten attempt needs no STOP and gets no response
+    # The engine has not received an unwritten attempt: it needs no STOP frame and sends no response
     assert not attempts.cancel(ATTEMPT_ID) and attempts.is_unused(ATTEMPT_ID)
     attempts = table_with_written_attempts(ATTEMPT_ID)
     assert not attempts.withdraw(ATTEMPT_ID)
--- a/tests/test_exchange.py
+++ b/tests/test_exchange.py
@@ -102,7 +102,8 @@
 def test_a_cancelled_attempt_counts_as_ended_when_its_cancellation_has_arrived() -> None:
     """A planner that forwards again right after a cancellation must not cause two attempts at the same time.
 
-    The next attempt could overtake the cancellation, so it is not sent before that has arrived.
+    The next attempt could overtake the cancellation. It is refused until `CANCEL_PROPAGATION_NS` has passed,
+    after which the cancellation is assumed to have arrived.
     """
     harness = ForwarderHarness()
     harness.forwarder.apply(Forward(harness.request_id, "a", 0))
@@ -140,7 +141,10 @@
 
 
 def test_requests_that_come_as_their_key_quarantine_ends_keep_their_order() -> None:
-    """A request that arrives between the end of a key quarantine and its timer must not overtake others."""
+    """A request must not overtake earlier ones that wait in a key quarantine, even if its timer is late.
+
+    A second restart of the planner extends the quarantine; a timer set before it must release nothing.
+    """
     harness = ForwarderHarness()
     forwarder = harness.forwarder
 
@@ -162,7 +166,7 @@
     restart_planner()
     accept_load("5")
     harness.now += 1
-    restart_planner()  # again, while a request waits
+    restart_planner()  # rejects the waiting request, and extends the quarantine
     last = accept_load("6")
     harness.pass_time(forwarder.key_quarantine.ends_at[0] - 1)
     assert harness.keyed_requests() == [first, second, third]
@@ -171,7 +175,7 @@
 
 
 class StalledWatermark:
-    """A watermark that stays at clock time 0: later arrivals never count as read."""
+    """An arrival watermark that stays at clock time 0, so that requests that arrive later wait for ever."""
 
     read_through = 0
 
@@ -180,9 +184,9 @@
 
 @pytest.mark.parametrize("delayed_by", ["quarantine", "order"])
 def test_a_load_that_was_held_up_to_its_deadline_is_rejected(delayed_by: str) -> None:
-    """A load that waits until its deadline must be rejected, not failed.
+    """A load that waits in quarantine or for arrival order until its deadline must be rejected, not failed.
 
-    Nothing of it ran and no planner knew of it, so its client may send it again.
+    Nothing of it has run and no planner knows of it, so its client may send it again.
     """
     harness = ForwarderHarness()
     harness.forwarder.keep_arrival_order(StalledWatermark())
@@ -223,9 +227,9 @@
 
 
 def test_attempts_after_one_that_was_not_sent_keep_the_planners_numbers() -> None:
-    """An attempt that is not sent, here for lack of an address on the request's wire, must still be numbered.
+    """An attempt that is not sent, here because its engine has no "web" address, must still be numbered.
 
-    Otherwise the outcome of the next attempt has another number than the planner gave it.
+    Otherwise the outcome of the next attempt would have another number than the planner gave it.
     """
     harness = ForwarderHarness()
     entry = EndpointInfo("a", EndpointState.UP, 0, 0, 0, 0, 1.0)
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -32,10 +32,10 @@
 
 @pytest.mark.parametrize("instances", [1, 2, 4, 20, 80, 280])
 def test_all_controllers_together_stay_under_the_slow_start_budget_and_use_it(instances: int) -> None:
-    """Many engines start at once, and every gateway has more requests than credits.
+    """All engines restart at once, and every gateway has more requests than slow-start credits.
 
-    Sends that add up to more than the budget overload an engine; a budget left mostly unused sends the whole
-    load to the other engines.
+    The credits of all gateways must not add up to more than an engine's overload budget, as the engine would
+    fail. If most of the budget went unused, the other engines would have to serve the whole load.
     """
     works = (200 * MS, 2500 * MS)
     sent: dict[str, list[tuple[int, float]]] = {info.name: [] for info in TEN_ENGINES}
@@ -71,7 +71,8 @@
             end = start + SITE.slow_start_overload_window
             sent_work = sum(work for sent_at, work in sends if start <= sent_at < end)
             assert sent_work <= capacity_in_cores(start - 103 * SEC) * overload_ns
-        # With unused budgets, the engines past slow start would have to serve the whole load
+        # Lower bound: if slow-start budgets went unused, engines past slow start (none here) would have to
+        # serve the whole load
         early_work = [work for sent_at, work in sends if sent_at < 109 * SEC]
         assert sum(early_work) >= 0.3 * capacity_in_cores(3 * SEC) * 6 * SEC
 
@@ -105,9 +106,10 @@
 
 @pytest.mark.parametrize("instances", [2, 200])
 def test_one_among_many_learns_of_a_slow_engine_from_notes_before_anything_ends_there(instances: int) -> None:
-    """By its answers alone a slow engine looks fast and is sent more, as the short runs end first.
+    """From answers alone, a slow engine would appear fast and be sent more, as its short runs end first.
 
-    One gateway of 200 sends it few requests, so it must learn the slowdown from the first progress note.
+    A gateway of 200 sends an engine few requests, so it learns the slowdown from an attempt's first progress
+    note. A gateway of 2, whose share of an engine is above one core, learns from answers alone.
     """
     harness = SchedulerHarness(replace(SITE, instance_count=instances, classes=(QUICK, REPORT)), TWO_ENGINES)
     slow = harness.scheduler.state.fleet.engines["a"]
@@ -148,7 +150,7 @@
 
 
 def _restart_all_but_four(harness: SchedulerHarness) -> None:
-    """Restart all engines but the first four; they are in slow start."""
+    """Restart all engines but the first four, which puts the restarted ones in slow start."""
     harness.notify(
         EndpointUpdate(
             EndpointUpdateKind.DELTA, tuple(replace(info, started_at=harness.now) for info in TEN_ENGINES[4:])
@@ -169,16 +171,16 @@
     for _ in range(20):
         harness.send_request(1)
     assert len(harness.sent) <= 2
-    for _ in range(40):  # queued requests are sent in their turn
+    for _ in range(40):  # 8 s, in which queued requests may be sent
         harness.notify(TimerFired(0), after=200 * MS)
     assert 1 <= len(harness.sent) <= 2
 
 
 def test_under_saturation_what_slow_starting_engines_cannot_take_does_not_crowd_onto_the_others() -> None:
-    """Most engines are in slow start and take little, and the few others are saturated.
+    """Most engines are in slow start and can take little, and the few others are saturated.
 
-    A fleet share of the cores of all engines would let each gateway send too much to the few, so it counts
-    only the cores of engines past slow start.
+    If a gateway's share of the fleet counted the cores of all engines, each gateway would send too much to
+    the few others. The share therefore counts only the cores of engines past slow start.
     """
     tolerant_class = replace(REPORT, latency_objective=80 * SEC, timeout=90 * SEC)
     most_sent = 0
@@ -201,7 +203,8 @@
         most_sent = max(
             most_sent, sum(forward.endpoint in past_slow_start for forward in harness.sent[sent_before:])
         )
-    # A tenth of 32 cores and the statistical allowance, in queries of two threads, and one more by rounding
+    # The fleet share is a tenth of 32 cores plus the statistical allowance, divided by the congestion: two
+    # queries of two threads, or three if it is rounded up
     assert 1 <= most_sent <= 3
 
 
@@ -216,9 +219,9 @@
 
 
 def _fleet_share_threads(harness: SchedulerHarness) -> int:
-    """The number of threads that this gateway may use at saturated engines."""
+    """The number of threads that the fleet share allows this gateway over all engines past slow start."""
     query = harness.scheduler.state.queries[harness.send_request().request_id]
-    harness.scheduler.state.fleet_share.rounding.fraction = 0.0  # round down
+    harness.scheduler.state.fleet_share.rounding.fraction = 0.0  # round the share down
     for threads in range(200):
         harness.scheduler.state.workload.threads_in_use = ThreadsInUse(short=threads)
         if not capacity.is_within_fleet_share(harness.scheduler.state, query):
@@ -232,7 +235,7 @@
 ) -> None:
     """With many gateways, some get several times the mean load, and an even share would queue it needlessly.
 
-    At engines with a low slowdown a gateway may therefore use more than an even share.
+    A gateway whose share of an engine is below one core may therefore use more while the slowdown is low.
     """
     tolerant_class, shares = replace(QUICK, latency_objective=80 * SEC, timeout=90 * SEC), []
     for log_slowdown in (0.0, 0.53, 1.5):
@@ -384,7 +387,7 @@
     )
     for i in range(10):
         harness.notify(harness.new_request(table_group=float(i)), after=50 * MS)
-    # The peer has as much traffic, and has counted it for a whole gossip window
+    # The peer has the same traffic, 20 requests/s, and has counted it for all of `GOSSIP_LIFETIME_NS` (3 s)
     harness.notify(GossipMessage(1, "60"))
     assert 0.35 < tenants.quota_share(harness.scheduler.state, 0) < 0.65
 
@@ -487,10 +490,10 @@
 
 
 def test_with_extra_run_time_a_short_pause_is_no_sign_of_a_bad_run() -> None:
-    """A connect alone may take 60 ms; where a run took 1 ms, such an attempt would count as overdue.
+    """Connecting alone may take 60 ms; where runs take 1 ms, an attempt that waits so long would be overdue.
 
-    It would be cancelled and sent again, and rejected in the end. The extra run time delays this, but an
-    attempt far beyond it is still cancelled.
+    It would be cancelled and sent again, and rejected in the end. The setting `extra_run_time` is added to
+    the limit for overdue attempts, but an attempt far beyond that is still cancelled.
     """
     harness = SchedulerHarness(
         replace(SITE, classes=(QUICK, REPORT), progress_interval=0, extra_run_time=500 * MS), TWO_ENGINES
--- a/tests/test_key_order.py
+++ b/tests/test_key_order.py
@@ -1,4 +1,4 @@
-"""Per-key ordering: loads of one key run in arrival order, also if some of them are read or parsed late."""
+"""Per-key ordering: loads of one key run in arrival order, even if some of them are read or parsed late."""
 
 import contextlib
 import copy
@@ -50,17 +50,18 @@
 from tests.test_local import connected_planners, planner, until
 from tests.test_web import running
 
-# Between two requests of a key. Shorter than the spacing of real clients, so that the loop lag stays below
-# the limit at which all requests are rejected
+# Seconds between two requests of a key; less than between those of real clients. Tests block the loop for up
+# to six times as long, and the loop lag must stay below `MAX_LOOP_LAG_SECONDS`, above which all requests are
+# rejected
 KEY_SPACING_S = 0.03
-PARSE_S = 0.2  # delay of a classification that waits for a parser
-ALL_CALLS = 1_000  # fault rate: failing calls of a thousand
+PARSE_S = 0.2  # how long a delayed classification takes, as if it waited for a parser process
+ALL_CALLS = 1_000  # fault rate, in failing calls per thousand, at which every call fails
 KEY = "7f3a9c21e0b4d655"
 
 
 @dataclass(slots=True)
 class GatewayProcess:
-    """A gateway process that is started with the shim of the fault soak."""
+    """A gateway process with the fault soak's shim, a preloaded library that makes its system calls fail."""
 
     process: subprocess.Popen[str]
     shim: ShimControl
@@ -114,7 +115,7 @@
 
 
 def open_client(gateway: GatewayProcess) -> socket.socket:
-    """A connection on which one load was served, so that the gateway has accepted it."""
+    """Open a connection and have one load served on it, so that the gateway has accepted the connection."""
     client = gateway.connect()
     send_load(client, load_statement("opening"))
     assert status_of(client) == 200
@@ -122,9 +123,9 @@
 
 
 def test_load_on_a_new_connection_is_not_overtaken_while_accept_fails(tmp_path: Path) -> None:
-    """A load waits in the accept queue while accept fails, and a later one arrives on an open connection.
+    """While accept fails, a load waits in the accept queue, and a later one arrives on an open connection.
 
-    The later load would run first. It waits until the accept queue has been found empty.
+    Forwarded at once, the later load would run first. It waits until the accept queue has been found empty.
     """
     engine = Engine()
     with gateway_process(engine, tmp_path) as gateway:
@@ -145,7 +146,8 @@
 def test_load_on_a_new_connection_is_not_overtaken_while_the_process_is_stopped(tmp_path: Path) -> None:
     """While the process is stopped, a load arrives on a new connection and a later one on an open connection.
 
-    Both wait in buffers of the kernel. The open connection is read first, so the later load would run first.
+    Both wait in buffers of the kernel. The resumed process can read the open connection at once, but must
+    first accept the new one, so without arrival order the later load would run first.
     """
     engine = Engine()
     with gateway_process(engine, tmp_path) as gateway:
@@ -163,7 +165,7 @@
 
 
 def open_clients(gateway: Gateway, count: int) -> list[socket.socket]:
-    """Connections on each of which one load was served."""
+    """Open connections and have one load served on each, so that the gateway has accepted them."""
     clients = [socket.create_connection(gateway.http_server.listener.address) for _ in range(count)]
     for client in clients:
         send_load(client, load_statement("opening"))
@@ -185,7 +187,7 @@
 
 
 def block_loop(begun: threading.Event, seconds: float) -> None:
-    """Block the loop, as a slow turn does."""
+    """Set `begun`, then block the loop for some seconds, as a slow turn does."""
     begun.set()
     time.sleep(seconds)
 
@@ -212,7 +214,7 @@
 
 
 class UnreadableSocket:
-    """A client's socket whose recv fails with ENOMEM until `may_read` is set."""
+    """The gateway's socket of a client connection; its recv fails with ENOMEM until `may_read` is set."""
 
     def __init__(self, sock: socket.socket) -> None:
         self.sock, self.may_read = sock, threading.Event()
@@ -229,7 +231,7 @@
 def test_load_is_not_overtaken_while_its_connection_cannot_be_read() -> None:
     """Reads of a connection with a load fail temporarily while a later load arrives on another connection.
 
-    The first load stays unread, as with a failing accept, so the later one would run first.
+    The first load stays unread meanwhile; forwarded at once, the later one would run first.
     """
     engine = Engine()
     with running(engine) as gateway:
@@ -249,7 +251,7 @@
 
 
 class SlowReadSocket(UnreadableSocket):
-    """A client's socket whose reads return 16 bytes at most."""
+    """The gateway's socket of a client connection, with reads that return 16 bytes at most."""
 
     def recv(self, size: int) -> bytes:
         return self.sock.recv(min(size, 16))
@@ -278,7 +280,7 @@
 
 
 def delay_first_classification(gateway: Gateway, delayed: str) -> threading.Event:
-    """Delay the classification of one statement by `PARSE_S`; the returned event is set once it has begun."""
+    """Delay the classification of one statement by `PARSE_S`; the returned event is set when this begins."""
     statements, begun = gateway.statements, threading.Event()
     assert statements
     classify = statements.classify
@@ -295,9 +297,10 @@
 
 
 def test_load_over_flight_is_not_overtaken_while_it_is_parsed() -> None:
-    """A load of a new shape is parsed in another process while a later one of a known shape arrives.
+    """A load may have to be parsed in another process while a later one of its key is classified at once.
 
-    The later load is classified at once, so it would be forwarded first.
+    The later load, whose statement shape is in the cache, would then be forwarded first. The test delays the
+    classification of the first load instead of parsing it.
     """
     engines = FlightEngine(), FlightEngine()
     first, later = load_statement("first"), load_statement("later")
@@ -327,7 +330,7 @@
 def test_request_over_http_is_not_overtaken_while_it_is_parsed() -> None:
     """A request over HTTP is parsed in another process while a later one of its key is classified at once.
 
-    Idempotent classes may use per-key ordering too, and the later request would run first.
+    The later request would then run first. An idempotent class, here "lookup", may use per-key ordering too.
     """
     engine, http_engine = FlightEngine(), Engine()
     settings = copy.deepcopy(SETTINGS)
@@ -348,7 +351,7 @@
 
 
 def test_watermark_stays_before_a_request_that_is_parsed() -> None:
-    """A watermark that passed a request that is still parsed would let later ones of its key run first."""
+    """A watermark that passed a request still being parsed would let later ones of its key run first."""
     loop = Loop()
     watermark = loop.watermark
     watermark.is_awaited = True
@@ -386,9 +389,9 @@
 
 
 def test_turn_that_began_before_anybody_waited_does_not_move_the_watermark() -> None:
-    """The watermark becomes awaited in the middle of a loop turn.
+    """A request may begin to wait for the watermark in the middle of a loop turn.
 
-    Connections may have been read only in part before that, so the turn must not count as complete.
+    Before that, the turn may have read connections only in part, so it must not count as complete.
     """
     watermark = ArrivalWatermark(0.0)
     for polled_at in (1.0, 2.0):
@@ -442,7 +445,7 @@
 
 @pytest.mark.parametrize("client_count", [1, MAX_ACCEPTS_PER_EVENT])
 def test_listener_that_has_accepted_all_does_not_count_as_backlogged(client_count: int) -> None:
-    """accept fails for lack of a descriptor after it has emptied the backlog.
+    """Without a free descriptor, accept fails even if the backlog is empty, so a failure does not prove one.
 
     If the backlog counted as not empty, the next connection would get a far too early arrival time, and loads
     would wait although nothing is ahead of them.
@@ -466,7 +469,8 @@
 def test_load_by_another_forwarder_is_not_overtaken() -> None:
     """One forwarder passes on a load while another has not yet passed on an earlier one of its key.
 
-    Released at once, the later load would run first. The planner waits for the replies of all forwarders.
+    Released at once, the later load would run first. The planner asks every other forwarder to reply once
+    it has passed on all earlier requests, and waits for the replies.
     """
     released, queries = list[int](), list[tuple[str, int]]()
     merge = ArrivalMerge[str](
@@ -477,7 +481,7 @@
     assert queries == [("f2", 1)] and released == []
     merge.add("f2", keyed_request(2, received_at=10), ["f1"])
     merge.on_reply("f2", 1)
-    assert released == []  # an earlier request of its key waits for a reply
+    assert released == []  # request 2 of the same key is earlier, and waits for a reply
     merge.add("f2", keyed_request(3, received_at=15, key="other"), [])
     assert released == [3]
     merge.on_reply("f1", 2)
@@ -486,16 +490,16 @@
 
 @pytest.mark.parametrize("ends", ["disconnected", "abandoned"])
 def test_loads_wait_neither_for_a_forwarder_nor_behind_a_request_that_has_ended(ends: str) -> None:
-    """A forwarder disconnects, or a request ends, while a load waits for its reply or behind it.
+    """A load must not wait for the reply of a disconnected forwarder, nor behind a request that has ended.
 
-    A load that waited on would not be released, as neither the reply nor the earlier load is still to come.
+    It might never be released: a disconnected forwarder does not reply, and an ended request need not run.
     """
     released = list[int]()
     merge = ArrivalMerge[str](lambda *_: None, lambda request: released.append(request.request_id))
     merge.add("f2", keyed_request(1, received_at=10), ["f1", "f3"])
     merge.add("f1", keyed_request(2, received_at=20), ["f2"])
     if ends == "disconnected":
-        merge.on_disconnected("f2")  # it had not replied for the second request
+        merge.on_disconnected("f2")  # the second request waits for a reply of "f2"
     else:
         merge.on_reply("f2", 2)
         assert released == []
@@ -504,9 +508,9 @@
 
 
 def test_load_is_not_overtaken_by_one_that_comes_by_another_forwarder(tmp_path: Path) -> None:
-    """Forwarders that share an address have one accept queue each, and one of them cannot accept.
+    """A load waits in the accept queue of a forwarder that cannot accept, and another accepts a later one.
 
-    A load in its queue would be overtaken by a later one of the same key that another forwarder accepts.
+    Forwarders that share an address have one accept queue each, so the later load would run first.
     """
     engine = Engine()
     with planner() as process:
--- a/tests/test_model.py
+++ b/tests/test_model.py
@@ -74,7 +74,7 @@
 
 def test_a_retry_budget_counts_what_lies_within_its_window() -> None:
     budget = RetryBudget()
-    assert allows_retry(budget, SITE, NOW)  # SITE sets no limit
+    assert allows_retry(budget, SITE, NOW)  # SITE sets no retry limit
     site = replace(SITE, retry_allowance=0.0, retries_per_request=0.5, retry_window=SEC)
     for _ in range(2):
         record_request(budget, site, NOW)
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -1,4 +1,13 @@
-"""The seven rules of sending: each on scripted events, and all together on generated event sequences."""
+"""The seven rules of sending: each on scripted events, and all but the fourth on generated event sequences.
+
+1. a request gets at most one answer, and is not sent after it
+2. a request that may have run is sent again only as the idempotency of its class allows
+3. only engines that are up get requests
+4. an engine in slow start gets no more work than its budget
+5. requests of a key run one at a time in arrival order, and not while an earlier attempt may still run
+6. a request is sent only to engines of the zones and kinds that its class allows
+7. attempts and retries stay within their limits
+"""
 
 from dataclasses import replace
 
@@ -167,7 +176,7 @@
 
 
 class Referee:
-    """Oracle: checks the actions of a scheduler against the seven rules, from the events passed to it."""
+    """Oracle: checks a scheduler's actions against the rules but the fourth, from the events passed to it."""
 
     def __init__(self, site: Settings) -> None:
         self.site = site
@@ -320,7 +329,7 @@
     referee.update_endpoints(start)
     referee.check(now, scheduler.handle(now, [start]))
     for step in range(data.draw(st.integers(1, 40))):
-        now += data.draw(st.sampled_from([0, 5 * MS, 150 * MS, 900 * MS, 4 * SEC]))  # may pause or jump
+        now += data.draw(st.sampled_from([0, 5 * MS, 150 * MS, 900 * MS, 4 * SEC]))  # may pause for 4 s
         event: Event
         live = sorted(referee.in_flight)
         match data.draw(st.sampled_from("rrrrooooltngmp")):
--- a/tests/test_send_guard.py
+++ b/tests/test_send_guard.py
@@ -49,7 +49,7 @@
                 attempt.on_ended(OutcomeCode.NOT_SENT)
 
     def withdraw(self, attempt: Any) -> bool:
-        return False  # the guard must not depend on a withdrawal
+        return False  # attempts stay queued, so that only the send guard can keep them from being written
 
     def cancel(self, attempt: Any) -> None: ...
 
@@ -173,10 +173,10 @@
 def test_attempt_that_waits_is_not_written_when_it_may_no_longer_be_sent(
     change: Callable[[ForwarderHarness], None], reason: str
 ) -> None:
-    """No engine may work for a client that has left or was answered, past the deadline, or during its drain.
+    """No engine may run a request past its deadline, while draining, or once the client left or is answered.
 
-    Each can happen while an attempt waits for its connection, so the send guard is consulted again just
-    before the first byte.
+    Any of these can happen while an attempt waits for its connection, so the send guard is consulted again
+    just before the first byte.
     """
     harness = ForwarderHarness()
     harness.forward()
@@ -187,7 +187,7 @@
 
 
 def test_client_found_to_have_left_is_owed_no_answer() -> None:
-    """The send guard may notice that a client has left before its server sees the close.
+    """The send guard reads the client's socket, and may notice a disconnect before the event loop reports it.
 
     The exchange must be abandoned at once, or the planner would retry for a client that is gone.
     """
@@ -200,10 +200,10 @@
 
 
 def test_non_idempotent_request_that_may_have_run_is_not_started_again() -> None:
-    """A faulty planner forwards a non-idempotent request again after a reset, so it may take effect twice.
+    """After a reset, a faulty planner could make a non-idempotent request take effect twice.
 
-    A rejection would make the client retry, to the same effect. The forwarder refuses another attempt after
-    one that may have run, and sends a failure instead of the rejection.
+    It could forward the request again, or reject it, upon which the client would send it again. The forwarder
+    refuses another attempt after one that may have run, and answers with a failure instead of the rejection.
     """
     harness = ForwarderHarness(class_index=1)
     harness.forward()
@@ -285,7 +285,8 @@
 
 # Slow-start budgets
 
-# An engine of 16 cores may be sent 20 requests with 1 s of work each in its first overload window
+# An engine of 16 cores may be sent 2.5 * 0.5 * 16 = 20 requests with 1 s of work each in its first overload
+# window of 1 s
 SLOW_START_RULES = {
     "cold": 10 * SEC,
     "start_capacity": 0.5,
@@ -334,7 +335,7 @@
 
 @pytest.mark.parametrize(("instances", "processes"), [(2, 1), (1, 2), (4, 2)])
 def test_processes_together_stay_within_the_budget(instances: int, processes: int) -> None:
-    """Full budgets of several forwarder processes, of one gateway or of several, add up to an overload.
+    """Full budgets of several forwarder processes, of one gateway or of several, would overload engines.
 
     The processes do not know of each other's sends, so each has an even part of the budget.
     """
@@ -358,7 +359,7 @@
 def test_restart_of_an_engine_begins_a_budget_of_its_own() -> None:
     """Sends to an engine before its restart must not use up the budget of the new engine process.
 
-    It runs none of that work, so the restart resets the count.
+    The new process runs none of that work, so the restart resets the count.
     """
     engine = EngineInSlowStart()
     engine.send_all_allowed(100 * SEC)
@@ -368,9 +369,9 @@
 
 @pytest.mark.parametrize("is_snapshot", [True, False])
 def test_endpoint_list_tells_which_engines_have_restarted_or_are_no_longer_listed(is_snapshot: bool) -> None:
-    """Sends counted for a removed engine would leak memory; for a restarted one, they use up its budget.
+    """Counted sends, if kept, would leak memory for removed engines and use up the budgets of restarted ones.
 
-    An update returns the names of both, for a snapshot as for a delta, and of no unchanged engine.
+    `update_endpoints` therefore returns the names of just these engines, for a snapshot as for a delta.
     """
     state = ForwarderState(settings({}))
     kept, restarted, removed = (
@@ -385,9 +386,9 @@
 
 
 def test_share_of_a_hot_upgrade_divides_the_budget() -> None:
-    """The two processes of a hot upgrade would together overload an engine with a whole budget each.
+    """With a whole budget each, the two processes of a hot upgrade would together overload an engine.
 
-    Each has its share of the budget.
+    Each therefore has only a share of the budget.
     """
     whole, half = EngineInSlowStart(), EngineInSlowStart()
     half.budgets.share = 0.5
@@ -395,10 +396,10 @@
 
 
 def test_attempts_behind_a_late_connection_to_a_cold_engine_do_not_leave_together() -> None:
-    """Attempts that the planner spaced may wait for one late connection, and then be written together.
+    """Attempts that the planner spaced may wait for one slow connection, and then be written together.
 
-    That is more than an engine in slow start takes within a window, so the budget counts what is written and
-    refuses the rest.
+    Together they would overload an engine in slow start, so the budget counts attempts as they are written
+    and refuses the rest.
     """
     harness = ForwarderHarness(started_at=100 * SEC, rules=SLOW_START_RULES)
     for number in range(60):
@@ -406,7 +407,7 @@
         harness.forwarder.apply(Forward(request_id, "a", 0))
         harness.now += SEC // 60
     harness.engine_client.write_all()
-    allowed = 22 + 3 * 22**0.5 + 3  # the engine started a second ago by then
+    allowed = 22 + 3 * 22**0.5 + 3  # at an age of 1 s, the engine has 0.55 of its capacity: 22 requests
     assert len(harness.engine_client.written) <= allowed
     assert set(harness.send_refusals()) == {"a cold-endpoint"}
     assert not harness.violations
--- a/tests/test_start_times.py
+++ b/tests/test_start_times.py
@@ -8,7 +8,7 @@
 
 SEC = 10**9
 HOUR = 3_600 * SEC
-CORRECT_OFFSET = 5 * 10**17  # of a correct wall clock from the steady clock, in ns
+CORRECT_OFFSET = 5 * 10**17  # nanoseconds by which a correct wall clock is ahead of the steady clock
 
 
 class Clocks:
@@ -32,9 +32,10 @@
 
 @pytest.mark.parametrize("step", [0, HOUR, -HOUR, 5 * SEC, -5 * SEC])
 def test_start_told_after_a_step_is_placed_by_the_clock_that_was_right(step: int) -> None:
-    """A wall clock stepped ahead makes an engine in slow start look older, and it would be overloaded.
+    """If the wall clock was stepped ahead, an engine in slow start would seem older and be overloaded.
 
-    Of the ages by the clock offset at the start of the process and by the current one, the lower counts.
+    Its age is computed with the offset of the wall clock at the start of the process and with the current
+    one. The lower age counts; a start in the future is discarded.
     """
     clocks = Clocks()
     start_times = clocks.start_times()
@@ -49,7 +50,8 @@
 def test_start_told_to_a_process_whose_clock_was_wrong_from_its_start_is_recent(error: int) -> None:
     """With a wall clock an hour ahead from the start of the process, an engine would skip its slow start.
 
-    The engine was missing from a list that was complete shortly before, which bounds its age.
+    The engine was missing from a list that was complete 2 s ago, so its age is at most these 2 s and
+    `MAX_LISTING_DELAY_NS` (10 s).
     """
     clocks = Clocks(error)
     start_times = clocks.start_times()
@@ -61,7 +63,8 @@
 def test_a_snapshot_bounds_ages_by_what_started_later() -> None:
     """A gateway with a wrong wall clock gets its first list, so no earlier list bounds the ages.
 
-    The engine that started last counts as started now, and the others by how much earlier they started.
+    The engine that started last counts as started now, and each other one as started earlier by the
+    difference of their listed starts.
     """
     clocks = Clocks(HOUR)
     listed = [clocks.endpoint("new", 3 * SEC), clocks.endpoint("older", 40 * SEC)]
@@ -69,9 +72,10 @@
 
 
 def test_a_start_longer_ago_than_any_step_is_taken_as_listed() -> None:
-    """Engines of a first list that started hours ago would count as in slow start and be sent too little.
+    """Engines of a first list that started hours ago must not count as in slow start and be sent too little.
 
-    An age above the longest step of a wall clock is past slow start in any case, and is taken as listed.
+    With an age above the longest expected clock step (`MAX_CLOCK_STEP_NS`), an engine is past slow start in
+    any case, and its start is taken as listed.
     """
     clocks = Clocks()
     listed = [clocks.endpoint("old", 2 * HOUR), clocks.endpoint("older", 3 * HOUR)]
@@ -79,7 +83,7 @@
 
 
 def test_a_start_stays_where_it_was_placed_first() -> None:
-    """After a step of the wall clock, a second translation would restart the slow start or end it too early.
+    """After a step of the wall clock, converting a start again would restart slow start or end it too early.
 
     The first result is stored and used as long as the listed start is the same.
     """
--- a/tests/world.py
+++ b/tests/world.py
@@ -146,7 +146,7 @@
         after: int = 0,
         final: bool | None = None,
     ) -> list[Action]:
-        """End the last attempt of a request; by default, an OK outcome ends the request, too."""
+        """End the last attempt of a request; `final`: this ends the request, too (default: for an OK)."""
         forward = next(forward for forward in reversed(self.sent) if forward.request_id == request_id)
         is_final = code is OutcomeCode.OK if final is None else final
         number = self.attempt_numbers[request_id]
