--- a/tests/flight_client.py
+++ b/tests/flight_client.py
@@ -29,7 +29,7 @@
 
 
 def update_headers() -> Headers:
-    """The request headers of an update, sent as a load."""
+    """The request headers of an update (DoPut) in the request class `load`."""
     return call_headers(FlightMethod.DO_PUT, x_class="load", x_row="7f3a9c21e0b4d655", x_txn_key=uuid4().hex)
 
 
@@ -78,7 +78,7 @@
             self._inbox += self.socket.recv(65_536)
         while frame := self._take_frame():
             if frame[FRAME_TYPE_OFFSET] == GoAwayFrame.type:
-                continue  # after a GOAWAY, h2 accepts no more frames for the open call
+                continue  # not passed to h2, which would then accept no more frames of the open call
             for event in self.h2.receive_data(frame):
                 if isinstance(event, ResponseReceived | TrailersReceived):
                     self.response_headers |= {str(name): str(value) for name, value in event.headers or []}
--- a/tests/race_helpers.py
+++ b/tests/race_helpers.py
@@ -23,13 +23,13 @@
 def settings_without_timeouts(**limits: Any) -> dict[str, Any]:
     """Settings whose timeouts are long enough that none ends a request during a test on a slow machine."""
     raw = settings_with_timeout(600.0)
-    raw["family-info"]["progress"] = 600 * SEC  # no progress note is expected
+    raw["family-info"]["progress"] = 600 * SEC  # so that no missing progress note ends an attempt
     raw["limits"] |= {name.replace("_", "-"): value for name, value in limits.items()}
     return raw
 
 
 def settings_with_non_idempotent_reports() -> dict[str, Any]:
-    """Settings under which reports are not idempotent."""
+    """Settings without timeouts under which requests of the class `report` are not idempotent."""
     raw = settings_without_timeouts()
     raw["services"][1] |= {"repeat": "at_most_once"}
     return raw
@@ -99,7 +99,7 @@
 
 
 def abandon_request(gateway: Gateway, client: socket.socket) -> None:
-    """Close the client's connection and wait until the gateway has ended its request."""
+    """Close the client's connection and wait until the gateway has ended the client's request."""
     open_before = gateway.forwarder.open_request_count
     client.close()
     until(lambda: gateway.forwarder.open_request_count < open_before)
--- a/tests/stand_ins.py
+++ b/tests/stand_ins.py
@@ -102,11 +102,13 @@
 
 
 class Engine:
-    """Implements the engines' line protocol. `script` lists the steps for a statement, one for each REQ.
+    """An engine that implements the line protocol and answers each REQ (request) by a script.
 
-    Steps: ok, error, refused, reset (closes the connection), mute (no response), torn (a truncated response),
-    spoilt (a malformed row), pageless (no page after the first) and twice (a duplicate response, after one
-    under an unknown id). A statement without steps left is answered with ok.
+    `script` lists the steps for each statement; every REQ with the statement takes the next step. Steps: ok
+    (a result of `pages` pages), error, refused, reset (closes the connection), mute (no response), torn (a
+    truncated response), spoilt (a malformed row), pageless (no page after the first) and twice (one response
+    with an unknown request id, then the ok response twice). A statement without steps left is answered with
+    ok.
     """
 
     def __init__(self, pages: int = 3, script: dict[str, list[str]] | None = None) -> None:
--- a/tests/test_flight.py
+++ b/tests/test_flight.py
@@ -29,7 +29,10 @@
 
 
 class FlightEngine(fl.FlightServerBase):  # type: ignore[misc]
-    """A stand-in for a Flight SQL engine that counts what it runs and notes a cancelled result."""
+    """A stand-in for a Flight SQL engine; counts the queries in `ran` and the updates in `loads`.
+
+    `cancelled` is set when a result ends before its last batch.
+    """
 
     def __init__(self, **options: Any) -> None:
         super().__init__("grpc://127.0.0.1:0", **options)
@@ -93,7 +96,10 @@
     statements: StatementSettings | None = None,
     **overrides: Any,
 ) -> Iterator[Gateway]:
-    """Runs a complete gateway, with HTTP and Flight SQL, on a separate thread."""
+    """Runs a complete gateway, with HTTP and Flight SQL, on a separate thread.
+
+    `web` are the engines of the HTTP front, which use the line protocol.
+    """
     hosts = []
     for number in range(max(len(flight_engines), len(web))):
         host: dict[str, Any] = {"host": f"e{number}", "site": "hall-a", "class": "std-16", "health": "up"}
@@ -121,8 +127,8 @@
 def wait_for_parser(statements: StatementService) -> None:
     """Waits until a parser process is ready.
 
-    A statement that arrives earlier is rejected after `MAX_WAIT_S`. On busy cores, that time can pass before
-    the process has started.
+    A statement that arrives earlier is rejected if it waits for longer than `MAX_WAIT_S` of the parser pool.
+    On busy cores, a process can take longer than that to start.
     """
     until(lambda: any(slot.state is SlotState.IDLE for slot in statements.supervisor.pool.slots))
 
@@ -194,7 +200,8 @@
 def test_client_cancelling_midway_cancels_the_engine_call(engine: FlightEngine) -> None:
     """A client cancels its call while the result is being sent.
 
-    The engine would go on producing a result that nobody reads. The gateway cancels the engine's call.
+    Unless the gateway cancels its call to the engine, the engine goes on producing a result that nobody
+    reads.
     """
     with gateway(engine) as gate:
         reader = run_query(gate, "SELECT long FROM lending_7.loans", x_class="report")
@@ -279,7 +286,8 @@
         run_query(gate, SQL, x_class="lookup").read_all()
     assert "Overloaded" in str(rejection.value) and gate.forwarder.counters.total(Verdict.REJECTED) == 1
     with gateway(engine) as gate, pytest.raises(pa.ArrowInvalid, match="Overloaded"):
-        # Three failed attempts in an idempotent class: a later retry does no harm
+        # After three failed attempts (`max-attempts`), a request of an idempotent class is rejected and not
+        # failed, as a later retry by its client does no harm
         run_query(gate, "SELECT broken FROM lending_7.loans").read_all()
     assert engine.ran["SELECT broken FROM lending_7.loans"] == 3
     with gateway(engine) as gate, pytest.raises(fl.FlightInternalError, match="Internal"):
@@ -291,7 +299,8 @@
 def test_deadline_ends_a_stalled_stream(engine: FlightEngine) -> None:
     """An engine stalls in the middle of a result, beyond the client's deadline.
 
-    The exchange would stay open for ever. The client must get an error, and the exchange must be removed.
+    Without a timer for the deadline, the exchange would stay open for ever. The client must get an error, and
+    the exchange must be removed.
     """
     engine.may_continue.clear()
     with gateway(engine) as gate:
@@ -325,9 +334,9 @@
 ) -> None:
     """Clients connect and send nothing, or open a call and never send its message.
 
-    They would occupy all connections up to the limit, and other clients could not connect. An idle
-    connection is closed at the limit, a silent one after a timeout, and a call without a message gets
-    DEADLINE_EXCEEDED.
+    They could occupy all connections up to the limit, and other clients could not connect. At the limit a
+    connection without calls is closed for a new one. A connection on which no byte arrives is closed after a
+    timeout, and a call without a message gets DEADLINE_EXCEEDED.
     """
     monkeypatch.setattr("query_gateway.rpc.connection.FIRST_BYTES_TIMEOUT_S", 0.1)
     monkeypatch.setattr("query_gateway.flight.client_call.MESSAGE_TIMEOUT_S", 0.1)
--- a/tests/test_flight_statements.py
+++ b/tests/test_flight_statements.py
@@ -97,8 +97,8 @@
 ) -> None:
     """A client sends a statement that writes, or that cannot be classified, under a class of reads.
 
-    Requests of such a class may run twice, so the write would be applied twice. It is rejected before it is
-    forwarded, on both fronts, and reads under the same label are still served.
+    Requests of such a class may run twice, so the write could be applied twice. The statement is rejected
+    before it is forwarded, on both fronts, and reads under the same label are still served.
     """
     http_engines = Engine(script={sql: ["error"] * 9}), Engine(script={sql: ["error"] * 9})
     with gateway(*flight_engines, web=http_engines, statements=ON) as gate:
@@ -241,21 +241,22 @@
 ) -> None:
     """Every run of one statement shape fails, on each engine that it is sent to.
 
-    Retried without bounds, it would take the capacity of all engines. Its shape gets a concurrency limit,
-    further requests of that shape are rejected at the limit, and other shapes are served as before.
+    Without a limit, requests of that shape could take the capacity of all engines. The shape gets a
+    concurrency limit, further requests of the shape are rejected at the limit, and other shapes are served as
+    before.
     """
     third = FlightEngine()
     with gateway(*flight_engines, third, statements=ON) as gate:
         assert gate.statements
         broken = "SELECT broken FROM lending_7.loans WHERE member = {}"
         limits = gate.statements.classifier.limits
-        for n in range(6):  # three attempts each, on engines that the scheduler selects
+        for n in range(6):  # three attempts each; the limit needs a failure on each of three engines
             if not limits.limited_count:
                 with pytest.raises(pa.ArrowInvalid, match="Overloaded"):
                     run_query(gate, broken.format(n)).read_all()
         assert limits.limited_count == 1
         [digest] = limits.records
-        for _ in range(20):  # at least as many in flight as the limit admits
+        for _ in range(20):  # more queries than the limit admits (`INITIAL_LIMIT`) count as running
             limits.query_started(digest)
         with pytest.raises(pa.ArrowInvalid, match="run already"):
             run_query(gate, broken.format(2)).read_all()
@@ -339,7 +340,8 @@
                     uncached_query = f"SELECT b{n} FROM lending_7.loans WHERE member = 1"
                     assert run_query(gate, uncached_query).read_all().num_rows == 3
                     break
-                except pa.ArrowInvalid:  # rejected while no parser is ready, or lost with a parser
+                except pa.ArrowInvalid:
+                    # Rejected while no parser is ready, or in quarantine after its parser was killed
                     gate.loop.call_soon(gate.statements.supervisor.pool.quarantine.clear)
             else:
                 raise AssertionError("no parser became ready within 20 s")
@@ -350,15 +352,15 @@
 ) -> None:
     """A client closes its connection while its statement waits for a parser.
 
-    Parsed after that, the statement could still be forwarded for a client that has left. The call has ended,
-    so nothing is forwarded, no engine gets the statement, and no exchange stays open.
+    If the statement is parsed after that, it could still be forwarded for a client that has left. The call
+    has ended, so nothing is forwarded, no engine gets the statement, and no exchange stays open.
     """
     with gateway(*flight_engines, statements=ON) as gate:
         assert gate.statements and gate.flight_server
         statements, server = gate.statements, gate.flight_server
         run_query(gate, READ).read_all()
         original = statements.supervisor.pool.assign
-        # No pending statement is assigned to a parser until `assign` is restored
+        # Statements stay in the queue for a parser until `assign` is restored
         statements.supervisor.pool.assign = lambda now: []  # type: ignore[method-assign]
         with contextlib.closing(FlightTestClient(server.listener.address)) as leaving:
             leaving.send_call(call_headers(FlightMethod.DO_GET), encode_ticket("SELECT c FROM t WHERE a = 1"))
--- a/tests/test_late_turns.py
+++ b/tests/test_late_turns.py
@@ -21,9 +21,10 @@
 from tests.test_web import LOAD, SQL, DiscoveryServiceStandIn
 
 SYN_RETRY_S = 1.0  # until Linux retries a SYN that was dropped because of a full backlog
-ABANDONED_GRACE_S = 0.2  # longer than an attempt may start after its client has disconnected
+ABANDONED_GRACE_S = 0.2  # longer than the time after a client's disconnect in which an attempt may be sent
 WAIT_S = 0.3
-DRAIN_GRACE_S = 0.5  # default of the settings
+# Default of the platform's `drain-grace`: how long after the drain of its engine an attempt may still start
+DRAIN_GRACE_S = 0.5
 
 
 def begin_slow_turn(gateway: Gateway, may_end: threading.Event) -> None:
@@ -41,7 +42,8 @@
 def test_attempt_does_not_leave_to_an_engine_whose_drain_came_during_a_slow_turn() -> None:
     """Guards against a request sent to an engine whose drain has arrived but is not yet handled.
 
-    The engine's connection is established during the same slow turn, and its event is handled first.
+    The connection to the engine is established during the same slow turn. If that event were handled before
+    the drain, the request that waits for the connection would be written to the draining engine.
     """
     engine, journal, may_end = SlowToAcceptEngine(), DiscoveryServiceStandIn(), threading.Event()
     settings = settings_without_timeouts(dial_timeout=600 * SEC)
@@ -79,7 +81,7 @@
         assert not connection.grpc.stream.connected
         for filler in fillers:
             filler.close()
-        engine.accept()[0].close()  # the loop does not turn until the cancel has arrived
+        engine.accept()[0].close()  # makes room in the backlog; no loop turn until the cancel has arrived
         time.sleep(1.5 * SYN_RETRY_S)
         client.cancel()
         time.sleep(ABANDONED_GRACE_S)
@@ -92,7 +94,8 @@
 def test_time_of_a_flight_call_counts_from_its_message_and_not_from_frames_behind_it() -> None:
     """Guards against a deadline that counts from later frames on the connection, not from the call's message.
 
-    The client acknowledges the server's preface, and this newer data would date the call too late.
+    The client acknowledges the server's HTTP/2 preface after its call. The call would be dated too late if
+    the arrival of this newer data counted.
     """
     engine = socket.create_server(("127.0.0.1", 0))
     gateway = flight_gateway(engine)
@@ -113,9 +116,10 @@
 
 
 class StoppedPoll:
-    """An epoll object whose process is stopped during the first poll, for longer than its timeout.
+    """An epoll object that acts as if its process were stopped during the first poll.
 
-    The wait is interrupted, and its timeout has expired when it would be resumed, so it reports no event.
+    The stop lasts for longer than the timeout of the poll. It interrupts the system call, which then finds
+    the timeout expired and reports no event.
     """
 
     def __init__(self, epoll: Any) -> None:
@@ -136,7 +140,8 @@
 def test_what_came_while_the_process_was_stopped_is_read_before_timers_run() -> None:
     """Guards against a timer of the planner that sends a request to an engine whose drain is unread.
 
-    A process that was stopped during the poll finds its timers due and its sockets not polled.
+    When a process continues after a stop during its poll, its timers are due, and the poll has not reported
+    the input that arrived meanwhile. The loop polls again before it runs the timers.
     """
     loop, order = Loop(), list[str]()
     near, far = socket.socketpair()
--- a/tests/test_race_abandoned_requests.py
+++ b/tests/test_race_abandoned_requests.py
@@ -32,8 +32,9 @@
 def test_request_abandoned_while_its_connection_is_being_opened_is_not_forwarded(cancelling: bool) -> None:
     """A client disconnects while the connection for its attempt is being dialled.
 
-    With cancellation off no planner withdrew the attempt, so the request was written once the connection was
-    established, with no client left. The exchange itself withdraws an attempt that has not been written.
+    With cancellation off (`cancelling`), the planner cancels no attempt. If the withdrawal were left to it,
+    the request would be written once the connection is established, with no client left. The exchange itself
+    withdraws an attempt that has not been written.
     """
     engine = SlowToAcceptEngine()
     raw = settings_without_timeouts(cancelling=cancelling, dial_timeout=20 * SEC)
@@ -52,8 +53,8 @@
 def test_request_abandoned_while_the_planner_process_is_stalled_is_not_forwarded() -> None:
     """A client disconnects while its attempt waits for the dial and the planner process is stalled.
 
-    The connection is established before the planner can send a cancel, and the request would be written. The
-    exchange withdraws an unwritten attempt without waiting for its planner.
+    The connection is established before the planner can send a cancel, and an exchange that waited for the
+    cancel would have the request written. The exchange withdraws an unwritten attempt at once.
     """
     engine = SlowToAcceptEngine()
     with gateway_with_planner_process(engine, dial_timeout=20 * SEC) as (gateway, planner_process):
@@ -98,8 +99,9 @@
 def test_request_abandoned_while_it_is_unwritten_is_not_forwarded(cancelling: bool) -> None:
     """A client disconnects while its request waits behind others that the engine does not read.
 
-    The request was already in the output buffer, so it was sent anyway, with or without a STOP behind it.
-    Requests are encoded only when they can be written, and an unwritten one is withdrawn.
+    A request that is already in the output buffer would be sent anyway, with or without a STOP (the cancel of
+    the engine protocol) behind it. Requests are therefore encoded only when they can be written, and an
+    unwritten one is withdrawn.
     """
     engine = PausedReaderEngine(script={UNANSWERED_SQL: ["mute"]})
     with running(engine, settings=settings_without_timeouts(cancelling=cancelling)) as gateway:
@@ -118,8 +120,8 @@
 def test_request_abandoned_before_its_connection_is_accepted_is_not_forwarded() -> None:
     """A client sends a request and closes before its connection is accepted.
 
-    The request was read and forwarded before the end of its connection was read, and an engine ran it with
-    no client left. The send guard checks the client's socket just before the first byte is written.
+    If the request were forwarded before the end of the client's connection is read, an engine would run it
+    with no client left. The send guard checks the client's socket just before the first byte is written.
     """
     engine = Engine()
     with running(engine, settings=settings_without_timeouts()) as gateway:
@@ -165,8 +167,9 @@
 def test_request_abandoned_before_its_attempt_is_reset_is_not_retried() -> None:
     """A client disconnects, and then the engine connection of its attempt is reset.
 
-    With cancellation off the attempt stays in flight, and after the reset the planner would retry it with no
-    client left. The outcome says that the exchange has ended, so no other attempt starts.
+    With cancellation off (`cancelling`), the attempt stays in flight, and after the reset the planner could
+    retry the request with no client left. The outcome that is reported to the planner says that the exchange
+    has ended (`AttemptOutcome.final`), so no other attempt starts.
     """
     engine = Engine(script={ABANDONED_SQL: ["mute"]})
     with running(engine, settings=settings_without_timeouts(cancelling=False)) as gateway:
@@ -185,8 +188,9 @@
 def test_client_that_leaves_behind_a_full_receive_buffer_is_noticed(extra_bytes: int) -> None:
     """A client sends more bytes behind its request than the receive buffer holds, and disconnects.
 
-    Reading paused at the full buffer, so the end of the connection was not read and the engine worked on.
-    Bytes that a client sends ahead of its answer are read and discarded, up to a limit.
+    Reading pauses while the buffer is full, so the end of the connection would not be read, and the engine
+    would work on. A full buffer is therefore discarded while an answer is pending, up to
+    `MAX_DISCARDED_BYTES` for one connection.
     """
     engine = Engine(script={ABANDONED_SQL: ["mute"]})
     with running(engine, settings=settings_without_timeouts()) as gateway:
@@ -201,8 +205,9 @@
 def test_client_that_sends_too_much_ahead_is_disconnected_and_others_are_served(capfd: Any) -> None:
     """A client keeps sending while it waits for its answer.
 
-    Without a limit these bytes would exhaust the memory or occupy the process. Beyond the limit the
-    connection ends with a reason code in the log, and the request is stopped at the engine.
+    Without a limit these bytes would exhaust the memory or occupy the process. Beyond `MAX_DISCARDED_BYTES`
+    the connection ends with the reason code `bad-request` in the log, and the request is stopped at the
+    engine.
     """
     engine = Engine(script={ABANDONED_SQL: ["mute"]})
     with running(engine, settings=settings_without_timeouts()) as gateway:
@@ -218,8 +223,8 @@
 def test_bytes_sent_ahead_beyond_the_receive_buffer_close_the_connection_after_the_answer() -> None:
     """A client sends more bytes ahead of its answer than the receive buffer holds.
 
-    Some of them were discarded, so later bytes on the connection would be parsed from the middle of a
-    request. The answer announces the close of the connection, which follows it.
+    The gateway discards a full buffer, so later bytes on the connection would be parsed from the middle of a
+    request. The answer announces the close of the connection, and the connection closes after the answer.
     """
     engine = PausedReaderEngine(script={ABANDONED_SQL: ["mute"]})
     engine.may_read.set()
--- a/tests/test_race_classification.py
+++ b/tests/test_race_classification.py
@@ -27,9 +27,10 @@
 pytestmark = pytest.mark.usefixtures("reset_log_rate_limit")
 
 UNPARSED_SQL = "SELECT c FROM t WHERE a = 1"
-KILL_MARGIN_S = 0.7  # from the longest deadline to SIGKILL, at the earliest
+# Time of the earliest SIGKILL, counted from `ANSWER_SECONDS` like that of the abort, `ABORT_MARGIN_SECONDS`
+KILL_MARGIN_S = 0.7
 DEADLINE_MS = 400
-ANSWER_SLACK_S = 0.5  # an answer may come this long after its deadline
+ANSWER_SLACK_S = 0.5  # an answer may come this long after the deadline of its request
 REJECTED = str(GrpcStatus.RESOURCE_EXHAUSTED.value)
 
 
@@ -89,7 +90,7 @@
 
 
 def test_flight_call_with_an_unusable_id_is_refused_before_its_statement_waits_for_a_parser() -> None:
-    """A Flight call carries an unusable id.
+    """A Flight call carries a malformed request id (`x-txn`).
 
     If the id were checked only after the parse, the error would be raised in a callback of the loop, where
     nothing answers the call.
@@ -126,7 +127,7 @@
 def test_request_that_waits_for_a_parser_is_answered_by_its_deadline(run_client: RunClient) -> None:
     """The deadline of a request passes while its statement waits for a parser.
 
-    Deadlines were watched only from the parse on, so the client got no answer in time.
+    If deadlines were watched only from the end of the parse, the client would get no answer in time.
     """
     with gateway_without_parser() as gateway:
         began_at = time.monotonic()
--- a/tests/test_race_endpoint_list.py
+++ b/tests/test_race_endpoint_list.py
@@ -24,15 +24,16 @@
 
 
 def poll_targets(answers: tuple[tuple[bytes, int], ...]) -> list[str]:
-    """The request targets of the polls at the positions that are paired with the answers."""
+    """The request target of each poll; an answer is paired with the position that its poll asks from."""
     return [f"/journal?tail={position}" for _, position in answers]
 
 
 def test_sequence_reset_gap_or_duplicate_in_the_watch_causes_a_resync(capfd: Any) -> None:
     """The discovery service restarts, omits events, or sends them twice.
 
-    The gateway kept the highest position that it had received and silently ignored all later answers, so its
-    list became stale. Each of these anomalies is logged and followed by a poll for the complete list.
+    If the gateway kept the highest position that it had received, it would silently ignore all later answers,
+    and its list would become stale. Each of these anomalies is logged, and the next poll asks again: for the
+    complete list if events are missing, else for the last event.
     """
     journal, first_engine, second_engine = DiscoveryServiceStandIn(), Engine(), Engine()
     hosts = [host(second_engine, "e2")]
@@ -40,10 +41,10 @@
     gap_answer = json.dumps(endpoint_list_answer(9, hosts)).encode()
     answers = (
         (answer_body(first_engine), 1), (b'{"pos":1,"entries":[]}', 2), (reset_answer, 0),  # lower positions
-        (b'{"pos":6,"entries":[]}', 1), (reset_answer, 0),  # a position beyond its events
+        (b'{"pos":6,"entries":[]}', 1), (reset_answer, 0),  # states a position beyond its events
         (gap_answer, 1), (reset_answer, 0),  # omitted events
         (reset_answer, 1),  # a duplicate; a new connection then polls for the last event again
-        (reset_answer, 0), (b'{"pos":1,"entries":[]}', 1), (reset_answer, 0),  # empty, but not held
+        (reset_answer, 0), (b'{"pos":1,"entries":[]}', 1), (reset_answer, 0),  # nothing new, but at once
     )  # fmt: skip
     with running_gateway(config([], journal=journal.address)) as gateway:
         assert [journal.answer(body) for body, _ in answers] == poll_targets(answers)
@@ -61,10 +62,11 @@
 
 
 def test_restarted_service_that_has_passed_our_position_causes_a_resync(capfd: Any) -> None:
-    """The discovery service restarts and passes the gateway's position before the next poll.
+    """The discovery service restarts, and its numbering passes the gateway's position before the next poll.
 
     No answer has a lower position that would show the restart, so the gateway would miss the new events up to
-    its position. A new connection polls for the last known event again and resyncs if that event differs.
+    its position. After a lost connection, the gateway polls for the last known event again, and for the
+    complete list if that event differs.
     """
     journal, first_engine, second_engine = DiscoveryServiceStandIn(), Engine(), Engine()
     snapshot = endpoint_list_answer(1, [host(second_engine, "e2", "draining")], snapshot=True)["entries"]
@@ -94,8 +96,9 @@
 def test_restarted_service_does_not_revive_draining_or_removed_engines() -> None:
     """A restarted discovery service answers with a list from before a drain.
 
-    Draining and removed engines were taken as up again and got requests. Each has a tombstone, which ends
-    only with a later start of the engine or with the next event of the same service.
+    If the list were applied as it is, draining and removed engines would count as up again and get requests.
+    Each of these engines has a tombstone, which ends only when the engine is reported as up, either with
+    another start time or by an event that follows the last complete list in sequence.
     """
     journal, engines = DiscoveryServiceStandIn(), [Engine() for _ in range(3)]
 
@@ -128,10 +131,10 @@
 
 
 def test_draining_survives_stale_lists_of_a_restarted_service() -> None:
-    """A stale list reports a draining engine as up; the previous test without sockets.
+    """A stale list reports draining and removed engines as up; checks `EndpointTombstones` without sockets.
 
-    Requests would go to an engine that is about to end. A tombstone ends only with a later start of the
-    engine, or with an event in the sequence of the same service.
+    Requests would go to engines that are about to end or have ended. While a restarted service is not in
+    sequence, a tombstone ends only when its engine is reported as up with another start time.
     """
 
     def make_endpoint(name: str, state: EndpointState, started_at: int = 0) -> Endpoint:
@@ -171,8 +174,9 @@
 ) -> None:
     """An engine starts to drain while the watch hangs or is disconnected.
 
-    The gateway would send to the engine for as long as the watch is down. A watch without an answer in
-    time is closed, and the next poll, from the last known position, brings the drain.
+    Without a timeout, the gateway would send to the engine for as long as the watch hangs. The connection of
+    a poll that is not answered in time is closed, and the next poll, from the last known position, brings the
+    drain.
     """
     monkeypatch.setattr("query_gateway.discovery.watch_client.POLL_HOLD_MS", 100)
     monkeypatch.setattr("query_gateway.discovery.watch_client.ANSWER_GRACE_SECONDS", 0.1)
@@ -197,8 +201,8 @@
 def test_watches_that_break_together_reconnect_at_different_times() -> None:
     """The discovery service closes the watches of all gateways at once.
 
-    All gateways reconnected at the same times, every 0.1 s, and overloaded a service that had just started.
-    The backoff has jitter, drawn from each gateway's own seed.
+    With a fixed backoff of 0.1 s, all gateways would reconnect at the same times and overload a service that
+    has just started. The backoff has jitter, drawn from each gateway's own seed.
     """
     reconnect_delays: list[float] = []
     for seed in range(20):
@@ -240,8 +244,9 @@
 ) -> None:
     """A watch gets any series of good, empty, incomplete, repeated and reset answers.
 
-    After an answer that is handled wrongly, its list would differ from the service's permanently. After any
-    series, two good answers bring the complete list: the first may only show that a resync is needed.
+    If an answer were handled wrongly, the gateway's list could differ permanently from that of the service.
+    After any series, two good answers bring the complete list: the first may only show that a resync, a poll
+    for the complete list, is needed.
     """
     position, states = 0, dict[str, EndpointState]()
 
--- a/tests/test_race_engine_connections.py
+++ b/tests/test_race_engine_connections.py
@@ -45,7 +45,7 @@
     def _send_endlessly(self, sock: socket.socket, name: str) -> None:
         head, more = f"{name} ok sheets=1 5000\r\n", "x"
         if self.how == "repeating":
-            self.pageless.add(name)  # the next page that is fetched never comes
+            self.pageless.add(name)  # a page that is fetched is not sent
             head, more = f"{name} ok sheets=3 6\r\n0\tx\ty\n\r\n", f"{name} batch sheet=1 6\r\n1\tx\ty\n\r\n"
         with contextlib.suppress(OSError):
             sock.sendall(head.encode())
@@ -68,8 +68,9 @@
 def test_attempt_not_sent_because_of_a_drain_is_ended_at_the_planner_process() -> None:
     """A drain is announced after the planner process has decided, before the gateway reads the decision.
 
-    The attempt is not sent. The next one had the same number, so the planner ignored its end and counted it
-    as in flight permanently. An attempt that is not sent has its own number.
+    The send guard refuses the attempt, which is not sent. If the next attempt got the same number, the
+    planner would ignore the end of that next attempt and count it as in flight permanently. A refused attempt
+    therefore uses up a number.
     """
     engine, other_engine = Engine(), Engine()
     with gateway_with_planner_process(engine) as (gateway, planner_process):
@@ -106,8 +107,8 @@
 def test_retry_is_not_sent_when_its_connection_comes_up_after_the_deduplication_window() -> None:
     """The connection for a retry is established after the deduplication window has ended.
 
-    The engines no longer recognized the retry, and the load ran twice. The attempt is withdrawn at the end of
-    the window if none of it has been written.
+    After the window (`memory-span`), the engines no longer recognize a retry, and the load could run twice.
+    The attempt is therefore withdrawn at the end of the window if no byte of it has been written.
     """
     engine, other_engine = Engine(script={LOAD: ["mute"]}), SlowToAcceptEngine()
     raw = settings_without_timeouts(dial_timeout=600 * SEC)
@@ -134,10 +135,11 @@
     "last_bytes", [b"", b"ffffffffffffffff progress detail=share,val=0.1 0\r\n", b"ffff"]
 )
 def test_close_by_the_engine_is_found_before_a_request_is_written(last_bytes: bytes) -> None:
-    """An engine closes an idle connection just before a request, perhaps after a late note or a partial line.
+    """An engine closes an idle connection just before a request.
 
-    Written after the close, a non-idempotent request counts as possibly run and fails, although it never ran.
-    The connection reads all that has arrived before it takes an attempt, and another one is dialled.
+    Before the close, it may send a late progress note or a partial line. A non-idempotent request written
+    after the close would count as possibly run and fail, although it never ran. Before a connection takes an
+    attempt it reads all that has arrived; if that shows the close, another connection is dialled.
     """
     engine = Engine()
     with running(engine, settings=settings_with_non_idempotent_reports()) as gateway:
@@ -162,8 +164,8 @@
 def test_partial_line_on_an_idle_connection_corrupts_no_answer(monkeypatch: pytest.MonkeyPatch) -> None:
     """A partial line arrives on an idle connection, and then a request is assigned to it.
 
-    The answer was appended to the partial line and could not be decoded, so a non-idempotent request failed.
-    A connection with a partial line and no attempt takes no further attempts.
+    The answer would be appended to the partial line and could not be decoded, so a non-idempotent request
+    would fail. A connection that has received a partial line and has no attempt in flight takes no attempts.
     """
     monkeypatch.setattr("query_gateway.engine_protocol.liveness.STALL_TIMEOUT_SECONDS", 600.0)
     engine = Engine()
@@ -182,8 +184,9 @@
 ) -> None:
     """An engine's answer arrives byte by byte without an end, or repeats one page forever.
 
-    Each byte restarted the response timeout, so the client waited until its deadline. A response must be
-    complete within a fixed time from its first byte.
+    Each byte restarts the stall timeout (`STALL_TIMEOUT_SECONDS`), so with that timeout alone the client
+    would wait until its deadline. A response must also be complete within `RESPONSE_TIMEOUT_SECONDS` of its
+    start; otherwise the attempt ends as an error, and the request is retried.
     """
     monkeypatch.setattr("query_gateway.engine_protocol.liveness.RESPONSE_TIMEOUT_SECONDS", 0.2)
     monkeypatch.setattr("query_gateway.engine_protocol.liveness.STALL_TIMEOUT_SECONDS", 600.0)
@@ -197,7 +200,7 @@
 def test_non_idempotent_request_not_sent_in_full_is_retried_when_its_connection_breaks() -> None:
     """A connection breaks while a request still waits behind others that the engine does not read.
 
-    The non-idempotent request counted as possibly run and failed, although it was never written. It ends as
+    A non-idempotent request must not count as possibly run, and fail, when it was never written. It ends as
     not sent, and is retried on another connection.
     """
     engine = PausedReaderEngine(script={UNANSWERED_SQL: ["mute"]})
@@ -219,8 +222,9 @@
 def test_request_waiting_for_its_connection_is_not_sent_to_a_draining_engine() -> None:
     """An engine starts to drain while a connection to it is being dialled.
 
-    The request that waits for the connection would be written to the draining engine, which may close it
-    unanswered. The pool withdraws the request when the drain is announced, and another engine gets it.
+    The request that waits for the connection would be written to the draining engine, which may close the
+    connection without an answer. The pool withdraws the request when the drain is announced, and another
+    engine gets it.
     """
     engine, other_engine = SlowToAcceptEngine(), Engine()
     with (
@@ -242,8 +246,9 @@
 def test_unwritten_request_is_not_sent_to_a_draining_engine() -> None:
     """An engine starts to drain while a request waits behind others that the engine does not read.
 
-    The request was already in the output buffer, so it was sent when the engine read on, after its drain.
-    Requests are encoded only when they can be written; the pool withdraws unwritten ones at the drain.
+    A request that is already in the output buffer would be sent when the engine reads on, after the drain has
+    begun. Requests are therefore encoded only when they can be written, and the pool withdraws unwritten ones
+    when the drain is announced.
     """
     engine, other_engine = PausedReaderEngine(script={UNANSWERED_SQL: ["mute"]}), Engine()
     with running(engine, settings=settings_without_timeouts()) as gateway, ThreadPoolExecutor() as executor:
@@ -264,8 +269,9 @@
 def test_what_the_machine_does_not_take_is_not_queued() -> None:
     """A connection cannot write a request at once, as earlier bytes are still in its output buffer.
 
-    A request queued in that buffer has an outdated deadline when it is sent, and cannot be withdrawn.
-    `try_write` takes nothing unless its first byte is written at once; `on_activity` says when to try again.
+    A request queued in that buffer would have an outdated time budget when it is sent, and could not be
+    withdrawn. `Stream.try_write` takes nothing unless the kernel accepts the first byte at once;
+    `on_activity` is called when the caller may try again.
     """
     loop, listener = Loop(), socket.create_server(("127.0.0.1", 0))
     near_socket = socket.create_connection(listener.getsockname())
@@ -277,13 +283,13 @@
     assert stream.try_write(b"a" * 1_000_000) and stream.outbox
     received = bytearray()
     far_socket.settimeout(0.01)
-    assert not stream.try_write(b"b" * 10)  # the rest of the first write is ahead of it
+    assert not stream.try_write(b"b" * 10)  # the rest of the first write is still queued
     queued = len(stream.outbox)
     while not write_results or not write_results[-1]:
         loop.turn()
         with contextlib.suppress(TimeoutError):
             received += far_socket.recv(65_536)
-        assert len(stream.outbox) <= queued  # nothing was added to it
+        assert len(stream.outbox) <= queued  # a refused write adds nothing
     stream.on_activity = lambda: None
     while len(received) < 1_000_010:
         loop.turn()
@@ -298,7 +304,8 @@
 def test_a_full_socket_takes_nothing_until_there_is_room_again() -> None:
     """The kernel's send buffer is full while the stream's own output buffer is empty.
 
-    If only the output buffer were watched, `try_write` would never be called again. The stream asks epoll to
+    If the stream awaited a writable socket only while its output buffer holds bytes, `on_activity` would not
+    be called, and the caller would never repeat a refused `try_write`. After a refusal, the stream has epoll
     report when the socket is writable again.
     """
     loop, listener = Loop(), socket.create_server(("127.0.0.1", 0))
--- a/tests/test_race_idle_connections.py
+++ b/tests/test_race_idle_connections.py
@@ -22,7 +22,8 @@
 ) -> None:
     """A client sends a request while the gateway closes its idle connection.
 
-    Closed without a last read, the connection would be reset and the request would get no answer.
+    If the gateway closed without a last read, the connection would be reset and the request would get no
+    answer.
     """
     engine = Engine()
     monkeypatch.setattr(
@@ -66,7 +67,7 @@
     """A client sends bytes after the last read of a closing connection, in the same loop turn.
 
     A close with unread bytes makes the kernel send a reset, which can destroy an answer that the client has
-    not read yet.
+    not read yet. So the gateway half-closes the connection and reads on until the client closes.
     """
     engine = Engine()
     with running(engine, settings=settings_without_timeouts()) as gateway:
@@ -76,7 +77,7 @@
         sent = list[bool]()
 
         def send_before_the_turn_ends() -> bool:
-            """Send once the connection has been handled, before the loop turn ends."""
+            """Send after the connection's task has read for the last time, before the loop turn ends."""
             if gateway.http_server.closing and not sent:
                 client.sendall(b"POST /svc/lookup HTTP/1.1\r\n")
                 sent.append(True)
@@ -95,7 +96,8 @@
 def test_client_beyond_the_connection_limit_gets_a_rejection() -> None:
     """A client connects at the connection limit while all other connections have open requests.
 
-    No connection can be evicted for it, and it would be closed without an answer. Its request is rejected.
+    No connection can be evicted for the new one. If the new one were closed at once, its client would get no
+    answer. So up to `MAX_OVERFLOW_CONNECTIONS` are accepted beyond the limit and their requests rejected.
     """
     engine = Engine(script={ABANDONED_SQL: ["mute"] * 2})
     with running(engine, settings=settings_without_timeouts()) as gateway:
--- a/tests/test_race_reload.py
+++ b/tests/test_race_reload.py
@@ -25,8 +25,8 @@
 def test_second_reload_keeps_each_retired_class_for_its_own_grace_period() -> None:
     """A second reload happens during the grace period of the first one.
 
-    The timer of the first reload also ended the grace period of classes that the second one had retired, so
-    late requests for them were rejected too early. Each retired class has its own grace period.
+    If the timer of the first reload also ended the grace period of classes that the second one has retired,
+    late requests for them would be rejected too early. Each retired class has its own grace period.
     """
     names = iter(("audit", "third"))
 
@@ -60,8 +60,9 @@
 def test_callback_that_raises_does_not_delay_the_callbacks_behind_it() -> None:
     """A callback raises while another one is queued behind it.
 
-    A SIGTERM queued behind a reload that raised was not handled until the next signal woke the loop. The loop
-    counts the fault and runs the remaining callbacks in the same turn.
+    If the exception ended the run of the queue, a SIGTERM queued behind a reload that raised would not be
+    handled until the next signal wakes the loop. The loop counts the fault and runs the remaining callbacks
+    in the same turn.
     """
     loop, ran = Loop(), list[str]()
     loop.call_soon(lambda: 1 / 0)
@@ -74,8 +75,8 @@
 def test_sighup_during_the_start_is_applied_and_ends_no_gateway(tmp_path: Path) -> None:
     """SIGHUP arrives while the gateway is still starting.
 
-    Without a handler, the default action of the signal ended the process. The handler is installed first, and
-    the configuration is read again once the gateway runs.
+    Without a handler, the default action of the signal would end the process. The handler is installed before
+    the configuration is read, and the configuration is read again once the gateway runs.
     """
     known = {"pos": 7, "entries": []}
     platform = {"listen": "127.0.0.1:0", "journal": "127.0.0.1:1", "known": known, "settings": SETTINGS}
--- a/tests/test_race_shutdown.py
+++ b/tests/test_race_shutdown.py
@@ -38,9 +38,10 @@
 from tests.test_request_arrival import encoded_request
 from tests.test_web import LOAD, ROWS, SQL, running
 
-KEY_QUARANTINE_S = 0.3  # as in SETTINGS
-START_DELAY_S = 0.2  # of the successor, after the predecessor has closed its listeners
-KILL_MARGIN_S = 0.7  # from the longest deadline to SIGKILL, at the earliest
+KEY_QUARANTINE_S = 0.3  # `settle-after-doubt` in SETTINGS
+START_DELAY_S = 0.2  # from the end of the predecessor's grace period to the start of the successor
+# SIGKILL comes no earlier than this after `ANSWER_SECONDS`, or after the longest timeout if that is shorter
+KILL_MARGIN_S = 0.7
 
 pytestmark = pytest.mark.usefixtures("reset_log_rate_limit")
 
@@ -57,8 +58,8 @@
 def test_shutdown_aborts_open_requests_before_the_process_is_killed() -> None:
     """A request is still open when the platform is about to send SIGKILL.
 
-    SIGKILL would reset its client's connection without an answer. The abort answers it before that, after the
-    longest deadline, also where all deadlines are shorter than `ANSWER_SECONDS`.
+    SIGKILL would reset the client's connection without an answer. The abort answers the request before that:
+    after `ANSWER_SECONDS`, or after the longest timeout of a class if that is shorter.
     """
     for settings, longest_deadline in ((SETTINGS, ANSWER_SECONDS), (settings_with_timeout(1.0), 1.0)):
         gateway = Gateway(config([], settings=settings), OperatorSettings(), signals=False)
@@ -72,8 +73,8 @@
 def test_open_requests_are_aborted_before_the_kill_also_where_a_successor_follows(tmp_path: Path) -> None:
     """A predecessor with a ready successor gets SIGTERM.
 
-    SIGKILL follows as early as after any other SIGTERM. Without a timer for the abort, requests that are
-    still open would be lost.
+    SIGKILL follows as early as without a successor. If no abort were scheduled, requests that are open until
+    then would be lost.
     """
     with gateway_with_successor(tmp_path, Engine(), "ready") as (gateway, _):
         until(lambda: gateway.hot_upgrade and gateway.hot_upgrade.successor_ready)
@@ -87,8 +88,8 @@
 ) -> None:
     """The loop handles SIGTERM only 2 s after the signal.
 
-    The time until SIGKILL counts from the signal. An abort whose time counted from the late loop turn would
-    come after SIGKILL.
+    The time until SIGKILL counts from the signal. If the time until the abort counted from the late loop
+    turn, the abort would come after SIGKILL.
     """
     gateway = Gateway(config([]), OperatorSettings(), signals=False)
     gateway.shutdown.begin(gateway.loop.now() - 2.0)
@@ -99,7 +100,8 @@
 def test_shutdown_after_a_reload_uses_the_current_deadlines() -> None:
     """A reload retires a class and shortens all deadlines, and then a shutdown begins.
 
-    Computed from the deadlines before the reload, the abort would come later than the current ones require.
+    If the abort were scheduled by the deadlines from before the reload, it would come later than the current
+    ones require.
     """
     settings = settings_with_timeout(1.0)
     settings["services"][1] |= {"name": "audit"}
@@ -173,8 +175,9 @@
 def test_clients_are_served_after_sigterm_until_the_successor_is_ready(tmp_path: Path) -> None:
     """A predecessor gets SIGTERM while its successor is not ready.
 
-    Neither process accepted, so new clients waited in the accept queue until the abort or their own deadline.
-    The predecessor accepts until the successor is ready, also after the grace period.
+    If the predecessor stopped accepting, neither process would accept, and new clients would wait in the
+    accept queue until the abort or their own deadline. The predecessor accepts until the successor is ready,
+    also after the grace period (`ACCEPT_GRACE_SECONDS`).
     """
     with deployed_gateway(tmp_path) as deployment:
         predecessor, _ = stop_before_successor_is_ready(deployment)
@@ -201,7 +204,10 @@
 def gateway_with_successor(
     folder: Path, engine: Engine, *messages: str
 ) -> Iterator[tuple[Gateway, socket.socket]]:
-    """A gateway, and the connection to it of a successor that the test acts as."""
+    """A gateway, and a connection on which the test acts as the gateway's successor.
+
+    The hello and then `messages` are sent on the connection before it is returned.
+    """
     configuration = config([host(engine)], settings=settings_without_timeouts())
     options = GatewayOptions(upgrade_path=str(folder / "upgrade.sock"))
     with (
@@ -225,8 +231,8 @@
 ) -> None:
     """A successor dies before it is ready, while its predecessor shuts down.
 
-    The predecessor must go on serving new connections and its idle one until its grace period ends; otherwise
-    requests after the death would get no answer.
+    The predecessor must go on serving new connections, and the idle one that is already open, until its grace
+    period ends. Otherwise requests after the death of the successor would get no answer.
     """
     monkeypatch.setattr("query_gateway.lifecycle.shutdown.ACCEPT_GRACE_SECONDS", 600.0)
     with gateway_with_successor(tmp_path, Engine()) as (gateway, link):
@@ -246,10 +252,10 @@
 
 
 def test_clients_are_served_when_a_ready_successor_dies_after_sigterm(tmp_path: Path) -> None:
-    """A ready successor dies after its predecessor has released the listeners.
+    """A ready successor dies after its predecessor has released the listeners, that is, stopped accepting.
 
-    Clients in the accept queue would be reset when the last process with the listening socket ends. The
-    predecessor keeps the socket open and accepts them.
+    If the predecessor had also closed the listening socket, clients in the accept queue would be reset when
+    the successor dies. The predecessor keeps the socket open and accepts these clients.
     """
     engine = Engine(script={UNANSWERED_SQL: ["mute"]})
     with gateway_with_successor(tmp_path, engine, "ready") as (gateway, link):
@@ -310,7 +316,10 @@
         self.listener.listen()
 
     def start_successor(self, makes_offer: bool = True) -> GatewayOptions:
-        """Answer a successor's hello with an offer, or disconnect; return the options of the successor."""
+        """Answer a successor's hello with an offer, or disconnect if `makes_offer` is false.
+
+        Returns the options with which the test starts the successor.
+        """
         with ThreadPoolExecutor() as executor:
             inheriting = executor.submit(request_inherited_state, self.upgrade_path)
             self.link = self.listener.accept()[0]
@@ -337,7 +346,7 @@
 def test_successor_keeps_serving_when_its_predecessor_dies_at_any_step(step: str, tmp_path: Path) -> None:
     """A predecessor dies at one of the steps of a hot upgrade; the test acts as the predecessor.
 
-    A successor that waited for its next message would never accept clients.
+    A successor that went on waiting for the predecessor's next message would never accept clients.
     """
     engine, predecessor = Engine(), PredecessorStandIn(str(tmp_path / "upgrade.sock"))
     options = predecessor.start_successor(makes_offer=step != "connected")
@@ -359,7 +368,7 @@
     """A successor dies before it has read a connection that was transferred to it.
 
     The connection ends with the successor. Only idle connections are transferred, as an open request would be
-    lost with the successor; the predecessor answers its own.
+    lost with the successor; the predecessor itself answers the requests that are open there.
     """
     engine = PausedReaderEngine(script={LOAD: ["mute"]})
     engine.may_read.set()
@@ -390,10 +399,10 @@
 def test_load_at_a_successor_that_starts_late_does_not_run_beside_one_of_its_predecessor(
     tmp_path: Path,
 ) -> None:
-    """A successor starts after its predecessor has closed its listeners, while a load there is still open.
+    """A successor starts after its predecessor has closed its listeners but still has an open load.
 
-    It inherits no listeners. If it took that for the end of the predecessor, loads of one key would run in
-    both processes at once.
+    The successor inherits no listeners. If it took that for the end of the predecessor, loads of one key
+    would run in both processes at once.
     """
     with deployed_gateway(tmp_path) as deployment, ThreadPoolExecutor() as executor:
         write_settings(deployment, settings_without_timeouts())
@@ -417,7 +426,8 @@
     """A load arrives at a successor while its predecessor serves, drains or has just died.
 
     Neither process knows the other's requests of a key, so the two could run loads of one key at once. The
-    successor rejects such loads, or holds them until one key quarantine after the predecessor's end.
+    successor rejects loads while the predecessor serves. Once the predecessor drains or has died, the
+    successor holds loads until one key quarantine after the predecessor's end.
     """
     engine, predecessor = Engine(), PredecessorStandIn(str(tmp_path / "upgrade.sock"))
     options = predecessor.start_successor()
--- a/tests/test_request_arrival.py
+++ b/tests/test_request_arrival.py
@@ -17,7 +17,7 @@
 from tests.test_local import until
 from tests.test_web import SQL, running
 
-SLACK_MS = 150  # by which an attempt's budget may exceed the client's remaining time
+SLACK_MS = 150  # at most this much may an attempt's budget exceed the client's remaining time
 
 
 class SlowEngine(Engine):
@@ -33,7 +33,7 @@
 
 
 class UnacceptingSocket:
-    """A listening socket whose accept fails until `may_accept` is set."""
+    """A listening socket whose accept fails with `error` until `may_accept` is set."""
 
     def __init__(self, sock: socket.socket, error: int, may_accept: threading.Event) -> None:
         self.sock, self.error, self.may_accept = sock, error, may_accept
@@ -59,6 +59,7 @@
 
 
 def budgets_ms(engine: Engine) -> list[int]:
+    """The time budgets in the requests that the engine has received, in milliseconds."""
     return [int(dict(pair.split("=") for pair in fields.split(","))["budget"]) for fields in engine.fields]
 
 
@@ -78,9 +79,9 @@
 def test_budget_of_a_request_counts_its_wait_while_nothing_can_be_accepted(
     error: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Guards against a budget that leaves out the wait in the listener's backlog.
+    """Guards against a budget that leaves out the time for which a connection waited in the backlog.
 
-    Connections wait there while `accept` fails for a moment.
+    Connections wait in the listener's backlog while `accept` fails for lack of a resource.
     """
     engine, may_accept = Engine(), threading.Event()
     with running(engine) as gateway:
@@ -103,7 +104,8 @@
 ) -> None:
     """Guards against a budget shortened by the time before the request was sent.
 
-    A client connects ahead of its first request, and its connection waits in the backlog.
+    A client connects and sends its first request later. Until it is accepted, the connection waits in the
+    backlog, and that wait must not count for a request that is sent after it.
     """
     engine, may_accept = Engine(), threading.Event()
     with running(engine) as gateway:
@@ -139,7 +141,7 @@
 def test_arrivals_are_kept_in_bounds_and_never_later_than_they_were() -> None:
     """Guards against an arrival log that grows without bound, or that dates a request too late.
 
-    A client sends its bytes in very many small pieces.
+    A client sends its bytes in 1,000 small pieces, more than the log has entries (`MAX_ENTRIES`).
     """
     arrivals = ArrivalLog()
     for number in range(1, 1_001):
--- a/tests/test_web.py
+++ b/tests/test_web.py
@@ -76,9 +76,9 @@
 
 @pytest.mark.parametrize("step", ["error", "reset", "refused"])
 def test_an_idempotent_class_is_retried(step: str) -> None:
-    """Guards against a failed request that a retry would serve.
+    """Guards against failing a request that a retry would serve.
 
-    An engine answers it with an error, resets the connection, or refuses the request.
+    The engine of the first attempt answers with an error, closes the connection, or refuses the request.
     """
     engines = Engine(script={SQL: [step]}), Engine()
     engines[1].script = engines[0].script
@@ -89,9 +89,10 @@
 
 @pytest.mark.parametrize("step", ["torn", "spoilt", "pageless", "mute"])
 def test_an_incomplete_or_malformed_response_is_retried(step: str) -> None:
-    """Guards against a client that gets a partial result, or none, where a retry would serve it.
+    """Guards against a client that gets a partial result, or none, although a retry would succeed.
 
-    An engine's response is truncated, malformed, lacks its pages or never comes.
+    The response to the first attempt is truncated, has a malformed row, lacks all pages but the first, or
+    never comes.
     """
     engines = Engine(script={LOAD: [step]}), Engine()
     engines[1].script = engines[0].script
@@ -103,7 +104,7 @@
 def test_repeated_responses_change_nothing_else_on_the_connection() -> None:
     """Guards against a duplicate response that affects another request on the same connection.
 
-    An engine sends a response under an unknown id and its actual response twice.
+    An engine sends a response with an unknown request id, and then the actual response twice.
     """
     engine = Engine(script={SQL: ["twice"], LOAD: ["mute", "ok"]})
     with running(engine) as gateway:
@@ -152,9 +153,10 @@
 
 
 def test_a_retry_uses_no_connection_that_a_late_response_may_reach() -> None:
-    """Guards against a late response to a stopped attempt on the connection of its retry.
+    """Guards against a late response to a stopped attempt that is taken for the response to its retry.
 
-    The attempt is retried at the same engine, whose response to the first attempt may still come.
+    Both attempts have the same id, and the engine may still respond to the first one. The retry at the same
+    engine therefore uses another connection.
     """
     engine = Engine(script={SQL: ["mute", "ok"]})
     with running(engine) as gateway:
@@ -165,7 +167,8 @@
 def test_a_request_given_to_a_connection_just_established_is_written_once() -> None:
     """Guards against a request that is written twice.
 
-    It is assigned to a connection after the dial has succeeded and before the connection's coroutine runs.
+    The request is assigned to a connection after the dial has succeeded and before the connection's coroutine
+    runs. The coroutine then writes all requests that waited for the dial.
     """
     engine = Engine(script={SQL: ["mute"], LOAD: ["mute"]})
     gateway = Gateway(config([host(engine)]), OperatorSettings(), signals=False)
@@ -336,8 +339,9 @@
 def test_a_coroutine_woken_by_another_runs_before_the_planner() -> None:
     """Guards against the next load of a key that is sent before the answer to the previous one has left.
 
-    It happens if the planner runs between the engine's coroutine, which settles the load, and the client's,
-    which sends the answer. Tasks run before the turn hooks.
+    The engine connection's coroutine settles a load and wakes the client connection's coroutine, which sends
+    the answer. The planner, a turn hook, could send the next load if it ran between the two, so tasks run
+    before the turn hooks.
     """
     loop, ran = Loop(), list[str]()
 
@@ -366,7 +370,7 @@
 def test_a_listener_out_of_descriptors_pauses() -> None:
     """Guards against a busy loop: accept fails for lack of descriptors while a connection waits.
 
-    The listening socket stays readable meanwhile.
+    The listening socket stays readable, and epoll would report it in every turn until accept succeeds.
     """
 
     class OutOfDescriptorsSocket(socket.socket):
@@ -536,7 +540,10 @@
 
 
 class DiscoveryServiceStandIn:
-    """Answers one request for each call of `answer`, on the open connection or else on the next one."""
+    """Answers one poll for each call of `answer`, on the open connection or else on the next one.
+
+    `answer` returns the request target of the poll, up to the first `&`.
+    """
 
     def __init__(self) -> None:
         self.sock: socket.socket | None = None
@@ -574,7 +581,7 @@
 def test_the_endpoint_list_is_followed_from_the_last_position() -> None:
     """Guards against a watch that stops, or skips events, after an answer that cannot be decoded.
 
-    The next poll asks from the last position that was applied.
+    The next poll must ask for the events after the last position that was applied.
     """
     journal, engine = DiscoveryServiceStandIn(), Engine()
     undecodable = (b"[]", b"3", b'{"pos":null,"entries":[]}', b'{"pos":Infinity,"entries":[]}', b"[" * 9_000)
