--- a/tests/statements.py
+++ b/tests/statements.py
@@ -42,7 +42,7 @@
 
 
 def corpus(name: str) -> Iterator[tuple[str, str]]:
-    """The dialect and the rest of each line. A line for `any` is repeated for each dialect."""
+    """Yield the dialect and the remaining text of each line of a corpus file; `any` yields every dialect."""
     for line in (CORPUS / f"{name}.sql").read_text().splitlines():
         dialect, _, rest = line.partition("|")
         for line_dialect in DIALECTS if dialect == "any" else (dialect,):
--- a/tests/test_bad_input.py
+++ b/tests/test_bad_input.py
@@ -57,12 +57,12 @@
 
 
 def works(config: Configuration, *answers: Any) -> bool:
-    """Whether a gateway with this configuration and these answers schedules each class without a fault."""
+    """Whether a gateway with this configuration and these discovery answers schedules without a fault."""
     gateway = Gateway(config, OperatorSettings(), signals=False)
     for answer in answers:
         try:
             gateway.endpoint_feed.apply_answer(answer)
-        except ValueError:  # the watch client handles it
+        except ValueError:  # an invalid answer; in a running gateway, EndpointWatchClient catches this
             assert list(gateway.forwarder.endpoints) == ["e0"]
     now = time.time_ns()
     for class_index in range(len(config.settings.classes)):
@@ -80,8 +80,9 @@
 def test_a_malformed_configuration_is_rejected_or_works() -> None:
     """Guards against a malformed value that ends the start with a traceback or breaks every later decision.
 
-    A number too large caused the former, engines without cores the latter. Each value is rejected with one
-    line when the configuration is read, or a gateway that starts with it schedules without a fault.
+    Without checks, a number that is too large would do the former, and engines without cores the latter. Each
+    value is rejected with one line when the configuration is read, or a gateway that starts with it schedules
+    without a fault.
     """
     rejected, broken = 0, []
     for description, raw in each_malformed(RAW):
@@ -94,7 +95,7 @@
         try:
             if not works(config):
                 broken.append(description)
-        except OSError:  # an address that is not this machine's
+        except OSError:  # the listen address is not one of this machine's
             rejected += 1
     assert broken == [] and rejected > 500
 
@@ -109,8 +110,8 @@
 ) -> None:
     """Guards against a front that orders requests, or accepts them without a key, unlike the scheduler.
 
-    The fronts decoded "false" as a string and idempotency as a list by a rule of their own: the string was
-    true, and the list no idempotency with a key. Both now use the one decoded value.
+    With rules of its own, a front could take the string "false" for `in-turn` as true, or not recognize the
+    list ["deduplicated"] for `repeat` as idempotent by key. Fronts and scheduler use the same decoded values.
     """
     raw = copy.deepcopy(RAW)
     raw["settings"]["services"][2] |= changes
@@ -125,8 +126,8 @@
 def test_a_malformed_endpoint_list_event_leaves_a_gateway_that_works() -> None:
     """Guards against a malformed endpoint list event that breaks the planner and every restarted planner.
 
-    An engine name with a lone surrogate did so. The watch client rejects such an event as a whole, and the
-    gateway keeps its endpoint list and goes on scheduling.
+    An accepted engine name with a lone surrogate would do so. The endpoint feed rejects such an event as a
+    whole, and the gateway keeps its endpoint list and goes on scheduling.
     """
     config = parse_configuration(RAW, {})
     assert [description for description, raw in each_malformed(DELTA) if not works(config, raw)] == []
@@ -136,8 +137,8 @@
 def test_an_invalid_number_ends_the_start_with_one_line(value: str, tmp_path: Path) -> None:
     """Guards against a traceback for an unusable number in the configuration file.
 
-    It does not tell the operator which value is wrong. The start ends with exit code 2 and one line on
-    standard error.
+    A traceback does not tell the operator which value is wrong. The start ends with exit code 2 and one line
+    on standard error.
     """
     file = tmp_path / "config.json"
     raw = RAW | {"limits": {"cores": 1.0, "memory_mb": 64, "sockets": "PLACEHOLDER"}}
--- a/tests/test_bgp.py
+++ b/tests/test_bgp.py
@@ -93,7 +93,7 @@
         self.sock.sendall(b"".join(messages))
 
     def expect(self, message_type: type) -> m.Message:
-        """Runs the loop until a message of this type has been received."""
+        """Run the loop until a message of this type is received; return it, and drop all earlier ones."""
         for _ in range(1_000):
             for position, message in enumerate(self.received):
                 if isinstance(message, message_type):
--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -166,8 +166,8 @@
 def test_the_process_entry_and_the_command_line_do_not_import_each_other() -> None:
     """Guards against a second load of `__main__`, whose top-level statements and imports would run twice.
 
-    It happens when a module imports `__main__`, so none may; the entry and the command line share
-    `lifecycle.process`.
+    That happens when a module imports `__main__`, so no module may. What the process entry and the command
+    line share is in `lifecycle.process`.
     """
     package = ROOT / "query_gateway"
     importers: dict[str, set[str]] = {"__main__": set(), "cli": set(), "lifecycle.process": set()}
--- a/tests/test_connection_ends.py
+++ b/tests/test_connection_ends.py
@@ -63,7 +63,7 @@
 
 
 class DialledSocket:
-    """A stand-in for a dialled socket in a given state of the dial."""
+    """A stand-in for a dialled socket with local port 1; without `peer_port` it is not connected yet."""
 
     def __init__(self, error: int = NO_ERROR, peer_port: int | None = None) -> None:
         self.error, self.peer_port = error, peer_port
--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -17,7 +17,7 @@
 
 DESCRIPTORS = 90
 CONCURRENT_CLIENTS = 30
-MIN_ENGINE_CONNECTIONS = 8  # opened for the concurrent clients
+MIN_ENGINE_CONNECTIONS = 8  # which the gateway must open for the concurrent clients
 LATER_CLIENTS = 40  # more than the descriptors that are left
 ANSWER_TIMEOUT_S = 2.0  # less than the idle timeout of every connection
 
@@ -38,7 +38,7 @@
 def test_clients_are_accepted_while_idle_connections_hold_all_descriptors(tmp_path: Path) -> None:
     """Guards against clients whose deadline passes while they wait for an idle connection to time out.
 
-    It happens when idle connections of clients and engines hold all descriptors of the process.
+    When idle connections of clients and engines hold all descriptors, the gateway must close some at once.
     """
     engine = SlowEngine(0.3)
     settings: dict[str, Any] = copy.deepcopy(SETTINGS)
--- a/tests/test_fault_soak.py
+++ b/tests/test_fault_soak.py
@@ -106,7 +106,7 @@
 
 
 def test_a_request_that_is_unanswered_after_sigterm_is_lost() -> None:
-    """The grace period after SIGTERM suffices to answer all accepted requests."""
+    """The grace period after SIGTERM suffices to answer all accepted requests, so each must be answered."""
     stopped = Outage("g", OutageKind.STOPPED, 9.0, 10.3, 12.0)
     for reused_connection in (False, True):
         client = client_record(Ending.CLOSED, 0.3, reused_connection=reused_connection)
@@ -131,7 +131,7 @@
         (load_record("a", 10.0, 10.3), False),  # answered before the later one started
         (load_record("a", 10.0, 10.8, ttl=0.3), False),  # its client has timed out
         (load_record("a", 10.0, 10.9, ending=Ending.LEFT, left_at=10.3), False),
-        (load_record("a", 10.24, 10.9), False),  # sent with a shorter spacing than that of the clients
+        (load_record("a", 10.24, 10.9), False),  # only 0.01 s before the later one, less than SPACING_S
         (load_record("a", 0.0, 10.9, ending=Ending.NOT_ACCEPTED), False),
         (load_record("a", 10.0, 10.9, key="other"), False),
         (load_record("a", 10.0, 10.9, gateway="other"), False),
@@ -141,7 +141,10 @@
 def test_a_load_that_overtakes_an_earlier_one_of_its_key_is_detected(
     first: ClientRecord, is_broken: bool
 ) -> None:
-    """The check compares send times with starts at engines; the first load may not have reached an engine."""
+    """A load that starts at an engine while one sent earlier is unanswered has overtaken it.
+
+    The earlier load need not have reached an engine for that.
+    """
     later = load_record("b", 10.25, 10.8)
     events = [engine_request(10.4, client_request_id="b" * 16)]
     assert broken_promises([first, later], events) == ({ORDER_AS_SENT} if is_broken else set())
@@ -149,7 +152,11 @@
 
 @pytest.mark.parametrize(("outcome", "is_broken"), [("ok", False), ("error", True)])
 def test_a_load_whose_run_had_succeeded_was_not_overtaken(outcome: str, is_broken: bool) -> None:
-    """Its client may read the answer late. After an error the load may be retried, so it keeps its place."""
+    """A load that ended with `ok` at an engine no longer holds back the next one of its key.
+
+    Its client may read the answer later. After an error the load may be retried, so a later load must wait
+    until the client has the answer.
+    """
     first, later = load_record("a", 10.0, 10.9), load_record("b", 10.25, 10.8)
     events = [
         engine_request(10.01),
@@ -171,7 +178,10 @@
 def test_an_unread_stop_counts_from_the_client_s_answer(
     unread_spans: list[UnreadSpan], later_began_at: float, promise: str | None
 ) -> None:
-    """A key quarantine starts when the gateway ends the attempt, not when the engine reads the STOP."""
+    """A key quarantine starts when the gateway sends the STOP, which is before it answers the client.
+
+    In an unread span the engine may read the STOP much later, so the oracle counts from the answer instead.
+    """
     first = load_record("a", 10.0, 10.5, ending=Ending.REJECTED)
     later = load_record("b", 10.3, 11.2)
     events = [
@@ -263,7 +273,7 @@
 @pytest.mark.parametrize(
     ("started_at", "notified_again_at", "is_broken"),
     [
-        (9.3, [9.8], False),  # may be the successor's, which was notified 0.2 s before
+        (9.3, [9.8], False),  # the request may be the successor's, notified 0.2 s before it
         (9.3, [9.4], True),
         (9.3, [], True),  # the only notification counts for the successor too
         (9.9, [9.8], True),  # the second notification precedes the successor's start
@@ -318,7 +328,7 @@
 def test_connection_errors_are_injected_only_into_dialled_connections(
     tmp_path: Path,
 ) -> None:
-    """Client connections stay intact, whether accepted by the process or transferred by a predecessor."""
+    """The shim leaves client connections intact, whether accepted here or transferred by a predecessor."""
     control = ShimControl(tmp_path / "shim")
     control.state.read = CallFault(1_000, errno.ECONNRESET)
     control.apply()
@@ -371,7 +381,7 @@
 
 @pytest.mark.parametrize("seed", [1, 2, 3, 4, 5, 6])
 def test_a_short_run_with_overlapping_faults_violates_no_promise(seed: int, tmp_path: Path) -> None:
-    """Guards against failures that only occur when faults overlap, each of which is handled on its own.
+    """Guards against failures that occur only when faults overlap, although each fault alone is handled.
 
     Real processes serve clients on loopback, in all three layouts and with both fronts. The oracle checks
     every promise against what clients and engines observed.
--- a/tests/test_hot_upgrade.py
+++ b/tests/test_hot_upgrade.py
@@ -1,4 +1,4 @@
-"""Hot upgrades with real processes: shared accept queue, transferred connections, the death of either."""
+"""Hot upgrades: the shared accept queue, transferred connections and state, the death of either process."""
 
 import http.client
 import json
@@ -46,7 +46,10 @@
 
 
 class DiscoveryService:
-    """Answers only polls that must be answered at once; with `silent` set, answers none."""
+    """A stand-in for the discovery service that answers only the short polls of a successor.
+
+    A successor polls with `max_wait=1` until its first answer. With `silent` set, no poll is answered.
+    """
 
     def __init__(self) -> None:
         self.silent = False
@@ -138,7 +141,8 @@
     """A gateway is upgraded twice while clients hold connections and a request is open.
 
     Without a shared accept queue, or with idle connections closed at SIGTERM, clients would see closed
-    connections. The successor inherits both, and the predecessor answers its own open request.
+    connections. The successor inherits the queue and the idle connections, and the predecessor answers its
+    own open request.
     """
     slow = "SELECT slow FROM lending_7.loans"
     with deployed_gateway(tmp_path) as deployment, ThreadPoolExecutor() as executor:
@@ -152,7 +156,7 @@
         successor = deployment.start()
         assert served_lookups(successor) == 0
         predecessor.process.send_signal(signal.SIGTERM)
-        assert deployment.served() == 200  # from the shared accept queue, by either process
+        assert deployment.served() == 200  # accepted from the shared queue by either process
         assert send_lookup(idle_client, "2") == 200 and send_lookup(idle_client, "3") == 200
         assert waiting.result() in (429, 500)  # answered by the predecessor
         assert predecessor.process.wait(10) == 0
@@ -173,8 +177,9 @@
 def test_a_successor_that_dies_leaves_its_predecessor_serving_and_found(tmp_path: Path) -> None:
     """A successor is killed after it was ready.
 
-    Its socket file has replaced the predecessor's in $TMPDIR, so the next successor would find no process
-    there. The predecessor detects the closed connection, serves alone and restores its own socket file.
+    Successors find their predecessor at a socket file in $TMPDIR. The dead process has replaced that file
+    with its own, so the next successor would find no process there. The predecessor detects the end of its
+    connection to the dead process, serves alone and restores its own socket file.
     """
     with deployed_gateway(tmp_path) as deployment:
         predecessor = deployment.start()
@@ -237,8 +242,8 @@
 def test_several_processes_cannot_be_followed(tmp_path: Path) -> None:
     """A gateway that consists of several processes starts at the address of a running gateway.
 
-    It cannot inherit that gateway's listening sockets, so clients would be lost in the change. It exits with
-    one line in the log, and the running gateway continues to serve.
+    It cannot inherit that gateway's listening sockets, so it would lose clients if it replaced the gateway.
+    It exits with one line in the log, and the running gateway continues to serve.
     """
     (tmp_path / "operator.toml").write_text(f'[processes]\nplanners = ["127.0.0.1:{free_port()}"]\n')
     with deployed_gateway(tmp_path) as deployment:
@@ -251,8 +256,8 @@
 def test_where_no_socket_can_be_made_no_upgrade_is_possible(tmp_path: Path) -> None:
     """$TMPDIR is not set, or names a directory that does not exist.
 
-    A start that required the socket would fail, so there is no path and hot upgrades are disabled. Where a
-    socket can be created, the check leaves no file behind.
+    A start that required the upgrade socket would fail. Instead `upgrade_socket_path` returns None, which
+    disables hot upgrades. Where a socket can be created, the check of that leaves no file behind.
     """
     listen = "127.0.0.1", 9
     assert upgrade_socket_path({}, listen) is None
@@ -264,8 +269,9 @@
 def test_the_slow_start_budget_goes_over_in_steps() -> None:
     """Each step of a hot upgrade changes the share of the slow-start budget that a process uses.
 
-    Two full budgets overload engines in slow start. Half a budget after the predecessor has stopped
-    forwarding makes the successor reject requests that the engines could take.
+    If both processes used the full budget, they would overload engines in slow start. If the successor still
+    used half of it once its predecessor drains, it would reject requests that the engines could take. The
+    test runs the steps of both roles on one gateway.
     """
     gateway = Gateway(config([host(Engine())]), OperatorSettings(), signals=False)
     shares = [gateway.planner.settings.slow_start_share]
@@ -295,7 +301,7 @@
     """The other process sends a packet of random bytes.
 
     An exception in the handler would be logged as a fault, and the connection would stay open. A packet that
-    cannot be decoded ends the connection; one without a known key is an unknown message.
+    cannot be decoded ends the connection; a JSON object without a known key becomes an UnknownMessage.
     """
     loop, endings, received = Loop(), list[int](), list[Any]()
     near, far = socket.socketpair(socket.AF_UNIX, socket.SOCK_SEQPACKET)
@@ -353,10 +359,10 @@
             {"engines": {"e0": [1]}}, {"classes": {"lookup": {}}}]
 )  # fmt: skip
 def test_learned_state_that_cannot_be_used_is_not_restored_in_part(changes: Any) -> None:
-    """One value of the transferred state is missing, of a wrong type or out of range.
+    """The transferred state is no object, or one of its values is missing, of a wrong type or out of range.
 
-    Restored up to that value, the scheduler would use a partly restored state. All values are checked first,
-    and none is restored.
+    If values were restored until the first bad one, the scheduler would use a partly restored state. All
+    values are checked first, and none is restored.
     """
     new = Scheduler(config([]).settings, 2)
     exported = export_state(scheduler_with_one_outcome(), CLASS_NUMBERS)
--- a/tests/test_layers.py
+++ b/tests/test_layers.py
@@ -14,7 +14,8 @@
 
 PACKAGE = Path(__file__).parent.parent / "query_gateway"
 
-# Protocols, input and output, and what they need: above the forwarder, below the composition of the parts
+# Subpackages for protocols, input and output. They may import the forwarder and each other; the modules that
+# compose, start and stop the parts import them
 PROTOCOL_SUBPACKAGES = (
     "admin", "bgp", "configuration", "discovery", "engine_protocol", "flight", "http", "net", "parsing",
     "rpc", "statements",
@@ -32,7 +33,8 @@
     f"query_gateway.{part}"
     for part in ("statements", "parsing", "configuration", "gateway", "cli", "simulator_adapter")
 )
-# Libraries that read a clock, open a socket, start a process or implement a protocol
+# Libraries that the core must not import: for clocks, sockets, processes, threads, protocols, data formats,
+# SQL and the command line
 FORBIDDEN_LIBRARIES = (
     "socket", "select", "selectors", "ssl", "time", "datetime", "signal", "subprocess", "threading",
     "multiprocessing", "asyncio", "h11", "h2", "hyperframe", "google", "click", "pydantic", "msgspec",
@@ -46,7 +48,7 @@
 
 
 def loaded(*modules: str) -> set[str]:
-    """The modules that are loaded when these are imported in a new interpreter."""
+    """The names of all modules that a new interpreter loads to import the given ones."""
     code = (
         "import sys; before = set(sys.modules)\n"
         f"import {', '.join(modules)}\n"
@@ -71,7 +73,7 @@
 
 
 def core_modules() -> list[str]:
-    """The modules that use no socket, clock or protocol."""
+    """The modules of the core, which use no socket, clock or protocol."""
     return [
         module
         for module in modules()
@@ -100,7 +102,7 @@
 
 
 def imported_subpackages(module: str) -> set[str]:
-    """The other subpackages that a module imports from; shared rules by their full names."""
+    """The other subpackages that a module imports from; a shared rule stands as in `SHARED_RULES`."""
     prefix = "query_gateway."
     names = [name.removeprefix(prefix) for name in imported_names(module) if name.startswith(prefix)]
     return {shared_rule_of(name) or subpackage_of(name) for name in names} - {subpackage_of(module)}
@@ -125,14 +127,14 @@
     }
     if module in PLANNER_IPC_MODULES:
         return {*core["planner"], "net"}
-    return core.get(subpackage)  # absent: modules that compose, start and stop the parts
+    return core.get(subpackage)  # None for modules that compose, start and stop the parts
 
 
 def test_imports_between_rooms_point_down() -> None:
     """Guards against a lower layer that depends on a higher one.
 
-    Protocols may import the forwarder, the forwarder and the planner the model, the policy the model alone.
-    Of the policy, the forwarder imports only the shared rules.
+    Protocols may import the forwarder and the model. The forwarder, the planner and the policy may import the
+    model. The planner may also import the policy, of which the forwarder may import only the shared rules.
     """
     found = {module: imported_subpackages(module) for module in modules()}
     assert {"http", "forwarder", "policy", "model"} <= {subpackage_of(module) for module in found}
--- a/tests/test_local.py
+++ b/tests/test_local.py
@@ -1,4 +1,4 @@
-"""The IPC: its codec with split and corrupted input, a planner that ends, and all parts as processes."""
+"""The IPC of planners and forwarders: split and corrupted messages, a planner that ends, real processes."""
 
 import contextlib
 import json
@@ -234,7 +234,7 @@
     with ended_on_exit(subprocess.Popen(command, env=environ, stderr=subprocess.DEVNULL)) as process:
 
         def both_forwarders_serve() -> bool:
-            """Whether both have answered two requests each, which they send to the planners in turn."""
+            """Post requests; return whether each forwarder answered two, and so has used both planners."""
             answers_before = answers_by_process(tmp_path / "trace")
             try:
                 if not all(post(gateway, "lookup", SQL)[0] == 200 for _ in range(8)):
--- a/tests/test_momentary_errors.py
+++ b/tests/test_momentary_errors.py
@@ -1,4 +1,4 @@
-"""System calls with transient errors that Linux documents; they must end no connection and no process."""
+"""Errors that Linux documents for system calls; a transient one must end no connection and no process."""
 
 import contextlib
 import errno
@@ -35,7 +35,7 @@
 
 
 class FailingSocket:
-    """A socket whose named methods raise an error the given number of times."""
+    """Wraps a socket; each method in `failures` first raises its error (errno, times) that many times."""
 
     def __init__(self, sock: socket.socket, **failures: tuple[int, int]) -> None:
         self._sock = sock
@@ -57,7 +57,7 @@
 
 
 def fail_calls(stream: Stream, **failures: tuple[int, int]) -> None:
-    """Make calls on a stream's socket fail; epoll keeps watching the descriptor of the real one."""
+    """Make calls on a stream's socket fail as in `FailingSocket`; epoll still watches the real socket."""
     stream.sock = FailingSocket(stream.sock, **failures)  # type: ignore[assignment]
 
 
@@ -65,7 +65,7 @@
 def test_stream_reads_and_writes_on_after_a_momentary_error(error: int) -> None:
     """Guards against a connection that is closed although a send or recv failed only for a moment.
 
-    The kernel is out of buffers or memory, or a signal interrupts the call.
+    The kernel is out of buffers or memory, a signal interrupts the call, or the call would block.
     """
     loop, (local, peer) = Loop(), connected_pair()
     stream = Stream(loop, local, "here")
@@ -121,7 +121,7 @@
 def test_failing_accept_is_logged_with_its_descriptors_and_with_how_long_it_lasted(
     capfd: pytest.CaptureFixture[str], reset_log_rate_limit: None
 ) -> None:
-    """Guards against a log line for each failed call: one is written when they begin, one when they end."""
+    """Guards against a log line for each failed accept; only the first failure and the end are logged."""
     loop, accepted = Loop(), list[socket.socket]()
     listener = Listener(loop, ("127.0.0.1", 0), lambda sock, _: accepted.append(sock))
     client = socket.create_connection(listener.address)
@@ -147,7 +147,7 @@
 
 
 def test_crowd_is_accepted_without_a_pause_while_accept_fails_now_and_then() -> None:
-    """Guards against clients whose deadline passes in the backlog: each failed accept paused the listener."""
+    """Guards against deadlines that pass in the backlog because each failed accept pauses the listener."""
     loop, accepted = Loop(), list[socket.socket]()
     listener = Listener(loop, ("127.0.0.1", 0), lambda sock, _: accepted.append(sock))
     clients = [socket.create_connection(listener.address) for _ in range(100)]
@@ -180,7 +180,7 @@
 
 
 def test_connection_whose_handling_fails_costs_no_other() -> None:
-    """Guards against a listener that stops accepting after the callback has failed for one connection."""
+    """Guards against a listener that stops accepting after `on_accept` has failed for one connection."""
     loop, accepted = Loop(), list[socket.socket]()
 
     def on_accept(sock: socket.socket, peer: str) -> None:
@@ -233,7 +233,7 @@
 ) -> None:
     """Guards against a request that fails because no socket can be created for its attempt.
 
-    The process is out of descriptors or buffers for a moment; the attempt is postponed.
+    No descriptor or buffer is free for a moment; the attempt is postponed and started again.
     """
     engine, failures = Engine(), [error] * 5
     real = EngineConnection._dial
@@ -303,7 +303,7 @@
     loop.watch(sock, stream.mask | OUT, stream._ready)
     while not stream.eof:
         loop.turn()
-    assert not (stream.connected or stream.is_local_failure or stream.reset)  # as if the peer had refused it
+    assert not (stream.connected or stream.is_local_failure or stream.reset)  # as after a refused dial
     stream.close(Reason.DIAL_REFUSED)
     loop.close()
 
@@ -317,7 +317,8 @@
 ) -> None:
     """Guards against a Flight attempt that does not end when its dial fails within the connect call.
 
-    A refused dial ends it at once, a dial without a route after the dial timeout.
+    A refused dial ends the attempt at once. A dial without a route is repeated, and the attempt ends as not
+    sent after the dial timeout.
     """
     from query_gateway.flight.engines import FlightConnectionPool
 
@@ -351,7 +352,7 @@
 def test_flight_attempt_outlasts_a_moment_in_which_no_dial_can_be_made(
     failing_call: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Guards against Flight requests that fail while no descriptor or port is free for a moment."""
+    """Guards against Flight requests that fail because no socket can be created or dialled for a moment."""
     listener, failures = socket.create_server(("127.0.0.1", 0)), [errno.ENOBUFS] * 5
     gateway = flight_gateway(listener)
     assert gateway.flight_pool
@@ -518,7 +519,7 @@
         assert engine.wait("STOP")
         until(lambda: not gateway.forwarder.exchanges)
         assert gateway.forwarder.invariants.total == 0 and gateway.loop.faults == 1
-        gateway.loop.faults = 0  # the one that this test causes
+        gateway.loop.faults = 0  # the KeyError above; `running` would fail the test for it
         client.close()
 
 
--- a/tests/test_operator_file.py
+++ b/tests/test_operator_file.py
@@ -1,4 +1,4 @@
-"""Which variable sets the path of the operator's file: the current one, the deprecated one, both, neither."""
+"""The environment variable for the operator's file and its deprecated name: one, both or neither is set."""
 
 from pathlib import Path
 
--- a/tests/test_ops.py
+++ b/tests/test_ops.py
@@ -184,7 +184,8 @@
 def test_draining_closes_client_connections_and_undrain_serves_again() -> None:
     """Guards against requests lost while the gateway drains.
 
-    Idle connections are half-closed only once the load balancer has stopped sending requests.
+    Idle connections are half-closed only `DRAIN_CLOSE_IDLE_AFTER_S` after the start of draining, when clients
+    have noticed it and send no more requests on them.
     """
     engine = Engine(script={SQL: ["mute"]})
     with running(engine, **WITH_ADMIN) as gateway, ThreadPoolExecutor() as executor:
--- a/tests/test_parsing.py
+++ b/tests/test_parsing.py
@@ -65,8 +65,9 @@
 def test_a_parse_beyond_its_budget_is_killed_and_rests_for_longer_each_time() -> None:
     """A parse exceeds its timeout, again and again for the same statement.
 
-    Parsed at each retry, it would occupy the parsers and delay all other statements. The parser is killed,
-    and the statement is rejected unparsed for a quarantine time that doubles with each killed parser.
+    If it were parsed at each retry of its client, it would occupy the parsers and delay all other statements.
+    The parser is killed, and the statement is rejected unparsed for a quarantine time that doubles with each
+    killed parser.
     """
     pool = ready_pool()
     now, durations = 0.0, []
@@ -121,7 +122,7 @@
 
 
 def test_frames_survive_any_cut() -> None:
-    """The socket delivers frames cut at any byte, or announces one that is too long.
+    """The socket delivers frames cut at any byte, or a frame whose length field is too large.
 
     A reader that expects complete frames would decode parts of them, and would wait for ever on a wrong
     length. A frame is taken only once it is complete, and a length beyond the limit is an error.
@@ -202,7 +203,7 @@
     assert class_of(classify(service, READ)) == "lookup"
     quarantined = classify(service, "SELECT title FROM lending_7.loans WHERE member = 42")
     assert quarantined.decision and not quarantined.decision.is_accepted
-    service.supervisor.pool.quarantine.clear()  # in place of waiting for its end
+    service.supervisor.pool.quarantine.clear()  # instead of waiting until it ends
     assert class_of(classify(service, "SELECT title FROM lending_7.loans WHERE member = 42")) == "lookup"
 
 
@@ -270,8 +271,8 @@
 ) -> None:
     """A client sends a statement that is built to make a parser slow, deep or large.
 
-    Parsed on the loop, it would block all requests. It is classified or rejected within its timeout, and the
-    next statement is classified as usual.
+    Parsed on the loop, it would block all requests. In a parser process, it is classified or rejected within
+    the parse timeout, and the next statement is classified as usual.
     """
     assert classify(service, sql).decision is not None
     assert class_of(classify(service, READ)) == "lookup"
@@ -317,7 +318,7 @@
 def test_a_file_is_whole_or_counts_as_none(tmp_path: Path) -> None:
     """A snapshot file is cut at any byte, or one bit in it has changed.
 
-    Estimates restored from such a file would be wrong for all shapes. Length and digest are checked, so a
+    Estimates restored from such a file could be wrong for any shape. Length and digest are checked, so a
     damaged file counts as absent, and the next save replaces it.
     """
     store = SnapshotStore(str(tmp_path / "costs"))
--- a/tests/test_race_flight.py
+++ b/tests/test_race_flight.py
@@ -1,4 +1,4 @@
-"""Race conditions of Flight calls that are being sent: abandoned, drained or on a broken connection."""
+"""Race conditions of Flight: calls abandoned, delayed or cut off while they are sent, and answers cut off."""
 
 import contextlib
 import socket
@@ -78,8 +78,8 @@
 def test_flight_call_abandoned_before_its_connection_is_accepted_is_not_forwarded() -> None:
     """A Flight client sends an update and closes its connection before the gateway has accepted it.
 
-    The call was read and forwarded before the end of its connection was read, so an engine ran an update with
-    no client left. The send guard checks the client's socket before the call is written.
+    If the gateway forwarded the call before it read the end of the connection, an engine would run an update
+    with no client left. So the send guard reads the client's socket before the call is written to an engine.
     """
     listener = socket.create_server(("127.0.0.1", 0))
     gateway = flight_gateway(listener)
@@ -97,7 +97,7 @@
     )
     assert (
         gateway.forwarder.next_request_id == next_id_before + 1 and not gateway.forwarder.exchanges
-    )  # the call was read
+    )  # the call was read and its exchange has ended
     assert pool.connections == {"e0": connection} and connection.grpc.h2.get_next_available_stream_id() == 1
     gateway.loop.close()
     for sock in (engine_socket, listener):
@@ -106,10 +106,11 @@
 
 @pytest.mark.parametrize("event", ["leaves", "drains", "breaks"])
 def test_flight_call_whose_message_is_unsent_is_withdrawn(event: str) -> None:
-    """The client leaves, the engine drains or its connection breaks while flow control delays a message.
+    """The client leaves, the engine drains, or the engine's connection breaks while a message is held back.
 
-    The engine's window is too small, so the message of a call waits in the gateway and could still be sent
-    later. Without the complete message an engine runs nothing: the attempt is withdrawn as never run.
+    The engine's flow-control window is too small, so the message of a call waits in the gateway and could
+    still be sent later. Without the complete message an engine runs nothing, so the attempt is withdrawn as
+    never run.
     """
     listener = socket.create_server(("127.0.0.1", 0))
     gateway = flight_gateway(listener, settings_without_timeouts(cancelling=False))
@@ -132,7 +133,8 @@
         turn_until(gateway, lambda: grpc.stream.closed)
         assert not any(exchange.engine_side.may_have_run for exchange in exchanges)
         exchanges = []
-    # A partly sent message is incomplete, so its call never ran; the client of that call still waits
+    # The first call's message is sent in part. If only the second client leaves, the first attempt goes on.
+    # If the engine drains, that attempt is withdrawn as well, as an engine does not run an incomplete message
     if exchanges:
         assert exchanges[1].engine_side.current_attempt is None
         assert bool(exchanges[0].engine_side.current_attempt) is (event == "leaves")
@@ -161,7 +163,7 @@
         self.completed_at: dict[int, int] = {}  # steady clock, nanoseconds
 
     def read(self) -> None:
-        """Read once, and return the flow-control window for the bytes read."""
+        """Read once, and return flow-control credit to the gateway for the bytes read."""
         with contextlib.suppress(TimeoutError):
             for event in self.h2.receive_data(self.socket.recv(65_536)):
                 if isinstance(event, RequestReceived) and event.stream_id and event.headers:
@@ -179,8 +181,9 @@
 ) -> None:
     """A Flight call waits in the gateway for flow control or for a full send buffer.
 
-    Its headers were encoded before the wait, so the engine got a timeout that was too long and ran the call
-    after its client's deadline.
+    Headers encoded before the wait would give the engine a timeout that is too long, and it would run the
+    call after its client's deadline. So a call whose headers are too old (`MAX_DEADLINE_AGE_NS`) is reset and
+    opened again with the time that is left.
     """
     listener = socket.create_server(("127.0.0.1", 0))
     gateway = flight_gateway(listener, settings_without_timeouts(cancelling=False))
@@ -221,8 +224,8 @@
 def test_close_by_the_engine_is_found_before_a_flight_call_is_written() -> None:
     """An engine closes its connection just before a Flight call is written to it.
 
-    The call would count as possibly run and be lost. The connection reads the close before it takes a call,
-    and another connection is dialled.
+    A call written after the close would count as possibly run, and an update could not be repeated. The
+    gateway reads from a connection before it opens a call there, so it finds the close and dials another one.
     """
     listener = socket.create_server(("127.0.0.1", 0))
     gateway = flight_gateway(listener)
@@ -261,8 +264,8 @@
 ) -> None:
     """A shutdown or the idle timeout ends a Flight connection while its client still reads the last answer.
 
-    The connection was closed before the client had read the whole answer, and the end of it was lost. The
-    gateway sends GOAWAY, writes the rest of the answer, half-closes, and closes after the client.
+    If the gateway closed the connection at once, the end of the answer would be lost. Instead it sends
+    GOAWAY, writes the rest of the answer, half-closes, and closes after the client.
     """
     loop, listener = Loop(), socket.create_server(("127.0.0.1", 0))
     listener.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4_096)
--- a/tests/test_reload.py
+++ b/tests/test_reload.py
@@ -81,10 +81,10 @@
      set_value([], "settings", "services")],
 )  # fmt: skip
 def test_a_file_with_a_fault_is_rejected(change: Any) -> None:
-    """A file lacks a key of the active configuration, or a value is not a positive number as required.
+    """A file lacks a key of the active configuration, or has an invalid value.
 
-    Decoded leniently, a default would silently replace an active setting, and true or "7" would be taken as a
-    number. The file is rejected as a whole.
+    Lenient decoding would silently replace an active setting by a default, and take true or "7" for a number.
+    The file is rejected as a whole.
     """
     with pytest.raises(ConfigurationError):
         check_no_key_dropped(
@@ -96,7 +96,7 @@
     "text", ["", "[]", "{", "[" * 100_000, '{"settings": NaN}', json.dumps(RAW_CONFIGURATION)[:-20]]
 )
 def test_a_file_that_is_cut_off_is_rejected(text: str, tmp_path: Any) -> None:
-    """A reload rejects a file only on ConfigurationError; any other exception would end it as a fault."""
+    """A reload reports only a ConfigurationError as a rejected file; other exceptions count as faults."""
     (tmp_path / "c.json").write_text(text)
     with pytest.raises(ConfigurationError):
         read_configuration({"ROUTER_CONFIG": str(tmp_path / "c.json")})
@@ -172,8 +172,8 @@
 def test_the_scheduler_keeps_what_it_learned_and_open_requests_their_settings() -> None:
     """A settings update arrives while one request has been answered and another is open.
 
-    A scheduler that rebuilt its classes would lose the learned work, and the open request's timeout and limit
-    of attempts would change.
+    A scheduler that rebuilt its classes would lose the mean work learned from the answer, and the open
+    request's timeout and limit of attempts would change.
     """
     configuration = config([host(Engine())])
     scheduler = Scheduler(configuration.settings, 1)
@@ -214,8 +214,8 @@
 def test_limits_that_change_alone_are_applied() -> None:
     """A reload changes only limits that the forwarder and the engine clients keep themselves.
 
-    The reload was logged as applied, but these limits stayed unchanged until a restart. A reload sets them as
-    well as the scheduler's settings.
+    If a reload updated only the scheduler's settings, it would be logged as applied although these limits
+    stay unchanged until a restart. So it also sets the limits of the forwarder and the engine clients.
     """
     raw: dict[str, Any] = copy.deepcopy(SETTINGS)
     raw["limits"] |= {"most-held": 1, "dial-timeout": 600_000_000, "streams-per-conn": 5}
--- a/tests/test_statements_corpus.py
+++ b/tests/test_statements_corpus.py
@@ -130,7 +130,10 @@
 
 
 def full_parse(classifier: LocalClassifier, sql: str) -> tuple[bool, bool, bool, str]:
-    """The result of parsing the literal text. It omits the key, which is located by slots, absent here."""
+    """The parse result of a text with its own literals, without the key.
+
+    A key is located by the numbered literals that replace the real ones in the text of a shape.
+    """
     result = classifier.reader.read(classifier.classifier.normalize(sql), sql)
     return result.is_write, result.is_report, result.is_parsed, result.verb
 
--- a/tests/test_statements_costs.py
+++ b/tests/test_statements_costs.py
@@ -22,7 +22,7 @@
 
 @pytest.mark.parametrize("seed", [1, 2, 3])
 def test_a_skewed_mix_is_estimated_within_twice_for_nine_of_ten(seed: int) -> None:
-    """Learns from 200 outcomes of each shape, with the spread and the poor plans of the bench's workload."""
+    """Each shape has 200 outcomes from `run_time`, of which one in 25 is slow because of a poor plan."""
     random = Random(seed)
     usual_ms = {n: random.lognormvariate(5.5, 1.5) for n in range(60)}
 
--- a/tests/test_statements_keys.py
+++ b/tests/test_statements_keys.py
@@ -1,4 +1,4 @@
-"""Keys of loads: two loads that write rows of one key get the same key, however it is spelt."""
+"""Keys of loads: loads that write one value of the key column get one key, however the value is spelt."""
 
 import sqlite3
 
@@ -157,7 +157,7 @@
 
 
 def touched(sql: str) -> set[object] | None:
-    """The members of the rows that a load changes, in their old or new form; None if SQLite rejects it."""
+    """The `member` values, old and new, of the rows that a load changes; None if SQLite rejects the load."""
     database = engine()
     try:
         before = set(database.execute("SELECT * FROM lending_7.loans").fetchall())
--- a/tests/test_upgrade_compatibility.py
+++ b/tests/test_upgrade_compatibility.py
@@ -1,4 +1,4 @@
-"""Hot upgrades from the previous version: its recorded packets are decoded, and written in the same form."""
+"""Hot upgrades from the previous version and back to it: its recorded packets are read and written alike."""
 
 import contextlib
 import json
@@ -51,7 +51,7 @@
 
 
 def has_same_form(written: Any, before: Any) -> bool:
-    """Whether keys, their order, types and values are equal; numbers may differ by a rounding error."""
+    """Whether two JSON values are equal, also in the order of keys, except for rounding errors of numbers."""
     if isinstance(before, dict):
         same_keys = isinstance(written, dict) and list(written) == list(before)
         return same_keys and all(has_same_form(written[key], before[key]) for key in before)
@@ -96,14 +96,14 @@
 
 
 def test_the_socket_has_the_name_that_the_version_before_looks_for(tmp_path: Path) -> None:
-    """With another name, processes of the two versions would not find each other."""
+    """If the socket file had another name, processes of the two versions would not find each other."""
     path = upgrade_socket_path({"TMPDIR": str(tmp_path)}, RECORDED_AT_ADDRESS)
     assert path == str(tmp_path / read_recorded("socket-name.txt").decode())
 
 
 @contextlib.contextmanager
 def predecessor(folder: Path) -> Iterator[tuple[InheritedState, socket.socket]]:
-    """The state inherited from a recorded offer, and the previous version's side of the connection."""
+    """Yield the state inherited from the recorded offer, and the predecessor's end of the connection."""
     path = str(folder / read_recorded("socket-name.txt").decode())
     fronts = [socket.create_server(("127.0.0.1", 0)) for _ in range(2)]
     with socket.socket(socket.AF_UNIX, socket.SOCK_SEQPACKET) as listener, ThreadPoolExecutor() as executor:
@@ -124,7 +124,7 @@
 
 @contextlib.contextmanager
 def build_gateway(folder: Path, inherited: InheritedState | None = None) -> Iterator[Gateway]:
-    """A gateway with the fronts and the engine of the recorded one; its loop is not run."""
+    """Yield a gateway with the same fronts and engine as the recorded one; its loop does not run."""
     engine = Engine()
     statements = StatementSettings(Rules(lookup="lookup", report="report", load="load"), covers_http=True)
     operator = OperatorSettings(flight_address=("127.0.0.1", 0), statements=statements)
@@ -157,7 +157,7 @@
 
 
 def test_a_successor_restores_what_the_version_before_learned(tmp_path: Path) -> None:
-    """A key of the recorded offer that is read under another name or in another form would be lost."""
+    """A value of the recorded offer would be lost if it were read under another key or in another form."""
     before = json.loads(read_recorded(OFFER))
     with predecessor(tmp_path) as (inherited, _), build_gateway(tmp_path, inherited) as gateway:
         scheduler = gateway.planner.scheduler
@@ -180,7 +180,7 @@
 def test_a_successor_obeys_the_messages_of_the_version_before_and_serves_its_connections(
     tmp_path: Path,
 ) -> None:
-    """A successor that did not understand these messages would lose the transferred connections."""
+    """A successor that could not decode the recorded messages would lose the connections they transfer."""
     with (
         predecessor(tmp_path) as (inherited, connection),
         build_gateway(tmp_path, inherited) as gateway,
@@ -202,7 +202,10 @@
 
 
 def test_a_predecessor_answers_a_successor_of_the_version_before_in_its_form(tmp_path: Path) -> None:
-    """After a return to the previous version, its process could not use messages in another form."""
+    """In a hot upgrade back to the previous version, the successor is a process of that version.
+
+    It could not read messages in a form other than its own.
+    """
     with (
         build_gateway(tmp_path) as gateway,
         running_loop(gateway),
