--- a/bench/fault_soak/__main__.py
+++ b/bench/fault_soak/__main__.py
@@ -71,7 +71,7 @@
     """Make SIGTERM end this process and all processes of the deployment."""
 
     def end() -> None:
-        """Runs as a callback of the event loop, so it cannot interrupt the start of a process."""
+        """Kill everything and exit; as a callback of the event loop, it interrupts no start of a process."""
         deployment.close()
         sys.stdout.flush()
         os._exit(SIGNAL_EXIT_BASE + signal.SIGTERM)
--- a/bench/fault_soak/clients.py
+++ b/bench/fault_soak/clients.py
@@ -22,14 +22,18 @@
 )
 from bench.fault_soak.statements import draw_column, draw_table
 
-CLOSE_RACE_S = 0.05  # clients repeat a request whose connection closes within this time of the write
+# The platform's clients repeat a request if its connection closes within this time of the write
+CLOSE_RACE_S = 0.05
 READ_LIMIT = 1 << 20
 RECONNECT_PAUSE_S = 0.05
 
 
 @dataclass(slots=True)
 class GatewayTarget:
-    """A gateway as clients reach it; while `in_rotation`, the front routes new connections to it."""
+    """A gateway as clients reach it; they open new connections to it only while `in_rotation`.
+
+    This stands for the platform's front, which routes new connections only to gateways in its rotation.
+    """
 
     name: str
     port: int
@@ -47,7 +51,7 @@
 
 @dataclass(slots=True)
 class Population:
-    """All HTTP clients of a run; every request is recorded."""
+    """All HTTP clients of a run; `records` holds every valid request that they send."""
 
     targets: list[GatewayTarget]
     random: random.Random
@@ -181,7 +185,7 @@
         return connection if usable else None
 
     async def _pipeline(self, target: GatewayTarget, connection: Connection) -> Connection | None:
-        """Send several requests in one write; their deadlines start then, and answers arrive in sequence."""
+        """Send three requests in one write, at which their deadlines start, and read the answers in turn."""
         records = [self._new_record(target, connection.used) for _ in range(3)]
         for record in records[1:]:
             record.pipelined = True
@@ -197,7 +201,7 @@
         return connection
 
     def _report_written(self, records: list[ClientRecord]) -> None:
-        """Start the spacing of the keys of these requests."""
+        """Start the interval in which the keys of these requests may not be reused."""
         for record in records:
             if record.key:
                 is_first = not record.reused_connection
@@ -205,7 +209,10 @@
 
     @staticmethod
     def _mark_not_accepted(ended: ClientRecord, following: list[ClientRecord]) -> None:
-        """Mark the requests behind the one that ended their connection; the client has to repeat them."""
+        """Record the requests pipelined behind `ended` as not accepted, as their connection ended with it.
+
+        A client of the platform would have to repeat them.
+        """
         for record in following:
             record.ending, record.detail = Ending.NOT_ACCEPTED, f"pipelined behind {ended.ending.value}"
             record.left_at = record.ended_at = ended.ended_at
@@ -238,7 +245,11 @@
     async def _await_answer(
         self, connection: Connection, record: ClientRecord, disconnect_after_s: float | None
     ) -> bool:
-        """Await the answer until its deadline plus the slack; return whether the connection is reusable."""
+        """Await the answer and record how the request ended; return whether the connection is reusable.
+
+        The client leaves `ANSWER_SLACK_S` after the deadline, or `disconnect_after_s` after the write if that
+        is earlier.
+        """
         give_up_at = max(record.sent_at + record.ttl, record.turn_at) + ANSWER_SLACK_S
         if disconnect_after_s is not None:
             give_up_at = min(give_up_at, record.sent_at + disconnect_after_s)
--- a/bench/fault_soak/control.py
+++ b/bench/fault_soak/control.py
@@ -1,4 +1,7 @@
-"""The shim's control file: which system calls of a process fail and how often, and its clock offset."""
+"""Builds and controls the shim (shim.c), a library that is preloaded into gateways and injects faults.
+
+A control file states which system calls of a gateway fail and how often, and the offset of its wall clock.
+"""
 
 import mmap
 import os
@@ -14,7 +17,7 @@
 
 @dataclass(slots=True)
 class CallFault:
-    """A system call fails with `error` (an errno) in `rate` of a thousand calls."""
+    """How often one kind of system call fails: `rate` of a thousand calls, with the errno `error`."""
 
     rate: int = 0
     error: int = 0
@@ -36,7 +39,7 @@
     close_interrupt_rate: int = 0
 
     def pack(self) -> bytes:
-        """Encode the state as `struct control`."""
+        """Encode the state as `struct control` of shim.c."""
         values = [getattr(self, item.name) for item in fields(self)]
         faults = [value for value in values if isinstance(value, CallFault)]
         pairs = [number for fault in faults for number in (fault.rate, fault.error)]
--- a/bench/fault_soak/deployment.py
+++ b/bench/fault_soak/deployment.py
@@ -21,11 +21,11 @@
 START_TIMEOUT_S = 15.0
 READY_POLL_S = 0.05
 EXIT_POLL_S = 0.02
-ROTATION_REMOVAL_DELAY_S = 0.3  # from a gateway's end until the front stops routing to it
-EARLY_STOP_AFTER_S = 0.1  # after the successor's start
-LATE_START_AFTER_S = 1.0  # after the predecessor's SIGTERM
-KILL_RACE_S = 0.05  # requests that a successor accepted up to this long before its recorded kill may be lost
-MAX_SIGNAL_INTERVAL_S = 0.2  # between two signals of a sequence
+ROTATION_REMOVAL_DELAY_S = 0.3  # from SIGTERM or SIGKILL until the platform's front routes no more clients
+EARLY_STOP_AFTER_S = 0.1  # from the successor's start to the predecessor's SIGTERM, in EARLY_STOP
+LATE_START_AFTER_S = 1.0  # from the predecessor's SIGTERM to the successor's start, in LATE_START
+KILL_RACE_S = 0.05  # a successor's kill may lose requests that ended up to this long before its recorded time
+MAX_SIGNAL_INTERVAL_S = 0.2  # between two consecutive signals to a gateway that is being stopped
 
 
 @dataclass(frozen=True, slots=True)
@@ -97,7 +97,7 @@
         gateway.write_configuration(discovery_settings, gateway_count, deadlines)
 
     async def wait_until_ready(self, gateway: GatewayProcess) -> bool:
-        """Poll the gateway until it reports that it is live; return False on a timeout or if it ends."""
+        """Put the gateway into rotation once it reports that it is live; False on a timeout or if it ends."""
         deadline = time.monotonic() + START_TIMEOUT_S
         while time.monotonic() < deadline and gateway.running:
             if await self._is_live(gateway.target.port):
@@ -123,13 +123,13 @@
         gateway.expected_to_end = True
         gateway.signal_group(signal.SIGKILL)
         await asyncio.sleep(ROTATION_REMOVAL_DELAY_S)
-        gateway.target.in_rotation = False  # the front has detected the end
+        gateway.target.in_rotation = False  # the platform's front would have detected the end by now
         await self._restart(gateway, gateway_count, OutageKind.KILLED, began_at, began_at)
 
     async def stop(
         self, gateway: GatewayProcess, gateway_count: int, later_signals: Sequence[SignalAfter] = ()
     ) -> None:
-        """Send SIGTERM, then SIGKILL at the end of the shortest grace period, and restart the gateway.
+        """Send SIGTERM, then SIGKILL after `Deadlines.kill_after_s`, and restart the gateway.
 
         Clients open new connections until `ROTATION_REMOVAL_DELAY_S` after SIGTERM. `later_signals` are
         sent after the SIGTERM, in sequence.
@@ -144,7 +144,7 @@
         kill_at = began_at + self.deadlines.kill_after_s
         while gateway.running and time.monotonic() < kill_at:
             await asyncio.sleep(EXIT_POLL_S)
-        # A supervisor exits with SIGKILL's number if one of its child processes was killed
+        # A supervisor exits with SIGKILL's number if a child process was killed, as by the fault `worker`
         if not gateway.running and gateway.process.returncode not in (0, signal.SIGKILL):
             self.observations.crashes.append(
                 f"{gateway.name}: code {gateway.process.returncode} after SIGTERM"
@@ -247,7 +247,7 @@
                 )
 
     def check_stand_ins(self) -> None:
-        """Raise StandInEndedError if a stand-in has ended, as the run then tests less than it reports."""
+        """Raise StandInEndedError if an engine or a proxy has ended: the run tests less than it reports."""
         for engine in self.engines:
             if ended := engine.ended_processes:
                 raise StandInEndedError(f"{engine.name}: {', '.join(ended)}")
--- a/bench/fault_soak/discovery.py
+++ b/bench/fault_soak/discovery.py
@@ -14,7 +14,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SentEvent:
-    """An event that was sent to a gateway."""
+    """A gateway and the position of an event that was sent to it; the key of `notified_at`."""
 
     gateway: str
     position: int
@@ -32,8 +32,8 @@
         self.servers: dict[str, asyncio.Server] = {}
         self.ports: dict[str, int] = {}
         self.changed = asyncio.Event()
-        self.outages = 0  # the number of active outages
-        self.silent = False  # polls are accepted and not answered
+        self.outages = 0  # outages may overlap; gateways are served while there is none
+        self.silent = False  # whether polls are accepted but not answered
         self.writers: set[asyncio.StreamWriter] = set()
 
     @property
@@ -73,7 +73,7 @@
         }
 
     async def listen(self, gateway: str) -> None:
-        """Serve a gateway, on the same port as before if it has one."""
+        """Accept the polls of a gateway, on the same port as before if it already has one."""
         if gateway not in self.ports:
             self.ports[gateway] = self.port_reservations.reserve()
         self.servers[gateway] = await asyncio.start_server(
--- a/bench/fault_soak/engine.py
+++ b/bench/fault_soak/engine.py
@@ -27,7 +27,7 @@
         self.switch = ModeSwitch()
 
     async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        """Serve one connection."""
+        """Serve one connection: `REQ` starts a request, `STOP` cancels it, `FETCH` reads a result page."""
         running: dict[str, asyncio.Task[None]] = {}
         with contextlib.suppress(OSError, asyncio.IncompleteReadError):
             while line := await reader.readline():
@@ -56,7 +56,7 @@
         writer.write(f"{head} {len(body)}\r\n".encode() + (body + b"\r\n" if body else b""))
 
     async def run(self, client_request_id: str, writer: asyncio.StreamWriter) -> None:
-        """Run one request and answer it."""
+        """Run and answer one request in the mode set at its start; HANG also holds requests in progress."""
         mode = self.switch.mode
         if mode is EngineMode.RESET:
             writer.transport.abort()
--- a/bench/fault_soak/engine_host.py
+++ b/bench/fault_soak/engine_host.py
@@ -1,4 +1,4 @@
-"""Starts and controls the stand-in engines of a run, each behind one fault proxy per wire protocol."""
+"""Starts and controls the stand-in engines of a run, each behind one fault proxy per protocol."""
 
 import contextlib
 import subprocess
@@ -9,17 +9,17 @@
 from bench.fault_soak.engine_mode import EngineMode
 from bench.loopback_ports import PortReservations
 
-FLIGHT_SUFFIX = "@flight"  # of the engine's name in events that are observed on the Flight wire
+FLIGHT_SUFFIX = "@flight"  # added to the engine's name in the events of its Flight SQL connections
 
 
 @dataclass(slots=True)
 class EngineHost:
-    """An engine on both wires with its proxies; `close` ends their processes."""
+    """An engine that serves two protocols, each by its own process behind a proxy; `close` kills them all."""
 
     name: str
-    port: int  # of the proxy on the platform's wire
-    flight_port: int  # of the proxy on the Flight wire
-    engines: tuple[subprocess.Popen[bytes], ...]  # of the platform's wire and of Flight SQL
+    port: int  # of the proxy for the platform's line protocol (query_gateway.engine_protocol)
+    flight_port: int  # of the proxy for Flight SQL (query_gateway.flight)
+    engines: tuple[subprocess.Popen[bytes], ...]  # for the line protocol and for Flight SQL
     proxies: tuple[subprocess.Popen[bytes], ...]
     started_at_ms: int = 0  # wall clock; 0: long before the run
     health: str = "up"
@@ -34,17 +34,17 @@
 
     @property
     def ended_processes(self) -> list[str]:
-        """The commands of its processes that have ended unexpectedly."""
+        """The command lines of the engine's processes that have ended; none should during a run."""
         processes = (*self.engines, *self.proxies)
         return [str(process.args) for process in processes if process.poll() is not None]
 
     def set_mode(self, mode: EngineMode) -> None:
-        """Set how the engine answers from now on, on both wires."""
+        """Set how the engine answers from now on, on both protocols."""
         for engine in self.engines:
             _send_line(engine, mode.value)
 
     def send_to_proxies(self, command: str) -> None:
-        """Send a command to both proxies; the commands are listed in `proxy`."""
+        """Send a command to both proxies; proxy.py lists the commands at its head."""
         for proxy in self.proxies:
             _send_line(proxy, command)
 
@@ -56,7 +56,7 @@
 
 
 def start_engine_host(folder: Path, name: str, seed: int, port_reservations: PortReservations) -> EngineHost:
-    """Start an engine on both wires with its proxies; they append their events to a file in the folder."""
+    """Start an engine's processes and proxies, which append events to `NAME.events` in the folder."""
     ports = [port_reservations.reserve() for _ in range(4)]
     event_file = str(folder / f"{name}.events")
     engines = (
--- a/bench/fault_soak/engine_mode.py
+++ b/bench/fault_soak/engine_mode.py
@@ -1,4 +1,4 @@
-"""How stand-in engines answer: correctly or in a fault mode; the modes are shared by both wires."""
+"""How the stand-in engines of both protocols answer: correctly or in a fault mode."""
 
 import asyncio
 from enum import Enum
@@ -11,9 +11,9 @@
     HANG = "hang"  # no progress and no answer until the mode changes
     ERROR = "error"
     REFUSE = "refuse"
-    RESET = "reset"  # the connection is reset
-    TORN = "torn"  # a truncated answer
-    DRIP = "drip"  # an answer that is written byte by byte
+    RESET = "reset"  # the connection is closed without an answer
+    TORN = "torn"  # an answer that stops before its stated length; line protocol only
+    DRIP = "drip"  # the first line of an answer, byte by byte and without its body; line protocol only
 
 
 class ModeSwitch:
--- a/bench/fault_soak/event_file.py
+++ b/bench/fault_soak/event_file.py
@@ -11,7 +11,7 @@
     """Appends the events of one engine to an event file."""
 
     def __init__(self, engine: str, file: TextIO) -> None:
-        """`engine` is its name in each event; `file` is line-buffered and closed by the caller."""
+        """`engine` is the engine's name in each event; `file` is line-buffered and closed by the caller."""
         self.engine, self.file = engine, file
 
     def write(self, kind: EngineEventKind, client_request_id: str, **details: object) -> None:
--- a/bench/fault_soak/evidence.py
+++ b/bench/fault_soak/evidence.py
@@ -15,10 +15,10 @@
 from bench.fault_soak.settings import NOTIFICATION_DEADLINE_S
 
 NEVER_RAN_OUTCOMES = ("refused", "stale")
-STALL_MARGIN_S = 0.5  # before and after a stall of the soak's own process
-UNREAD_MARGIN_S = 0.5  # after a span in which requests waited unread
+STALL_MARGIN_S = 0.5  # by which a stall of the soak's own process is extended at both ends
+UNREAD_MARGIN_S = 0.5  # by which a span in which requests may wait unread is extended at its end
 KILL_MARGIN_BEFORE_S, KILL_MARGIN_AFTER_S = 0.05, 0.2
-IDLE_CLIENTS_MARGIN_S = 0.5  # until both sides have closed the connections of idle clients
+IDLE_CLIENTS_MARGIN_S = 0.5  # after idle clients leave, until the gateway has closed their connections
 ASSUMED_OPEN_S = 4.0  # how long a request without a recorded end counts as open
 
 
@@ -101,7 +101,7 @@
         return max(delays, default=0.0)
 
     def is_unread(self, engine: str, at: float) -> bool:
-        """Whether an event observed then may have waited in kernel buffers, so that its time is unknown."""
+        """Whether an event observed at this time may have arrived earlier and waited in kernel buffers."""
         return any(
             span.engine == engine and span.began_at <= at <= span.ended_at + UNREAD_MARGIN_S
             for span in self.observations.unread_spans
@@ -110,7 +110,8 @@
     def was_open_at_kill(self, record: ClientRecord) -> bool:
         """Whether the gateway was killed without a grace period while the request was open.
 
-        A gateway that got SIGTERM first has time to answer all accepted requests before SIGKILL.
+        A gateway that got SIGTERM first has time to answer all accepted requests before SIGKILL, so
+        such a stop does not count.
         """
         until = record.ended_at or record.sent_at + ASSUMED_OPEN_S
         return any(
@@ -129,10 +130,10 @@
         )
 
     def notified_at(self, change: EngineChange, gateway: str, at: float) -> float:
-        """When the gateway process that acts at time `at` was notified of a change, or counts as notified.
+        """When a gateway knew of a change: once notified, or `NOTIFICATION_DEADLINE_S` after it if earlier.
 
-        After the start of a successor the acting process may be the successor. Its own notification is the
-        first one after its start, other than the gateway's first.
+        If a successor has started by the time `at`, it may be the process that acts then, so the first of
+        `EngineChange.notified_again_at` after its start counts, if there is one.
         """
         first_at = change.notified_at.get(gateway, float("inf"))
         for start in self.observations.successor_starts:
--- a/bench/fault_soak/fault_schedule.py
+++ b/bench/fault_soak/fault_schedule.py
@@ -16,7 +16,7 @@
     "path": 2,
     "engine-restart": 2,
     "drain": 2,
-}  # default: 1
+}  # relative; 1 for a fault that is not listed
 FIRST_FAULT_AFTER_S, LAST_FAULT_BEFORE_END_S = 0.5, 3.0
 MIN_FAULT_DURATION_S, MAX_FAULT_DURATION_S = 0.5, 4.0
 
--- a/bench/fault_soak/faults.py
+++ b/bench/fault_soak/faults.py
@@ -31,11 +31,11 @@
     EngineMode.HANG, EngineMode.ERROR, EngineMode.REFUSE, EngineMode.RESET, EngineMode.TORN, EngineMode.DRIP,
 )  # fmt: skip
 CLOCK_STEPS_S = (3600, -3600, 7, -7, 1.5, -1.5)
-CONNECTION_ENDING_RATE = 15  # of a thousand calls
+CONNECTION_ENDING_RATE = 15  # of a thousand calls, for CONNECTION_ENDING_ERRORS
 TOTAL_FAILURE_RATE = 900  # of a thousand calls; at this rate and above nearly every call fails
 MAX_TOTAL_FAILURE_S = 0.4
 MAX_PAUSE_S = 0.4
-IDLE_CLIENT_COUNTS = (120, 400)  # below and above a gateway's limit on descriptors
+IDLE_CLIENT_COUNTS = (120, 400)  # below and above a gateway's DESCRIPTOR_LIMIT
 MAX_WORKER_PAUSE_S = 2.0
 NOTIFICATION_POLL_S, NOTIFICATION_POLLS = 0.1, 100
 
@@ -76,7 +76,7 @@
         asyncio.create_task(self._record_notifications(change, position))
 
     async def _record_notifications(self, change: EngineChange, position: int) -> None:
-        """Update the notification times of a change while gateways are notified of it."""
+        """For 10 s, copy to `change` when each gateway was sent the event at `position` or a later one."""
         for _ in range(NOTIFICATION_POLLS):
             for gateway in self.deployment.gateways:
                 times = self.deployment.discovery.times_notified(gateway.name, position)
@@ -120,7 +120,8 @@
         rate = CONNECTION_ENDING_RATE if ends_connection else context.random.choice(rates)
         setattr(gateway.shim.state, name, CallFault(rate, error))
         gateway.shim.apply()
-        # While nearly every call fails, clients that wait 0.15 s get no answer: such a fault is kept short
+        # While nearly every call fails, requests with a deadline of 0.15 s get no answer, so a fault at such
+        # a rate is kept short
         await asyncio.sleep(min(seconds, MAX_TOTAL_FAILURE_S) if rate >= TOTAL_FAILURE_RATE else seconds)
         setattr(gateway.shim.state, name, CallFault())
         gateway.shim.apply()
@@ -141,7 +142,7 @@
 
 async def engine_fault_mode(context: FaultContext, seconds: float) -> None:
     """Put one or two engines into a fault mode."""
-    # Two draws per engine: removing one would change the later draws and so the faults of every seed
+    # The first draw of a pair only makes the key, but without it every seed would give other faults
     engines = {context.choose_engine().name: context.choose_engine() for _ in range(2)}.values()
     for engine in engines:
         engine.set_mode(context.random.choice(ENGINE_FAULT_MODES))
@@ -163,10 +164,10 @@
     observations = context.deployment.observations
     description = f"{engine.name} {command} {began_at:.3f} to {time.monotonic():.3f}"
     observations.path_faults.append(description)
-    if command in ("stall", "unread", "late"):  # Flight requests are observed at the engine, behind the proxy
+    if command in ("stall", "unread", "late"):  # the Flight engine records requests after the proxy
         flight_name = f"{engine.name}{FLIGHT_SUFFIX}"
         observations.unread_spans.append(UnreadSpan(flight_name, began_at, time.monotonic()))
-    if command in ("unread", "late"):  # requests may wait in kernel buffers until the proxy accepts
+    if command in ("unread", "late"):  # requests may wait in kernel buffers until the proxy reads or accepts
         observations.unread_spans.append(UnreadSpan(engine.name, began_at, time.monotonic()))
 
 
--- a/bench/fault_soak/flight_clients.py
+++ b/bench/fault_soak/flight_clients.py
@@ -22,7 +22,7 @@
 
 @dataclass(slots=True)
 class FlightPopulation:
-    """All Flight clients of a gateway; every call is recorded in the shared list."""
+    """All Flight clients of a gateway; every call is recorded in `records`, the run's list."""
 
     target: GatewayTarget
     port: int
@@ -118,7 +118,7 @@
         return not peer.closed and not peer.draining
 
     def _report_written(self, record: ClientRecord) -> None:
-        """Start the spacing of the record's key."""
+        """Start the interval in which the record's key may not be reused."""
         if record.key:
             self.spacing.on_written(self.target.name, record.key, time.monotonic(), self.is_first_call)
         self.is_first_call = False
--- a/bench/fault_soak/flight_engine.py
+++ b/bench/fault_soak/flight_engine.py
@@ -1,9 +1,9 @@
-"""A stand-in engine process on the Flight SQL wire, which records the events of its own requests.
+"""A stand-in engine process for Flight SQL, which records the events of its own requests.
 
     python -m bench.fault_soak.flight_engine PORT SEED NAME EVENT_FILE
 
 Lines on standard input set its mode; each is a value of `EngineMode`. `torn` and `drip` have no
-effect on this wire.
+effect here, and `refuse` affects only requests for a plan (GetFlightInfo).
 """
 
 import asyncio
@@ -31,7 +31,7 @@
         self.switch = ModeSwitch()
 
     async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        """Serve one connection."""
+        """Serve one connection; requests open at its end are recorded as broken."""
         peer = GrpcPeer(reader, writer, is_client=False)
         running: dict[int, asyncio.Task[None]] = {}
         open_requests: dict[int, str] = {}
--- a/bench/fault_soak/gateway_process.py
+++ b/bench/fault_soak/gateway_process.py
@@ -1,4 +1,4 @@
-"""A gateway of a run: its files, its shim and its process."""
+"""A gateway of a run: its files, its fault shim (see `control`) and its process."""
 
 import contextlib
 import json
@@ -55,18 +55,18 @@
     process: subprocess.Popen[bytes] | None = None
     started: list[subprocess.Popen[bytes]] = field(default_factory=list)  # every process, oldest first
     expected_to_end: bool = False
-    busy: bool = False  # it is being stopped, killed, paused or upgraded
+    busy: bool = False  # while it is being stopped, killed, paused or upgraded
     planner_ports: list[int] = field(default_factory=list)
     flight_port: int = 0
 
     @property
     def log_path(self) -> Path:
-        """The log of all its processes."""
+        """The file to which all processes of the gateway log."""
         return self.folder / "log.txt"
 
     @property
     def trace_path(self) -> Path:
-        """The trace steps of every request, written by all its processes."""
+        """The file in which all processes of the gateway record the steps of every request."""
         return self.folder / "trace.txt"
 
     @property
@@ -111,13 +111,13 @@
         (self.folder / "operator.toml").write_text(text)
 
     def start(self, root: Path, shim_library: Path) -> None:
-        """Start the gateway with an empty temporary folder; its log is appended to the same file."""
+        """Start the gateway with an empty temporary folder; it appends to the log of earlier processes."""
         shutil.rmtree(self.folder / "tmp", ignore_errors=True)
         (self.folder / "tmp").mkdir(exist_ok=True)
         self.process = self.start_process(root, shim_library)
 
     def start_process(self, root: Path, shim_library: Path) -> subprocess.Popen[bytes]:
-        """Start a process of the gateway with the shim loaded; another one may still run."""
+        """Start a main process of the gateway, with the shim; the predecessor may still run in an upgrade."""
         environment = os.environ | self.shim.environment(shim_library)
         environment |= {
             "ROUTER_CONFIG": str(self.folder / "config.json"),
@@ -152,7 +152,7 @@
         return self._child_pids("cmdline", b"query_gateway.parsing.worker")
 
     def _child_pids(self, file_name: str, content: bytes) -> list[int]:
-        """The children of the main process whose file of this name under /proc contains `content`."""
+        """Process ids of the main process's children whose `/proc/PID/file_name` contains `content`."""
         assert self.process
         children = Path(f"/proc/{self.process.pid}/task/{self.process.pid}/children")
         pids = []
--- a/bench/fault_soak/grpc_peer.py
+++ b/bench/fault_soak/grpc_peer.py
@@ -98,7 +98,7 @@
         return []
 
     def _remove_goaway(self, data: bytes) -> bytes:
-        """Return the complete frames received, without GOAWAY, after which h2 discards data of open calls."""
+        """Return the complete frames except GOAWAY, after which h2 would discard the data of open calls."""
         self._buffer += data
         passed = bytes(self._buffer[: self._preface_bytes_left])
         del self._buffer[: len(passed)]
--- a/bench/fault_soak/oracle.py
+++ b/bench/fault_soak/oracle.py
@@ -29,12 +29,12 @@
 BUDGET_SLACK_S = 0.15
 SPACING_TOLERANCE_S = 0.01  # how late clients may record the time of a write
 NEVER = float("inf")
-KEY_QUARANTINE_S = 0.3  # after an attempt whose outcome is unknown
+KEY_QUARANTINE_S = 0.3  # how long a gateway holds back a key after an attempt with an unknown outcome
 
 
 @dataclass(slots=True, frozen=True)
 class Violation:
-    """One violation of a promise."""
+    """A violated promise, the time of the violation (0 if unknown) and what was observed."""
 
     promise: str
     at: float
@@ -52,7 +52,7 @@
         self.evidence = Evidence(observations)
 
     def violations(self) -> list[Violation]:
-        """All violations, ordered by their time."""
+        """All violations outside the stalls of the soak's own process, ordered by their time."""
         violations = [
             violation
             for check in CHECKS
@@ -66,7 +66,7 @@
 
 
 def lost_requests(evidence: Evidence) -> Iterator[Violation]:
-    """Requests that were not answered or were answered late."""
+    """Requests that were not answered or were answered late; those open at a kill are exempt."""
     promise = "one final answer in time"
     for record in evidence.observations.clients:
         if not record.sent_at or evidence.was_open_at_kill(record):
@@ -82,10 +82,11 @@
 
 
 def _raced_with_close(evidence: Evidence, record: ClientRecord) -> bool:
-    """Whether a request was written while the gateway closed its idle connection.
+    """Whether the gateway may have closed the connection just as the client wrote the request.
 
-    The gateway has then not read the request, and the client sees the close within the time in which it
-    repeats the request. A new connection may be closed like this only while idle clients fill the gateway.
+    The gateway has then not read the request, and the close arrives within `CLOSE_RACE_S` of the write (or
+    later by a delay of the soak's own process), so a client of the platform repeats the request. This is
+    accepted on a reused connection; on a new one, only while idle clients fill the gateway.
     """
     if record.client_request_id in evidence.observations.read_requests:
         return False
@@ -106,7 +107,7 @@
 
 
 def attempts_after_client_left(evidence: Evidence) -> Iterator[Violation]:
-    """Attempts that start although their client has closed its connection."""
+    """Attempts that start more than `ABANDONED_GRACE_S` after their client has left."""
     promise = "nothing begins for a client that left"
     for client_attempt in evidence.client_attempts():
         request = client_attempt.attempt.request
@@ -139,7 +140,7 @@
         for earlier, later in zip(attempts, attempts[1:], strict=False):
             overlap_s = earlier.ended_at - later.request.observed_at
             if evidence.is_unread(earlier.request.engine, earlier.ended_at):
-                continue  # its end may have been observed late
+                continue  # the end of the earlier attempt may have been observed late
             if overlap_s > OBSERVATION_DELAY_S and earlier.request.engine != later.request.engine:
                 detail = f"at {earlier.request.engine} and {later.request.engine} for {overlap_s:.3f} s"
                 record = evidence.clients.get(client_request_id)
@@ -147,7 +148,7 @@
 
 
 def doubled_effects(evidence: Evidence) -> Iterator[Violation]:
-    """Repeated requests whose effect may be applied twice."""
+    """Repeated reports, and loads repeated after the deduplication window: both may take effect twice."""
     promise = "no doubled effect"
     for client_request_id, attempts in evidence.attempts.items():
         record = evidence.clients.get(client_request_id)
@@ -239,7 +240,10 @@
 
 
 def _earliest_known_end(evidence: Evidence, attempt: Attempt, client: ClientRecord) -> float:
-    """When an attempt ended. A STOP that waited unread was sent before the client got its answer."""
+    """When an attempt ended; no later than the client's request if its STOP may have waited unread.
+
+    A gateway sends the STOP before it answers the client.
+    """
     was_stop_unread = attempt.interrupted and evidence.is_unread(attempt.request.engine, attempt.ended_at)
     return min(attempt.ended_at, client.ended_at) if was_stop_unread else attempt.ended_at
 
@@ -321,7 +325,7 @@
 
 
 def _base_engine_name(engine: str) -> str:
-    """The engine's name in the endpoint list, without the suffix of the wire."""
+    """The engine's name in the endpoint list, without `FLIGHT_SUFFIX`."""
     return engine.partition("@")[0]
 
 
--- a/bench/fault_soak/proxy.py
+++ b/bench/fault_soak/proxy.py
@@ -21,12 +21,13 @@
 from bench.fault_soak.event_file import EventFile
 from bench.fault_soak.records import EngineEventKind
 
-RESET_ON_CLOSE = struct.pack("ii", 1, 0)  # SO_LINGER
+RESET_ON_CLOSE = struct.pack("ii", 1, 0)  # value of SO_LINGER with which closing a socket sends RST
 BACKLOG = 8
 BACKLOG_FILLERS = 12
 REFILL_AFTER_S = 0.02
 READ_SIZE = 65_536
-# The last word of these lines is no length, even if it is a number or an id such as 6402819666044852
+# The last word of these lines is not a body length, even if it is a number or an id without letters, such
+# as 6402819666044852
 COMMANDS_WITHOUT_BODY = ("NICE", "FETCH", "STOP", "END")
 FINAL_OUTCOMES = ("ok", "refused", "error", "stale")
 
@@ -68,7 +69,7 @@
     """A relayed connection and the requests in flight on it."""
 
     def __init__(self, proxy: "Proxy", gateway: asyncio.StreamWriter, engine: asyncio.StreamWriter) -> None:
-        """Relay between a gateway and the engine."""
+        """Keep the writers to the gateway and to the engine; `Proxy.relay` moves the data."""
         self.proxy, self.gateway, self.engine = proxy, gateway, engine
         self.open_requests: set[str] = set()
         self.closed = False
@@ -96,7 +97,7 @@
             self.proxy.events.write(EngineEventKind.END, words[0], outcome=words[1])
 
     def close(self, reset: bool = False) -> None:
-        """Close both sides of the connection; requests in flight on it end as broken."""
+        """Close both sides of the connection; requests in flight on it are recorded as broken."""
         if self.closed:
             return
         self.closed = True
@@ -117,7 +118,7 @@
     """Accepts gateway connections to one engine and relays them."""
 
     def __init__(self, port: int, engine_port: int, events: EventFile, observes: bool) -> None:
-        """Start to listen; with `observes`, frames are parsed and recorded."""
+        """Start to listen; with `observes`, requests and their ends are parsed and recorded."""
         self.observes = observes
         self.engine_port, self.events = engine_port, events
         self.connections: set[RelayedConnection] = set()
@@ -145,7 +146,7 @@
         if command == "late":
             self.accepting.clear()
             self._fill_backlog()
-            # The pending accept removes one connection from the backlog, so the backlog is refilled
+            # An accept that is already waiting takes one connection from the backlog, which is then refilled
             asyncio.get_running_loop().call_later(REFILL_AFTER_S, self._fill_backlog)
         else:
             self.accepting.set()
@@ -189,7 +190,10 @@
         self, connection: RelayedConnection, reader: asyncio.StreamReader, writer: asyncio.StreamWriter,
         observer: FrameObserver, from_gateway: bool,
     ) -> None:  # fmt: skip
-        """Relay one direction until it ends; frames of a gateway are recorded when they are read."""
+        """Relay one direction until it ends.
+
+        Frames of the gateway are recorded when they are read, those of the engine when they are relayed.
+        """
         pending: asyncio.Queue[bytes] = asyncio.Queue()
 
         async def forward() -> None:
--- a/bench/fault_soak/records.py
+++ b/bench/fault_soak/records.py
@@ -10,10 +10,10 @@
     SERVED = "served"
     REJECTED = "rejected"
     FAILED = "failed"
-    LEFT = "left"  # the client closed its connection first
-    CLOSED = "closed"  # the gateway ended the connection without an answer
+    LEFT = "left"  # the client closed its connection or cancelled the call first
+    CLOSED = "closed"  # the gateway ended the connection or the gRPC stream without an answer
     SILENT = "silent"  # no answer arrived within the deadline and its slack
-    NOT_ACCEPTED = "not accepted"  # not written completely, refused, or pipelined behind the last exchange
+    NOT_ACCEPTED = "not accepted"  # not fully written, refused by GOAWAY, or pipelined behind the last answer
     UNREADABLE = "unreadable"  # a malformed answer, or one that belongs to another request
 
 
@@ -27,12 +27,12 @@
     ttl: float
     key: str = ""
     idempotency_key: str = ""
-    reused_connection: bool = False  # the connection was already open before, whether used or not
+    reused_connection: bool = False  # the connection was not opened just for this request; HTTP only
     pipelined: bool = False  # sent after another request without waiting for its answer
     sent_at: float = 0.0  # when its last byte was written; 0 if it was not written completely
-    turn_at: float = 0.0  # when the previous answer on its connection ended; 0 if there was none
+    turn_at: float = 0.0  # when the answer to the request pipelined before it ended; 0 if there is none
     ended_at: float = 0.0
-    left_at: float = 0.0  # when its client closed the connection; 0 if it did not
+    left_at: float = 0.0  # when its client closed the connection or cancelled the call; 0 if neither
     ending: Ending = Ending.NOT_ACCEPTED
     detail: str = ""
 
@@ -146,9 +146,9 @@
     successor_starts: list[SuccessorStart] = field(default_factory=list)
     unread_spans: list[UnreadSpan] = field(default_factory=list)
     idle_client_spans: list[IdleClientSpan] = field(default_factory=list)
-    path_faults: list[str] = field(default_factory=list)  # engine, kind, times; the schedule lacks them
+    path_faults: list[str] = field(default_factory=list)  # engine, proxy command, times; not in the schedule
     log_faults: list[str] = field(default_factory=list)  # log lines of gateways that report internal errors
     invariant_lines: list[str] = field(default_factory=list)  # invariant violations that gateways logged
     driver_stalls: list[DriverStall] = field(default_factory=list)
-    driver_delays: list[DriverStall] = field(default_factory=list)  # shorter ones included
-    read_requests: set[str] = field(default_factory=set)  # ids of requests that a gateway read, by its trace
+    driver_delays: list[DriverStall] = field(default_factory=list)  # all overruns above `run.DELAY_S`
+    read_requests: set[str] = field(default_factory=set)  # ids of requests in the traces: a gateway read them
--- a/bench/fault_soak/run.py
+++ b/bench/fault_soak/run.py
@@ -41,7 +41,7 @@
     flight_client_count: int = 8  # for each gateway with the Flight SQL front
     fault_count: int = 10
     only: tuple[str, ...] = ()  # names of the faults to draw from; all if empty
-    deadline_s: float | None = None  # the longest of the deployment; drawn if None
+    deadline_s: float | None = None  # the longest of the deployment; drawn from DEADLINES_S if None
 
     @property
     def longest_deadline_s(self) -> float:
--- a/bench/fault_soak/settings.py
+++ b/bench/fault_soak/settings.py
@@ -28,7 +28,7 @@
 
     @property
     def kill_after_s(self) -> float:
-        """The shortest grace period between SIGTERM and SIGKILL, in seconds."""
+        """The shortest grace period from SIGTERM to SIGKILL: the longest deadline, capped, plus a margin."""
         return min(self.longest_s, MAX_COUNTED_DEADLINE_S) + KILL_MARGIN_S
 
 
@@ -79,7 +79,10 @@
 
 
 def request_allowance_in_slow_start(age_s: float) -> float:
-    """Requests of mean work that an engine of this age may get in a window, plus a statistical allowance."""
+    """How many requests an engine may get within `OVERLOAD_WINDOW_S`, `age_s` seconds after its restart.
+
+    The bound for requests of mean work, plus two or three standard deviations for chance.
+    """
     capacity = START_CAPACITY + (1 - START_CAPACITY) * min(1.0, max(0.0, age_s) / SLOW_START_S)
     allowed = OVERLOAD_FACTOR * CORES * capacity * OVERLOAD_WINDOW_S / MEAN_WORK_S
     root = math.sqrt(allowed)
--- a/bench/fault_soak/statements.py
+++ b/bench/fault_soak/statements.py
@@ -12,6 +12,6 @@
 
 
 def draw_column(random_source: random.Random) -> str:
-    """A random column name, which is part of the statement's shape."""
+    """A column name, which is part of the statement's shape: `a`, or a random one that is probably new."""
     is_new = random_source.random() < NEW_SHAPE_SHARE
     return f"a{random_source.randrange(NEW_SHAPES)}" if is_new else "a"
--- a/bench/lookups_per_second.py
+++ b/bench/lookups_per_second.py
@@ -59,8 +59,8 @@
 class LoadResult:
     """The counts of one client process."""
 
-    served: int  # within the window
-    served_before: int  # during the warm-up
+    served: int  # between `counted_from` and `counted_until`
+    served_before: int  # before `counted_from`
     error: str = ""
 
 
@@ -72,7 +72,7 @@
 
 
 def serve_engines(ports: list[int]) -> None:
-    """Answer each request of the engine protocol with one page at once, until the process is terminated."""
+    """Answer each engine-protocol request immediately with one page, until the process is terminated."""
     selector = selectors.DefaultSelector()
     for port in ports:
         listener = socket.create_server(("127.0.0.1", port))
@@ -209,7 +209,7 @@
 
 @dataclass(frozen=True)
 class GatewayProcess:
-    """The measured gateway."""
+    """The process id and the HTTP port of the measured gateway."""
 
     pid: int
     port: int
@@ -225,7 +225,7 @@
 def running_gateway(
     tree: Path, cpu: int, engine_ports: list[int], discovery_port: int
 ) -> Iterator[GatewayProcess]:
-    """Start a gateway from the tree on that core, stopped at exit; yield it once it accepts connections."""
+    """Start a gateway from the tree on core `cpu`, stopped at exit; yield it once it accepts connections."""
     port = free_port()
     with ExitStack() as stack:
         folder = Path(stack.enter_context(tempfile.TemporaryDirectory()))
@@ -268,7 +268,7 @@
 
 
 def _configuration(port: int, engine_ports: list[int], discovery_port: int) -> dict[str, Any]:
-    """The example's configuration with the ports and engines of this run, in the platform's format."""
+    """The configuration in example/config.json, with the ports and engines of this run."""
     configuration: dict[str, Any] = json.loads((ROOT / "example/config.json").read_text())
     hosts = [
         {
--- a/bench/statement_workloads.py
+++ b/bench/statement_workloads.py
@@ -8,7 +8,7 @@
 
 
 def statement(random: Random, shape: int) -> str:
-    """A statement of a shape, with random literals."""
+    """A statement of the shape with this number; `random` draws only the literals."""
     shape_random = Random(shape)
     columns = ", ".join(shape_random.sample(COLUMNS, shape_random.randint(1, 5)))
     table, schema = shape_random.choice(TABLES), f"lending_{shape_random.randint(1, 40)}"
@@ -44,7 +44,7 @@
 
 
 def slow_run_time(random: Random, usual: float) -> float:
-    """A run time of a shape that has become slower."""
+    """A run time of a shape that has become `SLOWDOWN` times slower, without the poor plans of `run_time`."""
     return SLOWDOWN * usual * random.lognormvariate(0, 0.25)
 
 
@@ -64,5 +64,5 @@
 
 
 def fingerprint_of(n: int) -> bytes:
-    """A fingerprint derived from a number."""
+    """A random fingerprint that is always the same for the same number."""
     return Random(n).randbytes(16)
--- a/bench/statements.py
+++ b/bench/statements.py
@@ -4,9 +4,9 @@
   micro   microseconds for a hit and a miss (p50, p99), slowest parses, memory at 10,000 shapes
   cache   hit rates of the statement cache and of a plain LRU on skewed, scanning and adversarial traces
   costs   share of estimates within a factor of 2, and runs until the estimate follows a fivefold slowdown
-  loopback  the same over real sockets, through a gateway
-  front   requests per second of the Flight SQL front: classification off, on with hits only, and on under a
-          flood of statements whose shapes occur once
+  loopback  what `costs` measures, over real sockets through a gateway
+  front   requests per second of the Flight SQL front: classification off, on with hits only, and on with a
+          flood, in which about half of the statements have a shape that occurs once
 """
 
 import json
@@ -239,7 +239,7 @@
 
 
 def _flood(regular: list[int]) -> list[int]:
-    """A trace with nine shapes that occur only once for each regular statement."""
+    """A trace in which each regular statement is followed by nine whose shapes occur nowhere else in it."""
     trace = []
     for i, n in enumerate(regular):
         first_unseen = 10**6 + 9 * i
@@ -269,7 +269,7 @@
 
 
 def _runs_until_followed(estimates: CostEstimates, n: int, usual_ms: float, random: Random) -> int:
-    """Slow runs until the estimate is 2.5 times the usual time, half of the slowdown; at most 500."""
+    """The number of slow runs until the estimate is 2.5 (half of SLOWDOWN) times the usual time, or 500."""
     runs = 0
     while (estimates.cost_ns(fingerprint_of(n), "lookup", n % 5) or 0) < 2.5e6 * usual_ms and runs < 500:
         estimates.observe(fingerprint_of(n), "lookup", n % 5, int(slow_run_time(random, usual_ms) * 1e6))
--- a/bench/statements_gateway.py
+++ b/bench/statements_gateway.py
@@ -1,6 +1,7 @@
 """Sends statements through a gateway in a separate process; the engine and the clients run in this one.
 
-Implements the parts `loopback` and `front` of `python -m bench.statements`. Needs the packages of the tests.
+Implements the parts `loopback` and `front` of `python -m bench.statements`. Imports modules of `tests`, so
+the packages that the tests need must be installed.
 """
 
 import json
@@ -58,7 +59,7 @@
 def loopback(
     seed: int, shapes: int = 12, runs_each: int = 200, clients: int = CLIENTS, slow_runs: int = 10
 ) -> dict[str, Any]:
-    """Run a mix through the Flight SQL front to an engine that takes the random run time of each statement.
+    """Run a mix of statements through a gateway to an engine that takes the run time in each text.
 
     Each shape runs `runs_each` times; the estimates of the gateway at its shutdown are compared with 50
     further run times of each shape. Then another gateway restores these estimates, and one shape runs
@@ -136,7 +137,7 @@
 
 
 def _run_all(address: str, statements: list[str], clients: int) -> int:
-    """Run the statements from last to first; return how many failed."""
+    """Run the statements from last to first, `clients` at a time; return how many failed."""
     import pyarrow.flight as fl
 
     failed = [0] * clients
@@ -158,9 +159,10 @@
 
 
 def front(seed: int, seconds: float) -> dict[str, Any]:
-    """Compare three concurrent gateways, each called for a quarter of a second in turn.
+    """Compare gateways that do not classify, that classify one shape, and that classify a flood of new ones.
 
-    With short turns, other load on the machine slows all of them alike.
+    All run at once and are called in turn for `TURN_S`: with short turns, other load on the machine slows all
+    of them alike.
     """
     from tests.test_flight import FlightEngine
 
@@ -195,7 +197,10 @@
 
 
 def count_served(mode: str, address: str, seed: int, seconds: float) -> int:
-    """Send requests from CLIENTS clients for `seconds`; return how many were served."""
+    """Send statements from CLIENTS clients for `seconds`; return how many were served.
+
+    `mode` is one of those that `front` compares.
+    """
     import pyarrow.flight as fl
 
     served = [0] * CLIENTS
