--- a/bench/fault_soak/clients.py
+++ b/bench/fault_soak/clients.py
@@ -185,7 +185,10 @@
         return connection if usable else None
 
     async def _pipeline(self, target: GatewayTarget, connection: Connection) -> Connection | None:
-        """Send three requests in one write, at which their deadlines start, and read the answers in turn."""
+        """Send three requests in one write and read their answers in turn.
+
+        All three deadlines are counted from that write.
+        """
         records = [self._new_record(target, connection.used) for _ in range(3)]
         for record in records[1:]:
             record.pipelined = True
--- a/bench/fault_soak/faults.py
+++ b/bench/fault_soak/faults.py
@@ -114,7 +114,7 @@
     """Return a fault that makes one kind of system call fail in one gateway."""
 
     async def inject(context: FaultContext, seconds: float) -> None:
-        """Choose a gateway, an error and a rate, and apply them."""
+        """Set the fault in a random gateway, with a random error and a rate that suits it, then clear it."""
         gateway, error = context.choose_gateway(), context.random.choice(errors)
         ends_connection = error in CONNECTION_ENDING_ERRORS
         rate = CONNECTION_ENDING_RATE if ends_connection else context.random.choice(rates)
--- a/bench/fault_soak/oracle.py
+++ b/bench/fault_soak/oracle.py
@@ -176,7 +176,11 @@
 
 
 def key_order(evidence: Evidence) -> Iterator[Violation]:
-    """Loads of one key at one gateway that overlap or start before the end of a key quarantine."""
+    """Loads of one key at one gateway that overlap, or that follow an interrupted attempt too soon.
+
+    A load must start at least `KEY_QUARANTINE_S` after an attempt of the key was cancelled or lost its
+    connection.
+    """
     groups: dict[GatewayKey, list[Attempt]] = defaultdict(list)
     for client_request_id, attempts in evidence.attempts.items():
         if (record := evidence.clients.get(client_request_id)) and record.request_class == LOAD:
--- a/query_gateway/cli.py
+++ b/query_gateway/cli.py
@@ -130,7 +130,10 @@
 
 
 def _check_operator_file(file: str, config: Configuration | None) -> list[str]:
-    """Return the errors of an operator's file, also its inconsistencies with a given configuration."""
+    """Return the errors of an operator's file.
+
+    If it has none and `config` is given, return its inconsistencies with `config`.
+    """
     try:
         return [f"{file}: {error}" for error in find_operator_file_errors(load_operator_file(file), config)]
     except ConfigurationError as error:
@@ -191,7 +194,10 @@
 
 
 def _parse_line(text: str) -> StatementLine:
-    """Parse an input line. Raises StatementLineError."""
+    """Decode a JSON line with a statement.
+
+    Raises StatementLineError if the line is not a JSON object or a field is missing or has the wrong type.
+    """
     try:
         raw = json.loads(text)
         sql, class_name, key, parameters = (raw.get(name) for name in ("sql", "class", "key", "params"))
--- a/query_gateway/configuration/platform.py
+++ b/query_gateway/configuration/platform.py
@@ -108,7 +108,11 @@
 
 
 def _request_classes(services: Any, settings: Settings) -> RequestClasses:
-    """The classes by name, for the fronts; everything but the names is taken from the decoded settings."""
+    """The classes by name, as the fronts use them.
+
+    The names are taken from the raw `services`. The index is the position in `settings.classes`, and the
+    other values come from there.
+    """
     return {
         str(service["name"]): RequestClass(
             index=index,
--- a/query_gateway/engine_protocol/connection.py
+++ b/query_gateway/engine_protocol/connection.py
@@ -43,9 +43,9 @@
     """The state of a connection. The module's docstring lists the transitions; no state is entered again."""
 
     DIALLING = "dialling"  # attempts wait for the dial
-    # In this state a request is written as soon as its attempt is assigned. The coroutine enters the state up
-    # to a loop turn after the stream is `connected`. Requests of attempts that are assigned in between are
-    # left to the coroutine, which writes each of them once
+    # In this state `send` writes a request at once. The connection's coroutine (`_run`) enters the state up
+    # to a loop turn after the stream is `connected`. Until then `send` writes nothing; the coroutine then
+    # writes all waiting requests, each of them once
     ESTABLISHED = "established"
     RETIRED = "retired"  # gets no more attempts and closes after the last one
     CLOSED = "closed"
--- a/query_gateway/forwarder/forwarder.py
+++ b/query_gateway/forwarder/forwarder.py
@@ -247,7 +247,9 @@
                 if exchange := self.exchanges.get(request_id):
                     exchange.set_terms(AttemptTerms(memory_mb, priority))
             case _:
-                pass  # health checks, polls and gossip are not handled by the forwarder
+                # The other actions, such as `HealthCheck`, `WatchEndpoints`, `FetchEndpoints` and
+                # `SendGossip`, are ignored by the forwarder
+                pass
 
     def _forward(self, request_id: int, endpoint: str, planner_index: int) -> None:
         if exchange := self.exchanges.get(request_id):
--- a/query_gateway/forwarder/invariants.py
+++ b/query_gateway/forwarder/invariants.py
@@ -19,7 +19,8 @@
     REPEATED_SAFELY = (
         "repeated-safely"  # after an attempt that may have run, the class must allow another one
     )
-    REJECTED_SAFELY = "rejected-truly"  # a request is rejected only if a retry has no second effect
+    # A request is rejected only if a retry by its client cannot take effect a second time
+    REJECTED_SAFELY = "rejected-truly"
     ANSWERED_IN_TIME = "answered-in-time"  # the answer is sent at most `ANSWER_SLACK_NS` late
     ANSWERED_BEFORE_CLOSE = "answered-before-close"  # a connection closes only when its requests are answered
 
--- a/query_gateway/forwarder/slow_start_budgets.py
+++ b/query_gateway/forwarder/slow_start_budgets.py
@@ -85,7 +85,10 @@
             self._sent_in_window(engine, settings, now).append(_SentWork(now, float(work)))
 
     def forget(self, engine_name: str) -> None:
-        """Reset the count of an engine whose process has ended: after a restart it runs none of that work."""
+        """Discard the work recorded as sent to an engine whose process has ended.
+
+        After a restart the engine runs none of it.
+        """
         self._sent.pop(engine_name, None)
 
     def _is_bounded(self, engine: EndpointInfo, settings: Settings, now: int) -> bool:
--- a/query_gateway/lifecycle/overlap.py
+++ b/query_gateway/lifecycle/overlap.py
@@ -63,7 +63,7 @@
 
 
 class Overlap:
-    """The host of the hot upgrade protocol: applies each protocol event to the gateway."""
+    """Implements `hot_upgrade.UpgradeHost`: applies each event of the upgrade protocol to this gateway."""
 
     def __init__(self, parts: OverlapParts, max_connections: int) -> None:
         """`max_connections`: the connection limit of each front outside an overlap."""
--- a/query_gateway/lifecycle/upgrade_socket.py
+++ b/query_gateway/lifecycle/upgrade_socket.py
@@ -66,9 +66,10 @@
 
 
 def reserve_path(path: str) -> socket.socket:
-    """Listen at `path` for a gateway that cannot be upgraded, so that no other starts at its address.
+    """Listen at `path`, which belongs to the listen address of a gateway that cannot be upgraded.
 
-    The caller owns the socket and closes it when the gateway ends.
+    `is_served` is then true, so that no other gateway of several processes starts at that address. The caller
+    owns the socket and closes it when the gateway ends.
     """
     sock = listen_at_temporary_path(path)
     os.rename(temporary_path(path), path)
--- a/query_gateway/model/learning.py
+++ b/query_gateway/model/learning.py
@@ -44,7 +44,10 @@
             state.fleet.load_reports.add(load, state.now, self.load_decay_ns)
 
     def reported_load(self, state: SchedulerState, engine: EngineState, report: dict[str, float]) -> float:
-        """The load of an engine by its report, 1 at full load: the highest of the known fields."""
+        """The load that an engine reports, 1 at full load.
+
+        It is the highest of `cpu`, `x0`, `x1` and the load due to its `active` queries.
+        """
         queries = report.get("active", 0.0)
         threads = queries * state.classes.threads_per_query / engine.cores / self.full_threads_per_core
         return max(threads, *(report.get(name, 0.0) for name in ("cpu", "x0", "x1")))
--- a/query_gateway/model/records.py
+++ b/query_gateway/model/records.py
@@ -196,7 +196,7 @@
     """An engine at the last refresh of the fleet snapshot."""
 
     slowdown: float = 0.0  # log(run time / uncontended run time)
-    load: float = 0.0  # busy share of its cores, by queries of all gateways
+    load: float = 0.0  # estimated share of the engine's cores kept busy by the queries of all gateways
     load_of_others: float = 0.0  # estimated part of `load` that is due to other gateways
     saturated: bool = False
     saturation_threads: float = 0.0  # threads of this gateway at which the engine is saturated
--- a/query_gateway/model/settings.py
+++ b/query_gateway/model/settings.py
@@ -97,7 +97,8 @@
     retry_allowance: float | None
     retries_per_request: float
     retry_window: int  # nanoseconds
-    slow_start_share: float = 1.0  # of one instance's slow-start sends; below 1 during a hot upgrade
+    # Share of this instance's slow-start sends that this process may make; below 1 during a hot upgrade
+    slow_start_share: float = 1.0
     max_client_connections: int = 0  # limit of open client connections; 0: unknown
     # Nanoseconds added to the run time after which an attempt is overdue, for connects and network pauses
     extra_run_time: int = 0
--- a/query_gateway/net/loop.py
+++ b/query_gateway/net/loop.py
@@ -21,7 +21,8 @@
 LoopCoroutine = Generator[float | None, None, None]
 IN, OUT = select.EPOLLIN, select.EPOLLOUT
 MAX_EVENTS_PER_POLL = 512
-TASK_ROUNDS = 3  # rounds of ready tasks per turn: the tasks woken, the tasks that these wake, and once more
+# Rounds of ready tasks per turn; each round after the first runs the tasks that the round before it woke
+TASK_ROUNDS = 3
 MAX_POLL_SECONDS = 5.0  # limit of a sleep, so that a callback whose wake-up failed runs eventually
 # A busy host may prolong a sleep by this much beyond its timeout; after a longer delay the process counts as
 # having been stopped
@@ -290,7 +291,11 @@
             self.urgent.popleft().step()
 
     def _run_ready(self) -> None:
-        """Run the tasks that are ready now; tasks that these wake run in the next round."""
+        """Run the urgent tasks that are ready, then the other ready tasks.
+
+        The latter include those that the urgent tasks woke. Any other task woken meanwhile runs in the next
+        round.
+        """
         self._run_urgent()
         for _ in range(len(self.ready)):
             self.ready.popleft().step()
--- a/query_gateway/parsing/service.py
+++ b/query_gateway/parsing/service.py
@@ -70,7 +70,10 @@
         parsers: int = 2,
         capacity: int = MAX_SHAPES,
     ) -> None:
-        """`parsers`: number of parser processes, started here; `capacity`: limit of the cached shapes."""
+        """`parsers`: number of parser processes, started here.
+
+        `capacity`: maximum number of normalized statements (shapes) in the cache.
+        """
         self.loop = loop
         self.classifier = Classifier(rules, idempotent_classes, capacity)
         self.stopped = False
@@ -155,9 +158,9 @@
     # ---- the forwarder's observer: outcomes of statements
 
     def rejection_reason(self, fingerprint: bytes, now: int) -> str:
-        """Return the reason to reject a further statement of the shape; empty if it may be accepted.
+        """Return the reason to reject a further statement of the shape with this fingerprint.
 
-        `now`: clock time in nanoseconds.
+        The reason is empty if the statement may be accepted. `now`: clock time in nanoseconds.
         """
         return self.classifier.limits.rejection_reason(fingerprint, now)
 
--- a/query_gateway/planner/ipc_codec.py
+++ b/query_gateway/planner/ipc_codec.py
@@ -32,7 +32,10 @@
 
 @dataclass(slots=True, frozen=True)
 class ArrivalQuery:
-    """Asks a forwarder to reply once it has passed on all keyed requests that arrived before a time."""
+    """Asks a forwarder to reply once it has passed on to the planner all earlier requests with a `key`.
+
+    These are the requests that arrived before `received_at`.
+    """
 
     request_id: int  # the request of another forwarder that waits for the reply
     received_at: int  # clock time of the arrival of that request
--- a/query_gateway/policy/capacity.py
+++ b/query_gateway/policy/capacity.py
@@ -1,13 +1,16 @@
 """Concurrency limits: how many threads one gateway may use at an engine and over the fleet.
 
-    engine on probation with a query in flight     no capacity (`probation`)
+    engine on probation with a query in flight     no capacity, unless all engines are ejected (`probation`)
     engine not saturated, or query ordered by key  capacity, without a limit
     engine saturated                               within the concurrency limit of the class there and, unless
                                                    in slow start, within this gateway's share of the fleet
 
-The thread limit of a class is derived from its share of the cores (UNIT, section 2.3; cited in `scheduler`).
-Each gateway may have one short and one long query at every engine, even if its share of the cores is smaller
-than that. Over all engines, its share of the fleet bounds the number of these queries.
+The concurrency limit of a class at an engine is this gateway's share of the engine's cores plus a statistical
+allowance, but at least the threads of one query. It is derived from UNIT, section 2.3 (full title in the
+docstring of `policy/scheduler.py`), and bounds the threads in use by all classes of the same length (short or
+long). So each gateway may have one short and one long query at every engine, even if its share of the
+engine's cores is smaller. Over all engines, the number of queries of each length is bounded by this gateway's
+share of the fleet, unless engines queue queries themselves (`MemoryShortage.WAIT`).
 """
 
 import math
--- a/query_gateway/policy/repetition.py
+++ b/query_gateway/policy/repetition.py
@@ -26,7 +26,10 @@
 
 
 def may_run_twice(settings: ClassSettings) -> bool:
-    """Whether a second attempt can be allowed once one may have run."""
+    """Whether a class can allow another attempt after one that may have run.
+
+    `repeat_deadline` says until when.
+    """
     return settings.idempotency is not Idempotency.NON_IDEMPOTENT
 
 
--- a/query_gateway/policy/unresponsive.py
+++ b/query_gateway/policy/unresponsive.py
@@ -2,8 +2,9 @@
 
 Input: the attempts in flight at an engine with their expected run times, and when something was last
 received from it (nanoseconds).
-Rationale: if run times are distributed exponentially, a healthy engine is idle for n mean runs, summed over
-the attempts, with the probability e^-n.
+Rationale: divide the time for which the engine has sent nothing during each attempt (its idle time) by the
+attempt's expected run time, and let n be the sum over the attempts. If run times are distributed
+exponentially, a healthy engine reaches n with the probability e^-n.
 """
 
 import math
--- a/query_gateway/rpc/connection.py
+++ b/query_gateway/rpc/connection.py
@@ -29,7 +29,8 @@
 MAX_HEADER_LIST_BYTES = 65_536
 FIRST_BYTES_TIMEOUT_S = 2.0  # until a client must have sent its first bytes
 IDLE_TIMEOUT_S = 300.0  # without data, after which a client's connection without calls is closed
-SLOW_READER_TIMEOUT_S = 30.0  # for a client to read the rest of its last response
+# For a client to read the rest of a call's response, or of what is unsent when its connection closes
+SLOW_READER_TIMEOUT_S = 30.0
 HALF_CLOSE_TIMEOUT_S = 1.0  # for a client to close its side after the gateway has closed its own
 MAX_OUTBOX_BYTES = 1_048_576  # unsent, per connection of a client; further data stays queued in its calls
 
--- a/tests/test_bad_input.py
+++ b/tests/test_bad_input.py
@@ -80,9 +80,9 @@
 def test_a_malformed_configuration_is_rejected_or_works() -> None:
     """Guards against a malformed value that ends the start with a traceback or breaks every later decision.
 
-    Without checks, a number that is too large would do the former, and engines without cores the latter. Each
-    value is rejected with one line when the configuration is read, or a gateway that starts with it schedules
-    without a fault.
+    Without checks, a number that is too large would cause the traceback, and engines without cores would
+    break the decisions. A value must either be rejected with one line when the configuration is read, or
+    leave a gateway that schedules without a fault.
     """
     rejected, broken = 0, []
     for description, raw in each_malformed(RAW):
--- a/tests/test_fault_soak.py
+++ b/tests/test_fault_soak.py
@@ -169,7 +169,8 @@
 @pytest.mark.parametrize(
     ("unread_spans", "later_began_at", "promise"),
     [
-        ([UnreadSpan("e", 10.1, 11.5)], 10.9, None),  # 0.4 s after the first client's answer
+        # Starts 0.4 s after the first client's answer at 10.5, so the key quarantine of 0.3 s is over
+        ([UnreadSpan("e", 10.1, 11.5)], 10.9, None),
         ([UnreadSpan("e", 10.1, 11.5)], 10.6, "keys rest after a doubt"),
         ([UnreadSpan("e", 10.1, 11.5)], 10.4, "loads of one key run in turn"),
         ([UnreadSpan("other", 10.1, 11.5)], 10.9, "loads of one key run in turn"),
--- a/tests/test_upgrade_compatibility.py
+++ b/tests/test_upgrade_compatibility.py
@@ -1,4 +1,7 @@
-"""Hot upgrades from the previous version and back to it: its recorded packets are read and written alike."""
+"""Hot upgrades from the previous version and back to it.
+
+This version reads the packets recorded from that version, and writes packets in the same form.
+"""
 
 import contextlib
 import json
--- a/tests/world.py
+++ b/tests/world.py
@@ -156,7 +156,7 @@
         )
 
     def last_actions_of(self, action_type: type) -> list[Action]:
-        """The actions of one type from the last batch."""
+        """The actions of this type that the last call of `notify` returned."""
         return [action for action in self.last_actions if isinstance(action, action_type)]
 
 
